--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -36,7 +36,7 @@
   return now ? std::optional(std::chrono::milliseconds(0)) : std::nullopt;
 }
 
-void WriteUses(capnp::List<wire::NewsServerUse>::Builder to, const LoadBook::Uses& uses) {
+void WriteUses(capnp::List<wire::NewsServerUse>::Builder to, const LoadTracker::Uses& uses) {
   unsigned index = 0;
   for (const auto& [server, use] : uses) {
     auto row = to[index++];
@@ -47,8 +47,8 @@
   }
 }
 
-LoadBook::Uses ReadUses(capnp::List<wire::NewsServerUse>::Reader from) {
-  LoadBook::Uses uses;
+LoadTracker::Uses ReadUses(capnp::List<wire::NewsServerUse>::Reader from) {
+  LoadTracker::Uses uses;
   for (const auto use : from) {
     uses[ToText(use.getServer())] = {use.getRequests(), use.getTokenLayers(), use.getBegun()};
   }
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-void Write(wire::NewsReport::Builder to, const NewsReport& report) {
+void Write(wire::NewsReport::Builder to, const InstanceReport& report) {
   auto instance = to.initInstance();
   instance.setName(report.instance.name);
   instance.setIp(report.instance.peer_address.ip);
@@ -68,10 +68,10 @@
   instance.setLinkMbps(report.instance.link_mbps);
   to.setRevision(report.revision);
   to.setLeaving(report.leaving);
-  to.setIsReader(report.reader_age == std::chrono::milliseconds(0));
-  to.setStoreIsSteady(report.steady_age == std::chrono::milliseconds(0));
-  to.setReaderAgeMs(WriteAge(report.reader_age));
-  to.setSteadyAgeMs(WriteAge(report.steady_age));
+  to.setIsReader(report.store_watcher_age == std::chrono::milliseconds(0));
+  to.setStoreIsSteady(report.stable_store_age == std::chrono::milliseconds(0));
+  to.setReaderAgeMs(WriteAge(report.store_watcher_age));
+  to.setSteadyAgeMs(WriteAge(report.stable_store_age));
   to.setWithoutRecords(!report.wants_records);
   WriteUses(to.initUses(static_cast<unsigned>(report.uses.size())), report.uses);
   auto domains = to.initDomainUses(static_cast<unsigned>(report.domain_uses.size()));
@@ -81,17 +81,17 @@
     row.setFailureDomain(domain);
     WriteUses(row.initUses(static_cast<unsigned>(uses.size())), uses);
   }
-  auto server_news = to.initLayers(static_cast<unsigned>(report.server_news.size()));
-  for (unsigned index = 0; index < report.server_news.size(); ++index) {
-    server_news[index].setServer(report.server_news[index].server);
-    server_news[index].setFirst(report.server_news[index].layers.first);
-    server_news[index].setEnd(report.server_news[index].layers.end);
-    server_news[index].setLeaving(report.server_news[index].leaving);
+  auto server_news = to.initLayers(static_cast<unsigned>(report.server_states.size()));
+  for (unsigned index = 0; index < report.server_states.size(); ++index) {
+    server_news[index].setServer(report.server_states[index].server);
+    server_news[index].setFirst(report.server_states[index].layers.first);
+    server_news[index].setEnd(report.server_states[index].layers.end);
+    server_news[index].setLeaving(report.server_states[index].leaving);
   }
   auto slow = to.initSlowServers(static_cast<unsigned>(report.slow_servers.size()));
   for (unsigned index = 0; index < report.slow_servers.size(); ++index) {
     slow[index].setServer(report.slow_servers[index].server);
-    slow[index].setPace(static_cast<float>(report.slow_servers[index].pace));
+    slow[index].setPace(static_cast<float>(report.slow_servers[index].slowdown_factor));
     slow[index].setAgeMs(static_cast<std::uint32_t>(report.slow_servers[index].age.count()));
   }
   auto limits = to.initServerLimits(static_cast<unsigned>(report.server_limits.size()));
@@ -109,8 +109,8 @@
   }
 }
 
-NewsReport Read(wire::NewsReport::Reader from) {
-  NewsReport report;
+InstanceReport Read(wire::NewsReport::Reader from) {
+  InstanceReport report;
   const auto instance = from.getInstance();
   report.instance.name = ToText(instance.getName());
   report.instance.peer_address = {ToText(instance.getIp()), instance.getPort()};
@@ -120,15 +120,15 @@
   report.leaving = from.getLeaving();
   report.instance.cores = from.getInstance().getCores();
   report.instance.link_mbps = from.getInstance().getLinkMbps();
-  report.reader_age = ReadAge(from.getReaderAgeMs(), from.getIsReader());
-  report.steady_age = ReadAge(from.getSteadyAgeMs(), from.getStoreIsSteady());
+  report.store_watcher_age = ReadAge(from.getReaderAgeMs(), from.getIsReader());
+  report.stable_store_age = ReadAge(from.getSteadyAgeMs(), from.getStoreIsSteady());
   report.wants_records = !from.getWithoutRecords();
   report.uses = ReadUses(from.getUses());
   for (const auto domain : from.getDomainUses()) {
     report.domain_uses[ToText(domain.getFailureDomain())] = ReadUses(domain.getUses());
   }
   for (const auto news : from.getLayers()) {
-    report.server_news.push_back(
+    report.server_states.push_back(
         {ToText(news.getServer()), {news.getFirst(), news.getEnd()}, news.getLeaving()});
   }
   for (const auto slow : from.getSlowServers()) {
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -75,12 +75,12 @@
   m_server->OnViewChanged();
 }
 
-void ForwardingTraffic::SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) {
+void ForwardingTraffic::SetDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) {
   m_loads.SetDomainUses(domain, std::move(uses));
 }
 
-void ForwardingTraffic::OnPeerPaces(const std::vector<PaceNews>& slow_servers) {
-  for (const PaceNews& news : slow_servers) {
+void ForwardingTraffic::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
+  for (const SlowdownReport& news : slow_servers) {
     m_health.NotePace(news);
   }
 }
@@ -116,9 +116,9 @@
   m_server->OnServersStalled(servers);
 }
 
-void ForwardingTraffic::OnPeerStalls(const std::vector<StallNews>& stalls) {
+void ForwardingTraffic::OnPeerStalls(const std::vector<StallReport>& stalls) {
   std::vector<BackendServerName> servers;
-  for (const StallNews& stall : stalls) {
+  for (const StallReport& stall : stalls) {
     m_parts.logger.Log(LogLevel::kInfo, "server_stalled",
                        {{"server", stall.server}, {"seen_by", "peer"}});
     if (stall.age < kStalledExclusion) {
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -12,8 +12,8 @@
 #include "zinnia_base/errors/result.h"
 #include "zinnia_decisions/forwarding/admission/room_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
-#include "zinnia_decisions/forwarding/beliefs/news_report.h"
+#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
@@ -47,7 +47,7 @@
   std::function<void(const BackendServerName&)> tell_stall;
 
   /** Called on the traffic thread when a server's layers were found to be others. */
-  std::function<void(const ServerNews&)> tell_server_news;
+  std::function<void(const ServerStateReport&)> tell_server_news;
 
   /** Called on the traffic thread when a server's limit has changed; `heard_here` from the server
       itself, and not from a peer. */
@@ -64,16 +64,16 @@
   ForwardServer& Server() { return *m_server; }
 
   void SetView(std::shared_ptr<const ForwardingView> view);
-  void SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses);
-  void OnPeerStalls(const std::vector<StallNews>& stalls);
+  void SetDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses);
+  void OnPeerStalls(const std::vector<StallReport>& stalls);
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
-  void OnPeerPaces(const std::vector<PaceNews>& slow_servers);
+  void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers);
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
 
   /** What this instance has in flight, for its peers. */
-  const LoadBook::Uses& OwnUses() const { return m_loads.Own(); }
-  std::vector<PaceNews> SlowServers() const { return m_health.SlowServers(); }
+  const LoadTracker::Uses& OwnUses() const { return m_loads.Own(); }
+  std::vector<SlowdownReport> SlowServers() const { return m_health.SlowServers(); }
   std::vector<ServerLimitNews> TakeServerLimits() { return m_limits.TakeNews(); }
 
  private:
@@ -84,7 +84,7 @@
   const ForwardingTrafficParts m_parts;
   std::shared_ptr<const ForwardingView> m_view;
   RandomSource m_random;
-  LoadBook m_loads;
+  LoadTracker m_loads;
   ServerHealth m_health;
   HolderDivision m_limit_division;
   ServerLimits m_limits;
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -165,16 +165,16 @@
           m_settings.departure_notice, Hash64(m_settings.instance, StartOf(m_clock)),
           [this](const BackendServerName& server) {
             m_control_thread->Post([this, server] {
-              m_control->News().TellStall(server);
+              m_control->News().SendStall(server);
               m_control->NoteStalled(server);
             });
           },
-          [this](const ServerNews& news) {
+          [this](const ServerStateReport& news) {
             m_control_thread->Post([this, news] { m_control->NoteServerNews(news); });
           },
           [this](std::vector<ServerLimitNews> limits, bool heard_here) {
             m_control_thread->Post([this, limits = std::move(limits), heard_here]() mutable {
-              m_control->News().TellServerLimits(std::move(limits), heard_here);
+              m_control->News().SendServerLimits(std::move(limits), heard_here);
             });
           },
           m_settings.instance});
@@ -211,25 +211,25 @@
   ScheduleUpkeep();
 }
 
-void ForwardingDaemon::OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) {
+void ForwardingDaemon::OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) {
   m_traffic_thread->Post([this, domain, uses = std::move(uses)]() mutable {
     m_traffic->SetDomainUses(domain, std::move(uses));
   });
 }
 
-void ForwardingDaemon::OnPeerStalls(const std::vector<StallNews>& stalls) {
-  for (const StallNews& stall : stalls) {
+void ForwardingDaemon::OnPeerStalls(const std::vector<StallReport>& stalls) {
+  for (const StallReport& stall : stalls) {
     m_control->NoteStalled(stall.server);
   }
   m_traffic_thread->Post([this, stalls] { m_traffic->OnPeerStalls(stalls); });
 }
 
-void ForwardingDaemon::OnPeerServerNews(const ServerNews& news) {
+void ForwardingDaemon::OnPeerServerState(const ServerStateReport& news) {
   m_control->NoteServerNews(news);
 }
 
-void ForwardingDaemon::OnPeerPaces(const std::vector<PaceNews>& slow_servers) {
-  m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerPaces(slow_servers); });
+void ForwardingDaemon::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
+  m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerSlowdowns(slow_servers); });
 }
 
 void ForwardingDaemon::OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) {
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -10,7 +10,7 @@
 #include "zinnia_adapters/settings/forwarding_settings.h"
 #include "zinnia_base/errors/result.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 
 namespace zinnia {
 
@@ -32,7 +32,7 @@
     BeginDrain, some seconds later StopAccepting, and Stop when InFlight is empty. Used from the
    main thread only.
 */
-class ForwardingDaemon final : private NewsSink {
+class ForwardingDaemon final : private ReportSink {
  public:
   /** Fails with kInvalidSettings. */
   static Result<std::unique_ptr<ForwardingDaemon>> Create(ForwardingSettings settings,
@@ -60,11 +60,11 @@
   void ScheduleUpkeep();
   void Upkeep();
 
-  void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) override;
-  void OnPeerStalls(const std::vector<StallNews>& stalls) override;
-  void OnPeerServerNews(const ServerNews& news) override;
+  void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) override;
+  void OnPeerStalls(const std::vector<StallReport>& stalls) override;
+  void OnPeerServerState(const ServerStateReport& news) override;
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) override;
-  void OnPeerPaces(const std::vector<PaceNews>& slow_servers) override;
+  void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) override;
 
   struct PlatformParts;
 
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -17,39 +17,39 @@
   m_live.clear();
 }
 
-void InstanceDirectory::OnHeard(const Instance& instance) {
+void InstanceDirectory::OnPeerSeen(const Instance& instance) {
   if (instance.name == m_self.name) {
     return;
   }
-  Heard& heard = m_heard[instance.name];
-  heard.at = m_clock.Now();
-  if (heard.instance != instance) {
-    heard.instance = instance;
+  SeenPeer& peer = m_seen_peers[instance.name];
+  peer.at = m_clock.Now();
+  if (peer.instance != instance) {
+    peer.instance = instance;
     m_live.clear();
   }
 }
 
-void InstanceDirectory::OnLeft(const InstanceName& name) {
-  m_heard.erase(name);
+void InstanceDirectory::OnPeerLeft(const InstanceName& name) {
+  m_seen_peers.erase(name);
   m_recorded.erase(name);
   m_live.clear();
 }
 
 const std::vector<Instance>& InstanceDirectory::Live() const {
-  if (m_live.empty() || m_clock.Now() - m_counted_at >= kRecountAfter) {
-    Count();
+  if (m_live.empty() || m_clock.Now() - m_live_built_at >= kLiveListLifetime) {
+    RebuildLive();
   }
   return m_live;
 }
 
-void InstanceDirectory::Count() const {
+void InstanceDirectory::RebuildLive() const {
   std::map<InstanceName, const Instance*> live;
   for (const auto& [name, instance] : m_recorded) {
     live[name] = &instance;
   }
-  for (const auto& [name, heard] : m_heard) {
-    if (m_clock.Now() - heard.at < kHeardLifetime) {
-      live[name] = &heard.instance;
+  for (const auto& [name, peer] : m_seen_peers) {
+    if (m_clock.Now() - peer.at < kPeerLifetime) {
+      live[name] = &peer.instance;
     }
   }
   live[m_self.name] = &m_self;
@@ -58,12 +58,12 @@
   for (const auto& [name, instance] : live) {
     m_live.push_back(*instance);
   }
-  m_counted_at = m_clock.Now();
+  m_live_built_at = m_clock.Now();
 }
 
-const TimePoint* InstanceDirectory::LastHeard(const InstanceName& name) const {
-  const auto heard = m_heard.find(name);
-  return heard == m_heard.end() ? nullptr : &heard->second.at;
+const TimePoint* InstanceDirectory::LastSeen(const InstanceName& name) const {
+  const auto found = m_seen_peers.find(name);
+  return found == m_seen_peers.end() ? nullptr : &found->second.at;
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
@@ -12,16 +12,15 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-/** Long enough to outlast pauses and two failed renewals, short enough that shares of a budget
-   follow a loss. Renewals are priced: eighty instances at 2.5 s made 2,000 calls a minute. */
-constexpr milliseconds kLease{15'000};
+/** Outlasts pauses and two failed renewals, but is short enough that budgets are redistributed soon
+    after an instance is lost. Store calls are billed, so renewals are infrequent. */
+constexpr milliseconds kLeaseDuration{15'000};
 constexpr milliseconds kRenewInterval{5'000};
 
-/** The first list of the store's records takes some milliseconds. Peers know this instance from its
-    news meanwhile. */
-constexpr milliseconds kWaitForFirstList{100};
+/** The first list of the store's records takes some milliseconds. */
+constexpr milliseconds kFirstListDelay{100};
 
-/** Peers know each other from their news meanwhile, and each refused call is priced. */
+/** Failed store calls are billed too, and peers know this instance from its reports meanwhile. */
 constexpr milliseconds kRetryPause{1'000};
 
 }  // namespace
@@ -33,19 +32,19 @@
     : m_store(store), m_scheduler(scheduler), m_logger(logger), m_self(std::move(self)) {}
 
 void InstanceRegistration::Start() {
-  Again(kWaitForFirstList, &InstanceRegistration::Grant);
+  ScheduleStep(kFirstListDelay, &InstanceRegistration::Grant);
 }
 
-void InstanceRegistration::Again(milliseconds pause, void (InstanceRegistration::*step)()) {
+void InstanceRegistration::ScheduleStep(milliseconds pause, void (InstanceRegistration::*step)()) {
   if (!m_stopped) {
     m_timer = m_scheduler.ScheduleAfter(pause, [this, step] { (this->*step)(); });
   }
 }
 
 void InstanceRegistration::Grant() {
-  m_store.GrantLease(kLease, WhileAlive(m_alive, [this](const Result<StoreLeaseId>& lease) {
+  m_store.GrantLease(kLeaseDuration, WhileAlive(m_alive, [this](const Result<StoreLeaseId>& lease) {
                        if (!lease) {
-                         Again(kRetryPause, &InstanceRegistration::Grant);
+                         ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                          return;
                        }
                        m_lease = *lease;
@@ -53,13 +52,13 @@
                      }));
 }
 
-/** The record of this instance's former self is still there, or a write without an answer was done
-    after all. */
+/** Reads the stored version after a write conflicted with a record of an earlier run or was applied
+    without a response. */
 void InstanceRegistration::ReadBack() {
   m_store.Get(std::string(kKeyPrefix) + m_self.name,
               WhileAlive(m_alive, [this](const Result<std::optional<StoreRecord>>& record) {
                 if (!record) {
-                  Again(kRetryPause, &InstanceRegistration::ReadBack);
+                  ScheduleStep(kRetryPause, &InstanceRegistration::ReadBack);
                   return;
                 }
                 Write(*record ? (*record)->version : 0);
@@ -72,11 +71,11 @@
                            if (result) {
                              m_logger.Log(LogLevel::kInfo, "instance_registered",
                                           {{"revision", std::to_string(*result)}});
-                             Again(kRenewInterval, &InstanceRegistration::Renew);
+                             ScheduleStep(kRenewInterval, &InstanceRegistration::Renew);
                            } else if (result.error().kind == ErrorKind::kNotFound) {
-                             Again(kRetryPause, &InstanceRegistration::Grant);
+                             ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                            } else {
-                             Again(kRetryPause, &InstanceRegistration::ReadBack);
+                             ScheduleStep(kRetryPause, &InstanceRegistration::ReadBack);
                            }
                          }));
 }
@@ -85,10 +84,10 @@
   m_store.KeepLeaseAlive(m_lease, WhileAlive(m_alive, [this](const Result<void>& result) {
                            if (!result && result.error().kind == ErrorKind::kNotFound) {
                              m_logger.Log(LogLevel::kWarning, "instance_record_lapsed", {});
-                             Again(kRetryPause, &InstanceRegistration::Grant);
+                             ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                              return;
                            }
-                           Again(kRenewInterval, &InstanceRegistration::Renew);
+                           ScheduleStep(kRenewInterval, &InstanceRegistration::Renew);
                          }));
 }
 
--- /dev/null
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -0,0 +1,59 @@
+#pragma once
+
+#include <chrono>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
+#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
+#include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
+#include "zinnia_decisions/forwarding/limits/server_limit_news.h"
+#include "zinnia_world/fleet/instance.h"
+
+namespace zinnia {
+
+/** A server that stopped making progress, and the time since this was detected. */
+struct StallReport {
+  BackendServerName server;
+  std::chrono::milliseconds age{0};
+};
+
+/** The state that an instance sends to its peers several times a second. */
+struct InstanceReport {
+  Instance instance;
+
+  /** The revision of the sender's store mirror. 0: not filled yet. */
+  std::uint64_t revision = 0;
+
+  /** The sender's requests in flight, for the relays of its failure domain. */
+  LoadTracker::Uses uses;
+
+  /** From a relay to a member: the sum over the other members of the domain, and periodically the
+      sums over other domains. To relays of other domains: the sum over the sender's domain. */
+  std::map<FailureDomainName, LoadTracker::Uses> domain_uses;
+  std::vector<StallReport> stalls;
+  std::vector<SlowdownReport> slow_servers;
+  std::vector<ServerLimitNews> server_limits;
+
+  /** Recent statements of servers that did not come from the store. */
+  std::vector<ServerStateReport> server_states;
+
+  /** Upper bound on the time since some instance was in contact with the store as a watcher,
+      however many relays forwarded it. 0 from a watcher in contact; empty if none is known. */
+  std::optional<std::chrono::milliseconds> store_watcher_age;
+
+  /** The same for an instance whose store calls have all succeeded for long enough that lapsed
+      records would have been written again. */
+  std::optional<std::chrono::milliseconds> stable_store_age;
+
+  /** Whether the response should contain the store records that the sender lacks. */
+  bool wants_records = false;
+
+  /** The sender is about to stop. */
+  bool leaving = false;
+};
+
+}  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/load_book.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 
 #include <algorithm>
 #include <cassert>
@@ -7,34 +7,34 @@
 namespace zinnia {
 namespace {
 
-/** Peers' reports are about this old; what they chose since is estimated. */
+/** Typical age of peers' reports; newer choices of peers are estimated. */
 constexpr std::chrono::duration<double> kReportAge{0.25};
 
-/** By then reports tell of what peers began when this instance did. */
-constexpr Duration kFirstReportsDue = std::chrono::milliseconds(1'500);
+/** By then reports include what peers began at the time when this instance started. */
+constexpr Duration kStartupPeriod = std::chrono::milliseconds(1'500);
 
-/** How much alike instances choose. They see the same loads, so nearly the same; one would mean
-    that no request ever goes another way. */
-constexpr double kLikeness = 0.6;
+/** How strongly choices of different instances correlate, from 0 to 1. High, since they see nearly
+    the same loads. */
+constexpr double kChoiceCorrelation = 0.6;
 
-/** The most that are taken to choose like this instance: in larger fleets requests are spread by
-    chance, see PathFinder. */
-constexpr double kMostLikeChoosers = 20.0;
+/** Upper limit of peers assumed to choose like this instance: larger fleets spread requests at
+    random, see PathFinder. */
+constexpr double kMaxCorrelatedPeers = 20.0;
 
 }  // namespace
 
-bool LoadBook::HasJustStarted() const {
-  return m_clock.Now() - m_started_at < kFirstReportsDue;
+bool LoadTracker::HasJustStarted() const {
+  return m_clock.Now() - m_started_at < kStartupPeriod;
 }
 
-LoadBook::RecentAdditions LoadBook::Decayed(const RecentAdditions& additions) const {
+LoadTracker::RecentAdditions LoadTracker::Decayed(const RecentAdditions& additions) const {
   const std::chrono::duration<double> age = m_clock.Now() - additions.changed_at;
   const double factor = std::exp(-age / kReportAge);
   return {m_clock.Now(), additions.requests * factor, additions.token_layers * factor,
           additions.begun * factor};
 }
 
-void LoadBook::Add(const BackendServerName& server, double token_layers, bool begins) {
+void LoadTracker::Add(const BackendServerName& server, double token_layers, bool begins) {
   ServerUse& use = m_own[server];
   ++use.requests;
   use.token_layers += token_layers;
@@ -47,7 +47,7 @@
   recent.begun += begins ? 1 : 0;
 }
 
-void LoadBook::Remove(const BackendServerName& server, double token_layers, bool begins) {
+void LoadTracker::Remove(const BackendServerName& server, double token_layers, bool begins) {
   const auto found = m_own.find(server);
   assert(found != m_own.end() && found->second.requests > 0 && "Remove without its Add");
   ServerUse& use = found->second;
@@ -61,12 +61,12 @@
   }
 }
 
-void LoadBook::SetDomainUses(const FailureDomainName& domain, Uses uses) {
+void LoadTracker::SetDomainUses(const FailureDomainName& domain, Uses uses) {
   m_domains[domain] = {m_clock.Now(), std::move(uses)};
-  CountOthers();
+  UpdateOthersBegun();
 }
 
-void LoadBook::AddReports(const BackendServerName& server, ServerUse& sum) const {
+void LoadTracker::AddReports(const BackendServerName& server, ServerUse& sum) const {
   for (const auto& [domain, report] : m_domains) {
     const auto use = report.uses.find(server);
     if (use != report.uses.end() && m_clock.Now() - report.received_at <= kReportLifetime) {
@@ -77,15 +77,15 @@
   }
 }
 
-/** Callers are spread unevenly, and while instances restart in turn one may take a third of all
-    traffic. Were each peer taken to choose as often as itself, it would count several requests of
-    others for each of its own, and refuse for want of memory that nobody uses. */
-double LoadBook::OthersShare() const {
+/** Callers are spread unevenly, and during a rolling restart one instance may take a third of all
+    traffic. Assuming that each peer takes as much would overestimate the load and refuse requests
+    although memory is free. */
+double LoadTracker::OthersTrafficRatio() const {
   const double share = static_cast<double>(m_others_begun) / std::max(1U, m_own_begun);
   return std::min(static_cast<double>(m_peer_count), share);
 }
 
-void LoadBook::CountOthers() {
+void LoadTracker::UpdateOthersBegun() {
   std::erase_if(m_domains, [now = m_clock.Now()](const auto& report) {
     return now - report.second.received_at > kReportLifetime;
   });
@@ -97,21 +97,21 @@
   }
 }
 
-/** Peers that see the same loads choose the same server at the same time. Without this estimate all
-    of them fill the best one until the next reports, and its requests wait for memory. */
-void LoadBook::AddUnreported(const BackendServerName& server, ServerUse& sum) const {
+/** Peers that see the same loads choose the same server at the same time. Without this estimate
+    they would overfill it before the next reports arrive. */
+void LoadTracker::AddEstimate(const BackendServerName& server, ServerUse& sum) const {
   const auto found = m_recent.find(server);
   if (found == m_recent.end()) {
     return;
   }
   const RecentAdditions recent = Decayed(found->second);
-  const double others = kLikeness * std::min(OthersShare(), kMostLikeChoosers);
+  const double others = kChoiceCorrelation * std::min(OthersTrafficRatio(), kMaxCorrelatedPeers);
   sum.requests += static_cast<std::uint32_t>(recent.requests * others);
   sum.token_layers += recent.token_layers * others;
   sum.begun += static_cast<std::uint32_t>(recent.begun * others);
 }
 
-ServerUse LoadBook::UseOf(const BackendServerName& server) const {
+ServerUse LoadTracker::UseOf(const BackendServerName& server) const {
   ServerUse own;
   const auto found = m_own.find(server);
   if (found != m_own.end()) {
@@ -119,9 +119,9 @@
   }
   ServerUse others;
   AddReports(server, others);
-  AddUnreported(server, others);
+  AddEstimate(server, others);
   if (HasJustStarted()) {
-    const double peers = kLikeness * static_cast<double>(m_peer_count);
+    const double peers = kChoiceCorrelation * static_cast<double>(m_peer_count);
     others.requests = std::max(others.requests, static_cast<std::uint32_t>(own.requests * peers));
     others.token_layers = std::max(others.token_layers, own.token_layers * peers);
     others.begun = std::max(others.begun, static_cast<std::uint32_t>(own.begun * peers));
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
@@ -5,17 +5,17 @@
 
 namespace zinnia {
 
-void MemberLoads::Set(const InstanceName& member, LoadBook::Uses uses) {
+void MemberLoads::Set(const InstanceName& member, LoadTracker::Uses uses) {
   m_members[member] = {m_clock.Now(), std::move(uses)};
 }
 
-LoadBook::Uses MemberLoads::Sum(const LoadBook::Uses& own) {
+LoadTracker::Uses MemberLoads::Sum(const LoadTracker::Uses& own) {
   std::erase_if(m_members, [now = m_clock.Now()](const auto& member) {
-    return now - member.second.first > LoadBook::kReportLifetime;
+    return now - member.second.first > LoadTracker::kReportLifetime;
   });
-  LoadBook::Uses sum = own;
-  for (const auto& [member, said] : m_members) {
-    for (const auto& [server, use] : said.second) {
+  LoadTracker::Uses sum = own;
+  for (const auto& [member, reported] : m_members) {
+    for (const auto& [server, use] : reported.second) {
       ServerUse& total = sum[server];
       total.requests += use.requests;
       total.token_layers += use.token_layers;
@@ -25,13 +25,14 @@
   return sum;
 }
 
-LoadBook::Uses MemberLoads::Without(const InstanceName& member, const LoadBook::Uses& sum) const {
-  LoadBook::Uses others = sum;
-  const auto said = m_members.find(member);
-  if (said == m_members.end()) {
+LoadTracker::Uses MemberLoads::SumWithout(const InstanceName& member,
+                                          const LoadTracker::Uses& sum) const {
+  LoadTracker::Uses others = sum;
+  const auto found = m_members.find(member);
+  if (found == m_members.end()) {
     return others;
   }
-  for (const auto& [server, use] : said->second.second) {
+  for (const auto& [server, use] : found->second.second) {
     const auto total = others.find(server);
     if (total == others.end()) {
       continue;
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
@@ -4,34 +4,34 @@
 #include <utility>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
 
-/** What the members of a relay's failure domain have in flight, each as it last said, and their
-   sum.
+/** The requests in flight of each member of a relay's failure domain, as last reported, and their
+    sum.
 
-    A relay tells each member the sum over the others: a row for each member would be forty times as
-    much to send, and no decision needs to know whose request it is.
+    A relay sends each member the sum over the others: one row per member would be many times
+    larger, and no decision depends on whose request it is.
 
-    Lives on the control thread.
-*/
+    Used on the control thread only. */
 class MemberLoads {
  public:
   explicit MemberLoads(const Clock& clock) : m_clock(clock) {}
 
-  void Set(const InstanceName& member, LoadBook::Uses uses);
+  void Set(const InstanceName& member, LoadTracker::Uses uses);
 
-  /** What has not been renewed within LoadBook::kReportLifetime no longer counts. */
-  LoadBook::Uses Sum(const LoadBook::Uses& own);
+  /** The sum over `own` and all members. Reports older than LoadTracker::kReportLifetime are
+      dropped. */
+  LoadTracker::Uses Sum(const LoadTracker::Uses& own);
 
-  /** `sum` without what this member said of itself. */
-  LoadBook::Uses Without(const InstanceName& member, const LoadBook::Uses& sum) const;
+  /** Returns `sum` less the last report of `member`. */
+  LoadTracker::Uses SumWithout(const InstanceName& member, const LoadTracker::Uses& sum) const;
 
  private:
   const Clock& m_clock;
-  std::map<InstanceName, std::pair<TimePoint, LoadBook::Uses>> m_members;
+  std::map<InstanceName, std::pair<TimePoint, LoadTracker::Uses>> m_members;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -9,22 +9,21 @@
 namespace zinnia {
 namespace {
 
-/** One that is not heard although it lives is tried again after this. Its record lapses before, if
-   it does not live. */
-constexpr Duration kPassedOverFor = std::chrono::seconds(30);
+/** An excluded instance is tried again after this time. The record of a dead one lapses earlier. */
+constexpr Duration kExclusionDuration = std::chrono::seconds(30);
 
-bool HasMoreToSpend(const Instance* one, const Instance* other) {
+bool RanksHigher(const Instance* one, const Instance* other) {
   return std::tie(other->link_mbps, other->cores, one->name) <
          std::tie(one->link_mbps, one->cores, other->name);
 }
 
-template <typename IsPassedOver>
+template <typename Predicate>
 std::vector<Instance> FirstOf(const std::vector<const Instance*>& ranked,
                               std::size_t count,
-                              IsPassedOver is_passed_over) {
+                              Predicate is_excluded) {
   std::vector<Instance> first;
   for (const Instance* instance : ranked) {
-    if (first.size() < count && !is_passed_over(*instance, first.size())) {
+    if (first.size() < count && !is_excluded(*instance, first.size())) {
       first.push_back(*instance);
     }
   }
@@ -40,28 +39,27 @@
     domains[instance.failure_domain].push_back(&instance);
   }
   m_own_relays.clear();
-  m_far_relays.clear();
+  m_remote_relays.clear();
   m_members.clear();
   const bool was_relay = m_is_relay;
   m_is_relay = false;
   const auto expected_before = std::exchange(m_expected_since, {});
   std::vector<std::vector<Instance>> relays;
   for (auto& [domain, ranked] : domains) {
-    std::sort(ranked.begin(), ranked.end(), HasMoreToSpend);
+    std::sort(ranked.begin(), ranked.end(), RanksHigher);
     const bool is_own = domain == self.failure_domain;
-    const auto is_passed_over = [&](const Instance& instance, std::size_t rank) {
-      // Both relays talk to the members of their domain, the first also to the relays of the
-      // others.
-      const bool should_talk = is_own || (was_relay && rank == 0);
-      return should_talk && instance.name != self.name &&
+    const auto is_excluded = [&](const Instance& instance, std::size_t rank) {
+      // Both relays send to the members of their domain, the first also to the relays of others.
+      const bool should_send = is_own || (was_relay && rank == 0);
+      return should_send && instance.name != self.name &&
              IsSilent(instance, expected_before, silence_limit);
     };
-    relays.push_back(FirstOf(ranked, kRelaysOfDomain, is_passed_over));
+    relays.push_back(FirstOf(ranked, kRelaysPerDomain, is_excluded));
     for (const Instance& relay : relays.back()) {
       const bool is_self = relay.name == self.name;
       m_is_relay = m_is_relay || is_self;
       if (!is_self) {
-        (is_own ? m_own_relays : m_far_relays).push_back(relay);
+        (is_own ? m_own_relays : m_remote_relays).push_back(relay);
       }
     }
     if (is_own) {
@@ -73,41 +71,42 @@
       }
     }
   }
-  std::vector<InstanceName> readers;
-  for (std::size_t rank = 0; rank < kRelaysOfDomain; ++rank) {
+  std::vector<InstanceName> watchers;
+  for (std::size_t rank = 0; rank < kRelaysPerDomain; ++rank) {
     for (const std::vector<Instance>& of_domain : relays) {
-      if (rank < of_domain.size() && readers.size() < kReadersOfFleet) {
-        readers.push_back(of_domain[rank].name);
+      if (rank < of_domain.size() && watchers.size() < kStoreWatchersPerFleet) {
+        watchers.push_back(of_domain[rank].name);
       }
     }
   }
-  m_is_reader = std::find(readers.begin(), readers.end(), self.name) != readers.end();
-  std::erase_if(m_passed_over,
-                [&](const auto& entry) { return m_clock.Now() - entry.second > kPassedOverFor; });
+  m_is_store_watcher = std::find(watchers.begin(), watchers.end(), self.name) != watchers.end();
+  std::erase_if(m_excluded_at, [&](const auto& entry) {
+    return m_clock.Now() - entry.second > kExclusionDuration;
+  });
 }
 
 bool RelayDirectory::IsSilent(const Instance& instance,
                               const Times& expected_before,
                               Duration silence_limit) {
   const TimePoint now = m_clock.Now();
-  const TimePoint* heard = m_instances.LastHeard(instance.name);
-  const auto passed_over = m_passed_over.find(instance.name);
-  if (passed_over != m_passed_over.end()) {
-    if (heard == nullptr || *heard <= passed_over->second) {
+  const TimePoint* last_seen = m_instances.LastSeen(instance.name);
+  const auto excluded = m_excluded_at.find(instance.name);
+  if (excluded != m_excluded_at.end()) {
+    if (last_seen == nullptr || *last_seen <= excluded->second) {
       return true;
     }
-    m_passed_over.erase(passed_over);
+    m_excluded_at.erase(excluded);
   }
   const auto expected = expected_before.find(instance.name);
   TimePoint since = expected == expected_before.end() ? now : expected->second;
   m_expected_since[instance.name] = since;
-  if (heard != nullptr) {
-    since = std::max(since, *heard);
+  if (last_seen != nullptr) {
+    since = std::max(since, *last_seen);
   }
   if (now - since < silence_limit) {
     return false;
   }
-  m_passed_over[instance.name] = now;
+  m_excluded_at[instance.name] = now;
   m_expected_since.erase(instance.name);
   return true;
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/pace_news.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/slowdown_report.h
@@ -7,10 +7,11 @@
 
 namespace zinnia {
 
-/** How many times longer than usual a server says that its work takes, and how old its word is. */
-struct PaceNews {
+/** How many times longer than usual a server reports its work to take, and the age of that report.
+ */
+struct SlowdownReport {
   BackendServerName server;
-  double pace = 1.0;
+  double slowdown_factor = 1.0;
   std::chrono::milliseconds age{0};
 };
 
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -11,17 +11,18 @@
 namespace zinnia {
 namespace {
 
-/** Removed records are kept for peers that lag behind; beyond this number the older half goes. */
-constexpr std::size_t kMostRemovals = 2'048;
+/** Removed records are kept for peers that lag behind; above this number all of them are dropped.
+ */
+constexpr std::size_t kMaxRemovals = 2'048;
 
-/** A reader hears from the store at least this often: its longest wait, its pause, and a slow
- * answer. */
+/** Exceeds the time between two responses to a store watcher: its longest wait, its pause and a
+    slow response. */
 constexpr Duration kContactLifetime = std::chrono::milliseconds(2'500);
 
-/** All keys: one watch for everything costs one call where one a prefix would cost several. */
-constexpr const char* kEverything = "";
+/** One watch for all keys costs one call; one per prefix would cost several. */
+constexpr const char* kAllKeys = "";
 
-constexpr std::array<std::string_view, 3> kReadingNames = {"none", "substitute", "reader"};
+constexpr std::array<std::string_view, 3> kRoleNames = {"none", "substitute", "reader"};
 
 MirroredRecord FromStore(const StoreRecord& record) {
   return {record.key, record.version, record.value};
@@ -29,8 +30,8 @@
 
 }  // namespace
 
-std::string_view NameOf(StoreReading reading) {
-  return kReadingNames[static_cast<std::size_t>(reading)];
+std::string_view NameOf(StoreWatchRole role) {
+  return kRoleNames[static_cast<std::size_t>(role)];
 }
 
 StoreMirror::StoreMirror(PlatformStore& store,
@@ -51,26 +52,26 @@
   List();
 }
 
-void StoreMirror::Later(std::chrono::milliseconds pause, void (StoreMirror::*step)()) {
+void StoreMirror::ScheduleStep(std::chrono::milliseconds pause, void (StoreMirror::*step)()) {
   m_timer = m_scheduler.ScheduleAfter(pause, [this, step] { (this->*step)(); });
 }
 
 void StoreMirror::List() {
   auto listed = WhileAlive(m_alive, [this](const Result<StoreBatch>& result) { OnListed(result); });
   if (m_filled) {
-    m_store.List(kEverything, std::move(listed));
+    m_store.List(kAllKeys, std::move(listed));
   } else {
-    m_store.ListMayLag(kEverything, std::move(listed));
+    m_store.ListMayLag(kAllKeys, std::move(listed));
   }
 }
 
 void StoreMirror::OnListed(const Result<StoreBatch>& result) {
   if (!result) {
-    NoteFailure(result.error());
-    Later(RetryPause(), &StoreMirror::List);
+    RecordFailure(result.error());
+    ScheduleStep(RetryPause(), &StoreMirror::List);
     return;
   }
-  NoteContact();
+  RecordContact();
   const bool is_first = !m_filled;
   MirrorDelta delta;
   delta.complete = true;
@@ -83,19 +84,19 @@
 }
 
 void StoreMirror::WatchAfter(std::chrono::milliseconds pause) {
-  if (m_reading == StoreReading::kNone) {
+  if (m_role == StoreWatchRole::kNone) {
     m_timer.reset();
   } else if (pause.count() == 0) {
     Watch();
   } else {
-    Later(pause, &StoreMirror::Watch);
+    ScheduleStep(pause, &StoreMirror::Watch);
   }
 }
 
 void StoreMirror::Watch() {
   m_timer.reset();  // Or a pause that was under way would start a second chain of watches.
   const std::uint64_t number = ++m_watch_number;
-  m_store.Watch(kEverything, m_revision, m_settings.longest_wait,
+  m_store.Watch(kAllKeys, m_revision, m_settings.longest_wait,
                 WhileAlive(m_alive, [this, number](const Result<StoreBatch>& result) {
                   if (number == m_watch_number) {
                     OnWatched(result);
@@ -103,16 +104,16 @@
                 }));
 }
 
-void StoreMirror::SetReading(StoreReading reading, std::size_t live_instances) {
+void StoreMirror::SetWatchRole(StoreWatchRole role, std::size_t live_instances) {
   m_live_instances = live_instances;
-  const StoreReading before = std::exchange(m_reading, reading);
-  if (reading == before || !m_filled || reading == StoreReading::kNone) {
+  const StoreWatchRole before = std::exchange(m_role, role);
+  if (role == before || !m_filled || role == StoreWatchRole::kNone) {
     return;
   }
-  if (reading == StoreReading::kReader) {
+  if (role == StoreWatchRole::kStoreWatcher) {
     Watch();
-  } else if (before == StoreReading::kNone) {
-    const double spread = m_settings.place * static_cast<double>(m_live_instances);
+  } else if (before == StoreWatchRole::kNone) {
+    const double spread = m_settings.spread_position * static_cast<double>(m_live_instances);
     WatchAfter(std::chrono::duration_cast<std::chrono::milliseconds>(
         m_settings.first_try_per_instance * spread));
   }
@@ -125,11 +126,11 @@
     return;
   }
   if (!result) {
-    NoteFailure(result.error());
+    RecordFailure(result.error());
     WatchAfter(RetryPause());
     return;
   }
-  NoteContact();
+  RecordContact();
   MirrorDelta delta;
   delta.revision = result->version;
   for (const StoreRecord& record : result->records) {
@@ -140,7 +141,7 @@
 }
 
 std::chrono::milliseconds StoreMirror::RetryPause() const {
-  if (m_reading == StoreReading::kReader) {
+  if (m_role == StoreWatchRole::kStoreWatcher) {
     return std::min(m_retry_pause, m_settings.longest_retry_pause);
   }
   const std::chrono::milliseconds spread = m_settings.retry_per_instance * m_live_instances;
@@ -212,13 +213,14 @@
   return delta;
 }
 
-bool StoreMirror::IsSteadyFor(Duration duration) const {
+bool StoreMirror::IsStableFor(Duration duration) const {
   const TimePoint now = m_clock.Now();
-  const bool heard_lately = m_last_contact && now - *m_last_contact <= kContactLifetime;
-  return m_in_contact && heard_lately && (!m_last_failure || now - *m_last_failure >= duration);
+  const bool is_contact_recent = m_last_contact && now - *m_last_contact <= kContactLifetime;
+  return m_in_contact && is_contact_recent &&
+         (!m_last_failure || now - *m_last_failure >= duration);
 }
 
-void StoreMirror::NoteFailure(const Error& error) {
+void StoreMirror::RecordFailure(const Error& error) {
   if (m_in_contact || !m_last_failure) {
     m_logger.Log(LogLevel::kWarning, "store_lost",
                  {{"reason", Describe(error)}, {"revision", std::to_string(m_revision)}});
@@ -228,7 +230,7 @@
   m_retry_pause = std::min(m_retry_pause * 2, m_settings.longest_retry_pause_of_substitute);
 }
 
-void StoreMirror::NoteContact() {
+void StoreMirror::RecordContact() {
   if (!m_in_contact) {
     m_logger.Log(LogLevel::kInfo, m_ever_in_contact ? "store_regained" : "store_reached",
                  {{"revision", std::to_string(m_revision)}});
@@ -245,7 +247,7 @@
       newest_removal = std::max(newest_removal, record.revision);
     }
   }
-  if (removals > kMostRemovals) {
+  if (removals > kMaxRemovals) {
     std::erase_if(m_records, [](const auto& entry) { return !entry.second.value; });
     m_removals_known_after = newest_removal;
   }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -39,7 +39,7 @@
 StoreMirrorSettings MirrorSettings(const InstanceName& self) {
   StoreMirrorSettings settings;
   constexpr auto kMost = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  settings.place = static_cast<double>(Hash64(self)) / kMost;
+  settings.spread_position = static_cast<double>(Hash64(self)) / kMost;
   return settings;
 }
 
@@ -80,7 +80,7 @@
 
 void ForwardingControl::Stop() {
   m_timer.reset();
-  m_news.TellLeaving();
+  m_news.SendLeaving();
   for (auto& [service, placer] : m_placers) {
     placer->Stop();
   }
@@ -94,15 +94,16 @@
 }
 
 bool ForwardingControl::StoreIsSteady() const {
-  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_news.SomePeerIsSteady();
+  return m_mirror.IsStableFor(ServerDirectory::kDoubtAfterFailure) ||
+         m_news.AnyPeerSeesStableStore();
 }
 
-void ForwardingControl::NoteServerNews(const ServerNews& news) {
+void ForwardingControl::NoteServerNews(const ServerStateReport& news) {
   // While the store answers its word on layers is newer than one that was some time on its way.
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
   const bool is_believed = news.leaving || !StoreIsSteady();
   if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
-    m_news.TellServerNews(news);
+    m_news.AddServerState(news);
     PublishView();
   }
 }
@@ -171,7 +172,7 @@
 
 void ForwardingControl::OnInstance(const MirroredRecord& record) {
   if (record.key.substr(InstanceRegistration::kKeyPrefix.size()) == m_parts.self.name) {
-    m_registration.NoteRecord(record.value ? record.revision : 0);
+    m_registration.SetKnownVersion(record.value ? record.revision : 0);
   }
   if (!record.value) {
     m_instances.OnRecordRemoved(record.key.substr(InstanceRegistration::kKeyPrefix.size()));
@@ -182,7 +183,7 @@
 
 void ForwardingControl::OnMirrorAdvanced() {
   PublishView();
-  m_news.TellAdvance();
+  m_news.SendRevision();
 }
 
 void ForwardingControl::PublishView() {
@@ -219,22 +220,22 @@
   }
 }
 
-StoreReading ForwardingControl::ReadingFor(bool is_placer) const {
-  if (is_placer || m_news.IsNamedReader()) {
-    return StoreReading::kReader;
+StoreWatchRole ForwardingControl::ReadingFor(bool is_placer) const {
+  if (is_placer || m_news.IsAssignedStoreWatcher()) {
+    return StoreWatchRole::kStoreWatcher;
   }
-  return m_news.ShouldRead() ? StoreReading::kSubstitute : StoreReading::kNone;
+  return m_news.ShouldWatchStore() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
 }
 
-void ForwardingControl::SetReading(StoreReading reading) {
+void ForwardingControl::SetReading(StoreWatchRole reading) {
   if (reading != m_reading) {
     m_reading = reading;
     m_parts.logger.Log(LogLevel::kInfo, "store_reading",
                        {{"as", std::string(NameOf(reading))},
                         {"live_instances", std::to_string(m_instances.Live().size())},
-                        {"reader_heard_ms", m_news.DescribeReaderAge()}});
+                        {"reader_heard_ms", m_news.DescribeStoreWatcherAge()}});
   }
-  m_mirror.SetReading(reading, m_instances.Live().size());
+  m_mirror.SetWatchRole(reading, m_instances.Live().size());
 }
 
 /** Two hundred instances that look at a free lease together make six hundred calls, and all but one
@@ -247,7 +248,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   const TimePoint since = m_orders_free_since.emplace(service, now).first->second;
-  return m_news.IsNamedReader() || now - since >= kReadersSeekFirst;
+  return m_news.IsAssignedStoreWatcher() || now - since >= kReadersSeekFirst;
 }
 
 void ForwardingControl::Tick() {
@@ -255,7 +256,7 @@
   bool is_placer = false;
   const bool renew = m_ticks++ % kTicksBetweenRenewals == 0;
   for (auto& [service, placer] : m_placers) {
-    placer->NoteStoreServesOthers(m_news.SomePeerIsSteady());
+    placer->NoteStoreServesOthers(m_news.AnyPeerSeesStableStore());
     if (renew) {
       placer->TickRole(MaySeekOrders(service));
     }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -10,7 +10,7 @@
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/server_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 #include "zinnia_decisions/forwarding/limits/recent_instances.h"
@@ -22,7 +22,7 @@
 class LayerOrders;
 class LayerPlacer;
 class Logger;
-class NewsTransport;
+class ReportTransport;
 class PlatformStore;
 class RecordReader;
 
@@ -32,11 +32,11 @@
   Scheduler& scheduler;
   PlatformStore& store;
   const RecordReader& reader;
-  NewsTransport& news;
+  ReportTransport& news;
   LayerOrders& layer_orders;
   DecisionRecorder& recorder;
   Logger& logger;
-  NewsSink& sink;
+  ReportSink& sink;
   Instance self;
   std::vector<NetworkAddress> seeds;
 
@@ -58,14 +58,14 @@
   /** Gives up the roles and this instance's record. */
   void Stop();
 
-  NewsExchange& News() { return m_news; }
+  ReportExchange& News() { return m_news; }
 
   /** Traffic, here or at a peer, found that a server does not go on. */
   void NoteStalled(const BackendServerName& server);
 
   /** A server said, here or to a peer, which layers it holds. Its entry may be old: the store may
      be away. */
-  void NoteServerNews(const ServerNews& news);
+  void NoteServerNews(const ServerStateReport& news);
 
  private:
   void OnMirroredRecord(const MirroredRecord& record) override;
@@ -77,8 +77,8 @@
   bool StoreIsSteady() const;
   void PublishView();
   void Tick();
-  StoreReading ReadingFor(bool is_placer) const;
-  void SetReading(StoreReading reading);
+  StoreWatchRole ReadingFor(bool is_placer) const;
+  void SetReading(StoreWatchRole reading);
   bool MaySeekOrders(const ServiceName& service);
   void UpdatePlacers();
 
@@ -89,7 +89,7 @@
   StoreMirror m_mirror;
   ServerDirectory m_servers;
   InstanceRegistration m_registration;
-  NewsExchange m_news;
+  ReportExchange m_news;
   std::map<ServiceName, std::unique_ptr<LayerPlacer>> m_placers;
 
   /** Since when nobody holds the right to give a pool orders. */
@@ -99,7 +99,7 @@
   std::shared_ptr<const ForwardingView> m_view;
   std::unique_ptr<ScheduledCall> m_timer;
   std::uint64_t m_ticks = 0;
-  StoreReading m_reading = StoreReading::kReader;
+  StoreWatchRole m_reading = StoreWatchRole::kStoreWatcher;
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -56,15 +56,15 @@
 TEST(Mirror, GoesOnWatchingFromWhereItWasAfterAFailure) {
   const std::uint64_t before = mirror.Revision();
   store.FailWatch(ErrorKind::kStoreUnavailable);
-  CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_FALSE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(1));
   CHECK_EQUAL(before, store.last_watch_after);
   store.Put("a", "2");
   Watched();
   STRCMP_EQUAL("2", seen.values["a"]->c_str());
-  CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_FALSE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(2));
-  CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_TRUE(mirror.IsStableFor(seconds(2)));
 }
 
 // Symptom: an outage of the store costs two thousand calls. Sequence: no reader is in contact, so
@@ -81,18 +81,18 @@
     }
     return calls;
   };
-  mirror.SetReading(StoreReading::kSubstitute, 9);
+  mirror.SetWatchRole(StoreWatchRole::kSubstitute, 9);
   CHECK_TRUE(calls_in_ten_seconds() <= 9);
-  mirror.SetReading(StoreReading::kSubstitute, 200);
+  mirror.SetWatchRole(StoreWatchRole::kSubstitute, 200);
   CHECK_TRUE(calls_in_ten_seconds() <= 4);
-  mirror.SetReading(StoreReading::kReader, 200);
+  mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 200);
   CHECK_TRUE(calls_in_ten_seconds() >= 15);
 }
 
 // Symptom: a watch that hears of nothing costs two hundred instances a call each two seconds.
 // Sequence: a reader's word reaches all of them. Cause: each watches the store all the same.
 TEST(Mirror, WhoNeedNotReadMakesNoCalls) {
-  mirror.SetReading(StoreReading::kNone, 200);
+  mirror.SetWatchRole(StoreWatchRole::kNone, 200);
   Watched();
   time.AdvanceBy(seconds(30));
   CHECK_EQUAL(0U, store.watches.size());
@@ -103,13 +103,13 @@
 // Sequence: all members miss the readers' word at the same time. Cause: all try at once.
 TEST(Mirror, SubstitutesSpreadTheirFirstCalls) {
   StoreMirrorSettings settings;
-  settings.place = 0.5;
+  settings.spread_position = 0.5;
   HeldStore quiet{time};
   StoreMirror late{quiet, time, time, logger, settings};
-  late.SetReading(StoreReading::kNone, 200);
+  late.SetWatchRole(StoreWatchRole::kNone, 200);
   late.Start();
   time.AdvanceBy(seconds(1));
-  late.SetReading(StoreReading::kSubstitute, 200);
+  late.SetWatchRole(StoreWatchRole::kSubstitute, 200);
   time.AdvanceBy(milliseconds(400));
   CHECK_EQUAL(0U, quiet.watches.size());
   time.AdvanceBy(milliseconds(200));
@@ -121,9 +121,9 @@
 // they take lapsed entries for servers that left. Cause: silence taken for steadiness.
 TEST(Mirror, AStoreThatWasNotAskedLatelyIsNotSteady) {
   Watched();
-  CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_TRUE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(3));
-  CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_FALSE(mirror.IsStableFor(seconds(2)));
 }
 
 // Symptom: an old configuration comes into force again. Sequence: a peer that lags sends its
@@ -157,22 +157,22 @@
 // Symptom: a changed configuration is in force after six seconds. Sequence: the readers are lost,
 // and an instance that relied on them becomes one. Cause: it begins only after a pause.
 TEST(Mirror, ANewReaderWatchesAtOnce) {
-  mirror.SetReading(StoreReading::kNone, 1);
+  mirror.SetWatchRole(StoreWatchRole::kNone, 1);
   Watched();
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(0U, store.watches.size());
   store.Put("a", "2");
-  mirror.SetReading(StoreReading::kReader, 1);
+  mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 1);
   CHECK_EQUAL(1U, store.watches.size());
   Watched();
   STRCMP_EQUAL("2", seen.values["a"]->c_str());
 }
 
 TEST(Mirror, ANewReaderThatPausesStartsOneWatchAndNotTwo) {
-  mirror.SetReading(StoreReading::kSubstitute, 1);
+  mirror.SetWatchRole(StoreWatchRole::kSubstitute, 1);
   Watched();
   CHECK_EQUAL(0U, store.watches.size());
-  mirror.SetReading(StoreReading::kReader, 1);
+  mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 1);
   time.AdvanceBy(seconds(2));
   CHECK_EQUAL(1U, store.watches.size());
 }
@@ -195,7 +195,7 @@
     entry.started_at_ms = started_at_ms;
     return entry;
   }
-  bool Hear(const ServerNews& news) {
+  bool Hear(const ServerStateReport& news) {
     return directory.NoteServerNews(news, [this] { ++changes; });
   }
   void Remove(bool in_doubt) {
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -35,17 +35,17 @@
       return entry;
     }
   };
-  struct Transport final : NewsTransport {
+  struct Transport final : ReportTransport {
     void Exchange(const NetworkAddress&,
-                  const NewsReport&,
+                  const InstanceReport&,
                   std::function<void(Result<MirrorDelta>)>) override {}
   };
-  struct Sink final : NewsSink {
-    void OnDomainUses(const FailureDomainName&, LoadBook::Uses) override {}
-    void OnPeerStalls(const std::vector<StallNews>&) override {}
-    void OnPeerServerNews(const ServerNews&) override {}
+  struct Sink final : ReportSink {
+    void OnDomainUses(const FailureDomainName&, LoadTracker::Uses) override {}
+    void OnPeerStalls(const std::vector<StallReport>&) override {}
+    void OnPeerServerState(const ServerStateReport&) override {}
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
-    void OnPeerPaces(const std::vector<PaceNews>&) override {}
+    void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
     std::vector<ServerLimitNews> limits;
   };
   struct Recorder final : DecisionRecorder {
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
@@ -46,7 +46,7 @@
           random(number + 1) {
       loads.SetPeerCount(kInstances - 1);
     }
-    LoadBook loads;
+    LoadTracker loads;
     ServerHealth health;
     HolderDivision division;
     ServerLimits limits;
@@ -84,7 +84,7 @@
   }
 
   void Report() {
-    LoadBook::Uses sum;
+    LoadTracker::Uses sum;
     for (const auto& chooser : choosers) {
       for (const auto& [server, use] : chooser->loads.Own()) {
         sum[server].requests += use.requests;
@@ -93,7 +93,7 @@
       }
     }
     for (const auto& chooser : choosers) {
-      LoadBook::Uses others = sum;
+      LoadTracker::Uses others = sum;
       for (const auto& [server, use] : chooser->loads.Own()) {
         others[server].requests -= use.requests;
         others[server].token_layers -= use.token_layers;
@@ -161,11 +161,11 @@
 TEST(Crowd, AFewFirstServersAreDrawnMostlyNear) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
-  std::vector<bool> is_near(20, false);
-  std::fill_n(is_near.begin(), 5, true);
+  std::vector<bool> is_same_domain(20, false);
+  std::fill_n(is_same_domain.begin(), 5, true);
   std::vector<int> counts(20, 0);
   for (int draw = 0; draw < 500; ++draw) {
-    const std::vector<bool> drawn = sampler.Draw(is_near, std::vector<bool>(20, false));
+    const std::vector<bool> drawn = sampler.Draw(is_same_domain, std::vector<bool>(20, false));
     CHECK_EQUAL(2, std::count(drawn.begin(), drawn.begin() + 5, true));
     CHECK_EQUAL(1, std::count(drawn.begin() + 5, drawn.end(), true));
     for (std::size_t server = 0; server < drawn.size(); ++server) {
@@ -188,14 +188,14 @@
 TEST(Crowd, ANearFirstServerWithAnUnusedConnectionIsLookedAtToo) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
-  std::vector<bool> is_near(20, false);
-  std::fill_n(is_near.begin(), 10, true);
+  std::vector<bool> is_same_domain(20, false);
+  std::fill_n(is_same_domain.begin(), 10, true);
   std::vector<bool> has_connection(20, false);
   has_connection[4] = true;
   has_connection[15] = true;
   int far_looks = 0;
   for (int draw = 0; draw < 50; ++draw) {
-    const std::vector<bool> drawn = sampler.Draw(is_near, has_connection);
+    const std::vector<bool> drawn = sampler.Draw(is_same_domain, has_connection);
     CHECK_TRUE(drawn[4]);
     far_looks += drawn[15] ? 1 : 0;
   }
@@ -247,7 +247,7 @@
 // Symptom: an instance refuses requests that fit. Cause: peers that do little are taken, for ever,
 // for peers that do as much as itself.
 TEST(Crowd, PeersAreGuessedOnlyForAMomentAfterTheStart) {
-  LoadBook& loads = choosers[0]->loads;
+  LoadTracker& loads = choosers[0]->loads;
   loads.Add("s", 100);
   CHECK_TRUE(loads.UseOf("s").token_layers > 1'000);
   time.AdvanceBy(seconds(4));
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -1,8 +1,8 @@
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/member_loads.h"
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 
 #include <algorithm>
@@ -18,55 +18,57 @@
 
 constexpr int kDomains = 5;
 constexpr int kMembers = 40;
-constexpr Duration kWayOfNews = milliseconds(2);
+constexpr Duration kDeliveryTime = milliseconds(2);
 
-/** One instance of a fleet of which all talk over the test's own transport. */
-struct TestInstance final : NewsTransport, NewsSink {
+/** One instance of a fleet that is connected by the test's transport. */
+struct TestInstance final : ReportTransport, ReportSink {
   using Callback = std::function<void(Result<MirrorDelta>)>;
-  using Deliver = std::function<void(const NetworkAddress&, const NewsReport&, Callback)>;
+  using Deliver = std::function<void(const NetworkAddress&, const InstanceReport&, Callback)>;
 
   TestInstance(VirtualTime& time, const Instance& self)
       : store(time),
         mirror(store, time, time, logger, {}),
         instances(time, self),
-        news(*this, time, time, instances, mirror, *this, {}, {}) {}
+        exchange(*this, time, time, instances, mirror, *this, {}, {}) {}
 
-  void Exchange(const NetworkAddress& peer, const NewsReport& report, Callback callback) override {
+  void Exchange(const NetworkAddress& peer,
+                const InstanceReport& report,
+                Callback callback) override {
     if (!is_alive) {
       return;
     }
     ++sent;
     deliver(peer, report, std::move(callback));
   }
-  void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses reported) override {
+  void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
     uses[domain] = std::move(reported);
   }
-  void OnPeerStalls(const std::vector<StallNews>& heard) override {
-    for (const StallNews& stall : heard) {
+  void OnPeerStalls(const std::vector<StallReport>& from_peer) override {
+    for (const StallReport& stall : from_peer) {
       stalls.push_back(stall.server);
     }
   }
-  void OnPeerServerNews(const ServerNews&) override {}
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override {
+  void OnPeerServerState(const ServerStateReport&) override {}
+  void OnPeerServerLimits(const std::vector<ServerLimitNews>& from_peer) override {
     const bool is_new = limits.empty();
-    limits = heard;
+    limits = from_peer;
     if (is_new) {
-      news.TellServerLimits(heard, false);
+      exchange.SendServerLimits(from_peer, false);
     }
   }
-  void OnPeerPaces(const std::vector<PaceNews>&) override {}
+  void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
   std::vector<ServerLimitNews> limits;
 
   HeldStore store;
   SilentLogger logger;
   StoreMirror mirror;
   InstanceDirectory instances;
-  NewsExchange news;
+  ReportExchange exchange;
   Deliver deliver;
-  std::map<FailureDomainName, LoadBook::Uses> uses;
+  std::map<FailureDomainName, LoadTracker::Uses> uses;
   std::vector<std::string> stalls;
-  /** What it believes that the instances of a domain have in flight at the server "s". */
-  std::uint32_t Requests(const FailureDomainName& domain) const {
+  /** The last known number of requests of a domain's instances at the server "s". */
+  std::uint32_t RequestsInFlight(const FailureDomainName& domain) const {
     const auto reported = uses.find(domain);
     if (reported == uses.end() || !reported->second.contains("s")) {
       return 0;
@@ -75,11 +77,11 @@
   }
 
   int sent = 0;
-  int taken_in = 0;
+  int received = 0;
   bool is_alive = true;
 };
 
-Instance Describe(int domain, int member) {
+Instance MakeInstance(int domain, int member) {
   Instance instance;
   instance.name = "d" + std::to_string(domain) + "-" + std::to_string(member);
   instance.peer_address = {"10.0.0.1", static_cast<std::uint16_t>(domain * 100 + member + 1)};
@@ -100,9 +102,9 @@
   void setup() override {
     for (int domain = 0; domain < kDomains; ++domain) {
       for (int member = 0; member < kMembers; ++member) {
-        const Instance self = Describe(domain, member);
+        const Instance self = MakeInstance(domain, member);
         auto instance = std::make_unique<TestInstance>(time, self);
-        instance->deliver = [this](const NetworkAddress& to, const NewsReport& report,
+        instance->deliver = [this](const NetworkAddress& to, const InstanceReport& report,
                                    const TestInstance::Callback& callback) {
           Deliver(to, report, callback);
         };
@@ -114,36 +116,36 @@
         instance->instances.OnRecord(other->instances.Self());
       }
       instance->mirror.Merge({true, 5, {{"k", 5, "v"}}});
-      instance->news.Start();
+      instance->exchange.Start();
     }
     time.AdvanceBy(milliseconds(10));
-    Keep(seconds(2));
+    Advance(seconds(2));
   }
 
-  void Deliver(const NetworkAddress& to, const NewsReport& report,
+  void Deliver(const NetworkAddress& to, const InstanceReport& report,
                const TestInstance::Callback& callback) {
-    calls.push_back(time.ScheduleAfter(kWayOfNews, [this, to, report, callback] {
+    calls.push_back(time.ScheduleAfter(kDeliveryTime, [this, to, report, callback] {
       TestInstance& peer = *fleet.at(to);
       if (!peer.is_alive) {
         callback(MakeError(ErrorKind::kPeerUnavailable, "dead"));
         return;
       }
-      ++peer.taken_in;
-      const MirrorDelta answer = peer.news.OnNews(report);
-      calls.push_back(time.ScheduleAfter(kWayOfNews, [callback, answer] { callback(answer); }));
+      ++peer.received;
+      const MirrorDelta answer = peer.exchange.OnReport(report);
+      calls.push_back(time.ScheduleAfter(kDeliveryTime, [callback, answer] { callback(answer); }));
     }));
   }
 
-  /** Lets time pass; the store answers whoever reads it. */
-  void Keep(Duration duration) {
+  /** Advances the time; the store responds to all watches. */
+  void Advance(Duration duration) {
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
-        const bool reads = instance->is_alive && instance->news.ShouldRead();
-        instance->mirror.SetReading(
-            !reads ? StoreReading::kNone
-                   : (instance->news.IsNamedReader() ? StoreReading::kReader
-                                                     : StoreReading::kSubstitute),
-            instance->instances.Live().size());
+        const bool is_watching = instance->is_alive && instance->exchange.ShouldWatchStore();
+        instance->mirror.SetWatchRole(!is_watching ? StoreWatchRole::kNone
+                                                   : (instance->exchange.IsAssignedStoreWatcher()
+                                                          ? StoreWatchRole::kStoreWatcher
+                                                          : StoreWatchRole::kSubstitute),
+                                      instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
           instance->store.AnswerWatch();
         }
@@ -153,7 +155,7 @@
   }
 
   TestInstance& At(int domain, int member) {
-    return *fleet.at(Describe(domain, member).peer_address);
+    return *fleet.at(MakeInstance(domain, member).peer_address);
   }
 
   template <typename Predicate>
@@ -163,109 +165,102 @@
   }
 };
 
-// Symptom: calls to the store are the largest price of a fleet of two hundred. Sequence: ten
-// instances read for their domains and the others watch every twenty seconds. Cause: duties by
-// domain and by name, without regard to the size of the fleet.
-TEST(Relays, ThreeInstancesOfMostReadForTheWholeFleet) {
-  CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.news.ShouldRead(); }));
+// Guards against a number of store watchers that grows with the number of domains or instances.
+TEST(Relays, ThreeOfTheLargestInstancesWatchTheStore) {
+  CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.exchange.ShouldWatchStore(); }));
   CHECK_EQUAL(3, CountIf([](TestInstance& one) {
-                return one.news.ShouldRead() && one.instances.Self().link_mbps == 200;
+                return one.exchange.ShouldWatchStore() && one.instances.Self().link_mbps == 200;
               }));
 }
 
-// Symptom: a small instance spends a tenth of its processor on news. Sequence: it sends and takes
-// in 180 reports a second. Cause: everybody tells everybody in turn. A member now sends and takes
-// in 10 a second together, a relay 250.
-TEST(Relays, AMemberSendsAndTakesInFewReports) {
+// Guards against every instance reporting to every other.
+TEST(Relays, AMemberSendsAndReceivesFewReports) {
   for (auto& [address, instance] : fleet) {
     instance->sent = 0;
-    instance->taken_in = 0;
+    instance->received = 0;
   }
-  Keep(seconds(4));
-  CHECK_TRUE(At(0, 0).sent + At(0, 0).taken_in <= 4 * 12);
-  CHECK_TRUE(At(0, 37).sent + At(0, 37).taken_in <= 4 * 300);
+  Advance(seconds(4));
+  CHECK_TRUE(At(0, 0).sent + At(0, 0).received <= 4 * 12);
+  CHECK_TRUE(At(0, 37).sent + At(0, 37).received <= 4 * 300);
 }
 
-// Symptom: all instances of a domain choose the same server. Sequence: each knows its own requests
-// only. Cause: a relay that passes on what members say in place of their sum, or counts a member's
-// own requests as others'.
-TEST(Relays, EachMemberHearsWhatAllOthersOfItsDomainHaveInFlight) {
+// Guards against relays that forward single reports in place of the sum, or include a member's own
+// requests in its sum.
+TEST(Relays, EachMemberReceivesTheSumOverTheOthersOfItsDomain) {
   for (int member = 0; member < kMembers; ++member) {
-    At(2, member).news.SetUses({{"s", {1, 10.0, 1}}});
+    At(2, member).exchange.SetUses({{"s", {1, 10.0, 1}}});
   }
-  Keep(milliseconds(1'300));
-  CHECK_EQUAL(39U, At(2, 0).Requests("d2"));
-  CHECK_EQUAL(39U, At(2, 37).Requests("d2"));
-  Keep(seconds(1));
-  CHECK_EQUAL(40U, At(4, 11).Requests("d2"));
+  Advance(milliseconds(1'300));
+  CHECK_EQUAL(39U, At(2, 0).RequestsInFlight("d2"));
+  CHECK_EQUAL(39U, At(2, 37).RequestsInFlight("d2"));
+  Advance(seconds(1));
+  CHECK_EQUAL(40U, At(4, 11).RequestsInFlight("d2"));
 }
 
-// Symptom: streams of other domains wait for their own silence to notice a lost server. Sequence: a
-// member finds it. Cause: relays that keep the news to themselves.
+// Guards against relays that do not forward a stall, so that other domains detect a lost server
+// only by their own timeouts.
 TEST(Relays, AStallReachesEveryInstanceWithinSomeMilliseconds) {
-  At(1, 3).news.TellStall("lost");
+  At(1, 3).exchange.SendStall("lost");
   time.AdvanceBy(milliseconds(8));
   CHECK_EQUAL(199, CountIf([](TestInstance& one) { return one.stalls.size() == 1; }));
 }
 
-// Symptom: a configuration is late on instances that do not read the store. Sequence: a reader
-// learns of it. Cause: the news waited for the next report of each relay.
-// Guards against a server in need that goes on getting requests from instances that have not heard.
+// Guards against an overloaded server that keeps receiving requests from instances that do not know
+// its limit yet.
 TEST(Relays, AServersLimitReachesEveryInstanceWithinSomeMilliseconds) {
-  At(1, 3).news.TellServerLimits({{"s", 12.0, milliseconds(0)}}, true);
+  At(1, 3).exchange.SendServerLimits({{"s", 12.0, milliseconds(0)}}, true);
   time.AdvanceBy(milliseconds(20));
-  // Its relays tell it back to the one that heard it.
+  // The relays report it back to the sender too.
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.limits.size() == 1; }));
 }
 
-TEST(Relays, AChangeThatAReaderHearsReachesEveryInstanceAtOnce) {
+// Guards against a change that waits for the next regular report of each relay.
+TEST(Relays, AChangeSeenByAStoreWatcherReachesEveryInstanceAtOnce) {
   for (auto& [address, instance] : fleet) {
-    if (instance->news.ShouldRead()) {
+    if (instance->exchange.ShouldWatchStore()) {
       instance->mirror.Merge({false, 9, {{"k", 9, "new"}}});
-      instance->news.TellAdvance();
+      instance->exchange.SendRevision();
       break;
     }
   }
   for (int step = 0; step < 40; ++step) {
     time.AdvanceBy(milliseconds(1));
     for (auto& [address, instance] : fleet) {
-      instance->news.TellAdvance();
+      instance->exchange.SendRevision();
     }
   }
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.mirror.Revision() == 9; }));
 }
 
-// Symptom: a domain hears no news for fifteen seconds. Sequence: both of its relays lose power;
-// their records lapse only then. Cause: relays chosen by records alone.
+// Guards against a domain without reports until the records of its failed relays lapse.
 TEST(Relays, RelaysThatFallSilentAreReplacedWithinTwoSeconds) {
   At(3, 37).is_alive = false;
   At(3, 38).is_alive = false;
-  At(3, 0).news.SetUses({{"s", {5, 10.0, 5}}});
-  Keep(seconds(4));
-  CHECK_EQUAL(5U, At(3, 1).Requests("d3"));
-  CHECK_FALSE(At(3, 1).news.ShouldRead());
+  At(3, 0).exchange.SetUses({{"s", {5, 10.0, 5}}});
+  Advance(seconds(4));
+  CHECK_EQUAL(5U, At(3, 1).RequestsInFlight("d3"));
+  CHECK_FALSE(At(3, 1).exchange.ShouldWatchStore());
 }
 
-// Symptom: a fleet goes on with old servers. Sequence: all three readers are lost at once. Cause:
-// nobody takes their place.
-TEST(Relays, WhenAllReadersAreLostOthersRead) {
+// Guards against a fleet without a store watcher after all three were lost at once.
+TEST(Relays, WhenAllStoreWatchersAreLostOthersTakeOver) {
   for (auto& [address, instance] : fleet) {
-    instance->is_alive = !instance->news.ShouldRead();
+    instance->is_alive = !instance->exchange.ShouldWatchStore();
   }
-  Keep(seconds(4));
-  const auto readers =
-      CountIf([](TestInstance& one) { return one.is_alive && one.news.ShouldRead(); });
-  CHECK_TRUE(readers >= 3);
-  CHECK_TRUE(readers <= 5);
+  Advance(seconds(4));
+  const auto watchers =
+      CountIf([](TestInstance& one) { return one.is_alive && one.exchange.ShouldWatchStore(); });
+  CHECK_TRUE(watchers >= 3);
+  CHECK_TRUE(watchers <= 5);
 }
 
 TEST(Relays, ASumWithoutAMemberLeavesTheOthersRequests) {
   MemberLoads loads(time);
   loads.Set("a", {{"s", {2, 20.0, 1}}, {"only", {1, 5.0, 1}}});
   loads.Set("b", {{"s", {3, 30.0, 0}}});
-  const LoadBook::Uses sum = loads.Sum({{"s", {1, 10.0, 1}}});
+  const LoadTracker::Uses sum = loads.Sum({{"s", {1, 10.0, 1}}});
   CHECK_EQUAL(6U, sum.at("s").requests);
-  const LoadBook::Uses others = loads.Without("a", sum);
+  const LoadTracker::Uses others = loads.SumWithout("a", sum);
   CHECK_EQUAL(4U, others.at("s").requests);
   DOUBLES_EQUAL(40.0, others.at("s").token_layers, 1e-9);
   CHECK_FALSE(others.contains("only"));
