--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -71,7 +71,7 @@
   ServerHealth health(time);
   const HolderDivision division;
   const ServerLimits limits(time, division, "self");
-  PipeMeter pipe(time);
+  InterDomainLinkMeter pipe(time);
   RandomSource random(1);
   const NoConnections connections;
   const PathFinder paths(loads, health, limits, pipe, connections, random);
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -18,7 +18,7 @@
 class MessageCodec;
 class Metrics;
 class PathFinder;
-class PipeMeter;
+class InterDomainLinkMeter;
 class PlainServerChooser;
 class RecoveryChooser;
 class RoomQueue;
@@ -43,7 +43,7 @@
   RecoveryChooser& recovery;
   RoomQueue& room;
   const DepartureSchedule& departures;
-  PipeMeter& pipe;
+  InterDomainLinkMeter& pipe;
   const PlainServerChooser& plain_servers;
   SharedRetryBudget& retries;
   ServerConnectionPool& connections;
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -12,9 +12,9 @@
 #include "zinnia_base/errors/result.h"
 #include "zinnia_decisions/forwarding/admission/room_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
 #include "zinnia_decisions/forwarding/beliefs/news_report.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
@@ -88,7 +88,7 @@
   ServerHealth m_health;
   HolderDivision m_limit_division;
   ServerLimits m_limits;
-  PipeMeter m_pipe;
+  InterDomainLinkMeter m_pipe;
   ServerConnectionPool m_connections;
   PathFinder m_paths;
   RecoveryChooser m_recovery;
--- a/packages/zinnia_decisions/forwarding/beliefs/pipe_meter.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 
 #include <cmath>
 
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-double PipeMeter::Decayed() const {
+double InterDomainLinkMeter::Decayed() const {
   const std::chrono::duration<double, std::milli> age = m_clock.Now() - m_changed_at;
   return m_recent_ms * std::exp(-age / kMemory);
 }
 
-void PipeMeter::Add(double transfer_ms) {
+void InterDomainLinkMeter::Add(double transfer_ms) {
   m_recent_ms = Decayed() + transfer_ms;
   m_changed_at = m_clock.Now();
 }
 
-double PipeMeter::OwnUse() const {
+double InterDomainLinkMeter::OwnUse() const {
   return Decayed() / kMemory.count();
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/pipe_meter.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h
@@ -10,9 +10,9 @@
     ever more requests across until the pipe is full; then every request waits seconds for its first
     token, and one notices callers leaving while engines idle.
 */
-class PipeMeter {
+class InterDomainLinkMeter {
  public:
-  explicit PipeMeter(const Clock& clock) : m_clock(clock) {}
+  explicit InterDomainLinkMeter(const Clock& clock) : m_clock(clock) {}
 
   /** A request was sent whose prompt takes the pipe for so long in total. */
   void Add(double transfer_ms);
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -14,7 +14,7 @@
 
 class KeptConnections;
 class LoadBook;
-class PipeMeter;
+class InterDomainLinkMeter;
 class ServerHealth;
 class ServerLimits;
 struct AcceleratorProfile;
@@ -64,7 +64,7 @@
   PathFinder(const LoadBook& loads,
              const ServerHealth& health,
              const ServerLimits& limits,
-             const PipeMeter& pipe,
+             const InterDomainLinkMeter& pipe,
              const KeptConnections& connections,
              RandomSource& random)
       : m_loads(loads),
@@ -125,7 +125,7 @@
   const LoadBook& m_loads;
   const ServerHealth& m_health;
   const ServerLimits& m_limits;
-  const PipeMeter& m_pipe;
+  const InterDomainLinkMeter& m_pipe;
   const KeptConnections& m_connections;
   RandomSource& m_random;
 };
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
@@ -50,7 +50,7 @@
     ServerHealth health;
     HolderDivision division;
     ServerLimits limits;
-    PipeMeter pipe;
+    InterDomainLinkMeter pipe;
     RandomSource random;
     NamedConnections connections;
     PathFinder finder{loads, health, limits, pipe, connections, random};
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/probe_round.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
@@ -21,7 +21,7 @@
   ServerHealth health{time};
   HolderDivision division;
   ServerLimits limits{time, division, "self"};
-  PipeMeter pipe{time};
+  InterDomainLinkMeter pipe{time};
   RandomSource random{1};
   NamedConnections connections;
   PathFinder finder{loads, health, limits, pipe, connections, random};
