--- a/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.cc
@@ -21,7 +21,7 @@
   m_changed_at = m_clock.Now();
 }
 
-double InterDomainLinkMeter::OwnUse() const {
+double InterDomainLinkMeter::OwnUtilization() const {
   return Decayed() / kMemory.count();
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h
@@ -18,7 +18,7 @@
   void Add(double transfer_ms);
 
   /** The share of time that transfers of this instance take, 0 and more. */
-  double OwnUse() const;
+  double OwnUtilization() const;
 
  private:
   double Decayed() const;
