--- a/packages/zinnia_decisions/forwarding/beliefs/reading_backlog.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/reading_backlog.h"
+#include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void ReadingBacklog::Add(const BackendServerName& server, double work_ms) {
+void PrefillBacklog::Add(const BackendServerName& server, double work_ms) {
   const TimePoint now = m_clock.Now();
   if (m_busy_until.size() >= kMostServers) {
     std::erase_if(m_busy_until, [now](const auto& entry) { return entry.second < now; });
@@ -21,7 +21,7 @@
   until = std::max(until, now) + std::chrono::duration_cast<Duration>(Milliseconds(work_ms));
 }
 
-double ReadingBacklog::WaitMs(const BackendServerName& server) const {
+double PrefillBacklog::WaitMs(const BackendServerName& server) const {
   const auto found = m_busy_until.find(server);
   if (found == m_busy_until.end()) {
     return 0.0;
--- a/packages/zinnia_decisions/forwarding/beliefs/reading_backlog.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.h
@@ -13,9 +13,9 @@
     its tokens again at its new servers. None of that shows in what is in flight there, so all would
     choose the same path and wait for each other.
 */
-class ReadingBacklog {
+class PrefillBacklog {
  public:
-  explicit ReadingBacklog(const Clock& clock) : m_clock(clock) {}
+  explicit PrefillBacklog(const Clock& clock) : m_clock(clock) {}
 
   void Add(const BackendServerName& server, double work_ms);
 
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -3,7 +3,7 @@
 #include <optional>
 #include <set>
 
-#include "zinnia_decisions/forwarding/beliefs/reading_backlog.h"
+#include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_world/forwarding/path_part.h"
 #include "zinnia_world/names/names.h"
@@ -70,7 +70,7 @@
   const PathFinder& m_paths;
   const LoadBook& m_loads;
   const ServerHealth& m_health;
-  ReadingBacklog m_backlog;
+  PrefillBacklog m_backlog;
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -1,7 +1,7 @@
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
-#include "zinnia_decisions/forwarding/beliefs/reading_backlog.h"
+#include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
@@ -60,7 +60,7 @@
 }
 
 TEST(Recovery, BacklogsAddUpAndPass) {
-  ReadingBacklog backlog(time);
+  PrefillBacklog backlog(time);
   backlog.Add("s", 40);
   backlog.Add("s", 20);
   DOUBLES_EQUAL(60, backlog.WaitMs("s"), 0.01);
