--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -18,7 +18,7 @@
 #include "zinnia_decisions/forwarding/event_splitter.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/retries/retry_policy.h"
-#include "zinnia_decisions/forwarding/streams/stream_rhythm.h"
+#include "zinnia_decisions/forwarding/streams/event_interval_tracker.h"
 #include "zinnia_world/forwarding/forward_route.h"
 
 namespace zinnia {
@@ -163,7 +163,7 @@
   EventSplitter m_events;
   bool m_is_streaming = false;    // The present answer is a stream.
   bool m_stream_started = false;  // The caller has the head of a stream.
-  StreamRhythm m_rhythm;
+  EventIntervalTracker m_rhythm;
 
   /** The configuration is not known yet. */
   bool m_awaits_rules = false;
--- a/packages/zinnia_decisions/forwarding/streams/stream_rhythm.cc
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/streams/stream_rhythm.h"
+#include "zinnia_decisions/forwarding/streams/event_interval_tracker.h"
 
 #include <algorithm>
 #include <chrono>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void StreamRhythm::OnEvent(TimePoint now) {
+void EventIntervalTracker::OnEvent(TimePoint now) {
   if (HasBegun()) {
     m_last_gap = now - m_last_event_at;
     m_longest_gap = std::max(m_longest_gap, m_last_gap);
@@ -30,11 +30,11 @@
   m_last_event_at = now;
 }
 
-bool StreamRhythm::IsUnusual(Duration least) const {
+bool EventIntervalTracker::IsUnusual(Duration least) const {
   return m_last_gap >= least && m_last_gap >= m_usual_gap_before * kUnusualGap;
 }
 
-Duration StreamRhythm::ExpectedLeft(double expected_events) const {
+Duration EventIntervalTracker::ExpectedLeft(double expected_events) const {
   const double left = std::max(expected_events - m_events, kEventsBeyondEstimate);
   return std::chrono::duration_cast<Duration>(m_usual_gap * left);
 }
--- a/packages/zinnia_decisions/forwarding/streams/stream_rhythm.h
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
@@ -5,7 +5,7 @@
 namespace zinnia {
 
 /** When the events of one stream came, and from that when the next ones and its end are due. */
-class StreamRhythm {
+class EventIntervalTracker {
  public:
   /** Events that arrive together are one. */
   void OnEvent(TimePoint now);
--- a/packages/zinnia_decisions/forwarding/streams/streams.h
+++ b/packages/zinnia_decisions/forwarding/streams/streams.h
@@ -3,5 +3,5 @@
 /** When a running stream stays, moves or starts again. */
 
 #include "zinnia_decisions/forwarding/streams/departure_schedule.h"
+#include "zinnia_decisions/forwarding/streams/event_interval_tracker.h"
 #include "zinnia_decisions/forwarding/streams/silence_policy.h"
-#include "zinnia_decisions/forwarding/streams/stream_rhythm.h"
--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -23,7 +23,7 @@
 };
 
 TEST(Streams, TheRhythmTellsWhenTheEndIsDue) {
-  StreamRhythm rhythm;
+  EventIntervalTracker rhythm;
   CHECK_FALSE(rhythm.HasBegun());
   for (int event = 0; event < 11; ++event) {
     rhythm.OnEvent(time.Now());
@@ -37,7 +37,7 @@
 }
 
 TEST(Streams, APauseIsUnusualOnlyBesideTheOthersOfItsStream) {
-  StreamRhythm slow;
+  EventIntervalTracker slow;
   for (int event = 0; event < 10; ++event) {
     slow.OnEvent(time.Now());
     time.AdvanceBy(milliseconds(160));
