--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -162,7 +162,7 @@
   if (m_ended || !m_connection || !m_rhythm.HasBegun() || m_rerouting || m_path.empty()) {
     return std::nullopt;
   }
-  return StreamProgress{&m_path, m_last_progress, m_rhythm.UsualGap()};
+  return StreamProgress{&m_path, m_last_progress, m_rhythm.MeanInterval()};
 }
 
 void ForwardExchange::OnServersStalled(const std::vector<BackendServerName>& servers) {
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
@@ -32,7 +32,7 @@
                                                 TimePoint now) {
   std::map<BackendServerName, Passage> passages;
   for (const StreamProgress& stream : streams) {
-    const std::chrono::duration<double, std::milli> gap = stream.usual_gap;
+    const std::chrono::duration<double, std::milli> gap = stream.mean_interval;
     for (const PathPart& part : *stream.path) {
       Passage& passage = passages[part.server];
       passage.part = &part;
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
@@ -11,7 +11,7 @@
 struct StreamProgress {
   const LayerPath* path = nullptr;
   TimePoint last_event_at{};
-  Duration usual_gap{};
+  Duration mean_interval{};
 };
 
 /** Finds servers through which nothing passes any more, by the events of all streams of this
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
@@ -7,36 +7,38 @@
 namespace {
 
 /** Longer than the usual pause by this factor: sound paths of many slow accelerators are even. */
-constexpr double kUnusualGap = 1.5;
+constexpr double kUnusualIntervalFactor = 1.5;
 
 /** The usual pause is a running mean over about so many. */
-constexpr int kGapsInMean = 4;
+constexpr int kIntervalsInMean = 4;
 
 /** A stream beyond its expected length goes on for so many events. */
-constexpr double kEventsBeyondEstimate = 8.0;
+constexpr double kMinRemainingEvents = 8.0;
 
 }  // namespace
 
 void EventIntervalTracker::OnEvent(TimePoint now) {
   if (HasBegun()) {
-    m_last_gap = now - m_last_event_at;
-    m_longest_gap = std::max(m_longest_gap, m_last_gap);
-    m_usual_gap_before = m_usual_gap;
-    m_usual_gap = m_usual_gap == Duration::zero()
-                      ? m_last_gap
-                      : (m_usual_gap * (kGapsInMean - 1) + m_last_gap) / kGapsInMean;
+    m_last_interval = now - m_last_event_at;
+    m_longest_interval = std::max(m_longest_interval, m_last_interval);
+    m_previous_mean_interval = m_mean_interval;
+    m_mean_interval =
+        m_mean_interval == Duration::zero()
+            ? m_last_interval
+            : (m_mean_interval * (kIntervalsInMean - 1) + m_last_interval) / kIntervalsInMean;
   }
   m_events += 1;
   m_last_event_at = now;
 }
 
 bool EventIntervalTracker::IsUnusual(Duration least) const {
-  return m_last_gap >= least && m_last_gap >= m_usual_gap_before * kUnusualGap;
+  return m_last_interval >= least &&
+         m_last_interval >= m_previous_mean_interval * kUnusualIntervalFactor;
 }
 
 Duration EventIntervalTracker::ExpectedLeft(double expected_events) const {
-  const double left = std::max(expected_events - m_events, kEventsBeyondEstimate);
-  return std::chrono::duration_cast<Duration>(m_usual_gap * left);
+  const double left = std::max(expected_events - m_events, kMinRemainingEvents);
+  return std::chrono::duration_cast<Duration>(m_mean_interval * left);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
@@ -16,11 +16,11 @@
   TimePoint LastEventAt() const { return m_last_event_at; }
 
   /** The pause before the newest event; zero for the first one. */
-  Duration LastGap() const { return m_last_gap; }
+  Duration LastInterval() const { return m_last_interval; }
 
   /** Mean of the last few pauses. */
-  Duration UsualGap() const { return m_usual_gap; }
-  Duration LongestGap() const { return m_longest_gap; }
+  Duration MeanInterval() const { return m_mean_interval; }
+  Duration LongestInterval() const { return m_longest_interval; }
 
   /** Whether the newest event came so late that the path may have changed: `least` at least, and
       much later than this stream's events used to. */
@@ -33,10 +33,10 @@
  private:
   double m_events = 0.0;
   TimePoint m_last_event_at{};
-  Duration m_last_gap{};
-  Duration m_usual_gap{};
-  Duration m_usual_gap_before{};
-  Duration m_longest_gap{};
+  Duration m_last_interval{};
+  Duration m_mean_interval{};
+  Duration m_previous_mean_interval{};
+  Duration m_longest_interval{};
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -29,8 +29,8 @@
     rhythm.OnEvent(time.Now());
     time.AdvanceBy(milliseconds(30));
   }
-  CHECK_TRUE(rhythm.UsualGap() == milliseconds(30));
-  CHECK_TRUE(rhythm.LongestGap() == milliseconds(30));
+  CHECK_TRUE(rhythm.MeanInterval() == milliseconds(30));
+  CHECK_TRUE(rhythm.LongestInterval() == milliseconds(30));
   CHECK_TRUE(rhythm.ExpectedLeft(31) == milliseconds(600));
   // Estimates are often short: it goes on for a while.
   CHECK_TRUE(rhythm.ExpectedLeft(5) > milliseconds(100));
