--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -206,8 +206,8 @@
     m_parts.health.OnFirstEvent(m_server, now - m_sent_at);
     m_parts.metrics.Observe(m_organisation, RequestClass::kChat, Measure::kFirstToken,
                             m_first_event_after);
-  } else if (m_rhythm.IsUnusual(std::chrono::duration_cast<Duration>(m_route->event_gap_objective *
-                                                                     kGapThatAsksForPaces))) {
+  } else if (m_rhythm.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
+                 m_route->event_gap_objective * kGapThatAsksForPaces))) {
     AskForPaces();
   }
   if (!std::exchange(m_path_proved, true)) {
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
@@ -31,8 +31,8 @@
   m_last_event_at = now;
 }
 
-bool EventIntervalTracker::IsUnusual(Duration least) const {
-  return m_last_interval >= least &&
+bool EventIntervalTracker::IsLastIntervalUnusual(Duration min_interval) const {
+  return m_last_interval >= min_interval &&
          m_last_interval >= m_previous_mean_interval * kUnusualIntervalFactor;
 }
 
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
@@ -22,9 +22,9 @@
   Duration MeanInterval() const { return m_mean_interval; }
   Duration LongestInterval() const { return m_longest_interval; }
 
-  /** Whether the newest event came so late that the path may have changed: `least` at least, and
-      much later than this stream's events used to. */
-  bool IsUnusual(Duration least) const;
+  /** Whether the newest event came so late that the path may have changed: `min_interval` at
+     min_interval, and much later than this stream's events used to. */
+  bool IsLastIntervalUnusual(Duration min_interval) const;
 
   /** Until `expected_events` have come in all. Estimates of an answer's length are often short, so
       a stream that is beyond its own is taken to go on for some events more. */
--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -43,11 +43,11 @@
     time.AdvanceBy(milliseconds(160));
   }
   slow.OnEvent(time.Now());
-  CHECK_FALSE(slow.IsUnusual(milliseconds(150)));
+  CHECK_FALSE(slow.IsLastIntervalUnusual(milliseconds(150)));
   time.AdvanceBy(milliseconds(400));
   slow.OnEvent(time.Now());
-  CHECK_TRUE(slow.IsUnusual(milliseconds(150)));
-  CHECK_FALSE(slow.IsUnusual(milliseconds(500)));
+  CHECK_TRUE(slow.IsLastIntervalUnusual(milliseconds(150)));
+  CHECK_FALSE(slow.IsLastIntervalUnusual(milliseconds(500)));
 }
 
 // Symptom: engines are asked again and again where events come every quarter of a second, and a
