--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -279,7 +279,7 @@
     tokens_per_event = std::max(1.0, service->second.engine->steps_per_pass);
   }
   const double events = ExpectedSize().answer_tokens / tokens_per_event;
-  m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedLeft(events));
+  m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedRemaining(events));
 }
 
 /** Best called after an event: moved right then, a stream has the whole allowed pause for it. */
--- a/packages/zinnia_decisions/forwarding/streams/departure_schedule.cc
+++ b/packages/zinnia_decisions/forwarding/streams/departure_schedule.cc
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-TimePoint DepartureSchedule::MoveAt(TimePoint known_at, Duration expected_left) const {
-  const bool ends_in_time = expected_left < m_notice * kLastMoveAt;
+TimePoint DepartureSchedule::MoveAt(TimePoint known_at, Duration expected_remaining) const {
+  const bool ends_in_time = expected_remaining < m_notice * kLastMoveAt;
   const double first = ends_in_time ? kStayUntil : 0.0;
   const double part = first + (kLastMoveAt - first) * RandomUnit(m_random);
   return known_at + std::chrono::duration_cast<Duration>(m_notice * part);
--- a/packages/zinnia_decisions/forwarding/streams/departure_schedule.h
+++ b/packages/zinnia_decisions/forwarding/streams/departure_schedule.h
@@ -23,9 +23,9 @@
 
   void SetNotice(Duration notice) { m_notice = notice; }
 
-  /** When a stream that has `expected_left` to go should move, if it has not ended by then.
+  /** When a stream that has `expected_remaining` to go should move, if it has not ended by then.
       `known_at`: when the departure became known. */
-  TimePoint MoveAt(TimePoint known_at, Duration expected_left) const;
+  TimePoint MoveAt(TimePoint known_at, Duration expected_remaining) const;
 
  private:
   RandomSource& m_random;
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
@@ -36,9 +36,9 @@
          m_last_interval >= m_previous_mean_interval * kUnusualIntervalFactor;
 }
 
-Duration EventIntervalTracker::ExpectedLeft(double expected_events) const {
-  const double left = std::max(expected_events - m_events, kMinRemainingEvents);
-  return std::chrono::duration_cast<Duration>(m_mean_interval * left);
+Duration EventIntervalTracker::ExpectedRemaining(double expected_events) const {
+  const double remaining = std::max(expected_events - m_events, kMinRemainingEvents);
+  return std::chrono::duration_cast<Duration>(m_mean_interval * remaining);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
@@ -28,7 +28,7 @@
 
   /** Until `expected_events` have come in all. Estimates of an answer's length are often short, so
       a stream that is beyond its own is taken to go on for some events more. */
-  Duration ExpectedLeft(double expected_events) const;
+  Duration ExpectedRemaining(double expected_events) const;
 
  private:
   double m_events = 0.0;
--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -16,9 +16,9 @@
   RandomSource random{1};
   DepartureSchedule schedule{random, milliseconds(3'000)};
 
-  milliseconds MoveAfter(Duration expected_left) {
-    return std::chrono::duration_cast<milliseconds>(schedule.MoveAt(time.Now(), expected_left) -
-                                                    time.Now());
+  milliseconds MoveAfter(Duration expected_remaining) {
+    return std::chrono::duration_cast<milliseconds>(
+        schedule.MoveAt(time.Now(), expected_remaining) - time.Now());
   }
 };
 
@@ -31,9 +31,9 @@
   }
   CHECK_TRUE(rhythm.MeanInterval() == milliseconds(30));
   CHECK_TRUE(rhythm.LongestInterval() == milliseconds(30));
-  CHECK_TRUE(rhythm.ExpectedLeft(31) == milliseconds(600));
+  CHECK_TRUE(rhythm.ExpectedRemaining(31) == milliseconds(600));
   // Estimates are often short: it goes on for a while.
-  CHECK_TRUE(rhythm.ExpectedLeft(5) > milliseconds(100));
+  CHECK_TRUE(rhythm.ExpectedRemaining(5) > milliseconds(100));
 }
 
 TEST(Streams, APauseIsUnusualOnlyBesideTheOthersOfItsStream) {
