--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -81,7 +81,7 @@
       if (!round->IsComplete()) {
         return;
       }
-      const std::vector<BackendServerName> dead = round->Dead();
+      const std::vector<BackendServerName> dead = round->DeadServers();
       if (!dead.empty()) {
         on_dead(dead);
       }
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
@@ -13,7 +13,7 @@
   }
 }
 
-std::vector<BackendServerName> ProbeRound::Dead() const {
+std::vector<BackendServerName> ProbeRound::DeadServers() const {
   assert(IsComplete() && "a verdict before all answers are in");
   const bool way_works = m_has_answer || m_others_flow;
   return way_works ? m_silent : std::vector<BackendServerName>();
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
@@ -26,7 +26,7 @@
   bool IsComplete() const { return m_waiting == 0; }
 
   /** Servers that are dead as far as this round can tell. Only once it is complete. */
-  std::vector<BackendServerName> Dead() const;
+  std::vector<BackendServerName> DeadServers() const;
 
  private:
   std::size_t m_waiting;
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -220,10 +220,10 @@
   rack.OnAnswer("c", false);
   rack.OnAnswer("d", true);
   CHECK_TRUE(rack.IsComplete());
-  CHECK_EQUAL(3U, rack.Dead().size());
+  CHECK_EQUAL(3U, rack.DeadServers().size());
   ProbeRound whole_path(1, true);
   whole_path.OnAnswer("a", false);
-  CHECK_EQUAL(1U, whole_path.Dead().size());
+  CHECK_EQUAL(1U, whole_path.DeadServers().size());
 }
 
 // Symptom: an instance that is cut off takes the servers of the whole fleet out of use. Sequence:
@@ -233,7 +233,7 @@
   ProbeRound round(2, false);
   round.OnAnswer("a", false);
   round.OnAnswer("b", false);
-  CHECK_TRUE(round.Dead().empty());
+  CHECK_TRUE(round.DeadServers().empty());
 }
 
 TEST(Silence, StreamsOfOtherPathsThatFlowAreSeen) {
