--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -77,7 +77,7 @@
   const auto round = std::make_shared<ProbeRound>(due.size(), others_flow);
   for (const PathPart& suspect : due) {
     m_calls.Probe(suspect, [round, server = suspect.server, on_dead](bool answers) {
-      round->OnAnswer(server, answers);
+      round->OnProbeResult(server, answers);
       if (!round->IsComplete()) {
         return;
       }
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-void ProbeRound::OnAnswer(const BackendServerName& server, bool answers) {
+void ProbeRound::OnProbeResult(const BackendServerName& server, bool answers) {
   assert(m_waiting > 0 && "more answers than questions");
   --m_waiting;
   m_has_answer = m_has_answer || answers;
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
@@ -21,7 +21,7 @@
       events. */
   ProbeRound(std::size_t asked, bool others_flow) : m_waiting(asked), m_others_flow(others_flow) {}
 
-  void OnAnswer(const BackendServerName& server, bool answers);
+  void OnProbeResult(const BackendServerName& server, bool answers);
 
   bool IsComplete() const { return m_waiting == 0; }
 
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -214,15 +214,15 @@
 // Cause: a round in which most are silent taken for the instance's own way being cut.
 TEST(Silence, OneAnswerOrOtherStreamsShowThatTheWayWorks) {
   ProbeRound rack(4, false);
-  rack.OnAnswer("a", false);
-  rack.OnAnswer("b", false);
+  rack.OnProbeResult("a", false);
+  rack.OnProbeResult("b", false);
   CHECK_FALSE(rack.IsComplete());
-  rack.OnAnswer("c", false);
-  rack.OnAnswer("d", true);
+  rack.OnProbeResult("c", false);
+  rack.OnProbeResult("d", true);
   CHECK_TRUE(rack.IsComplete());
   CHECK_EQUAL(3U, rack.DeadServers().size());
   ProbeRound whole_path(1, true);
-  whole_path.OnAnswer("a", false);
+  whole_path.OnProbeResult("a", false);
   CHECK_EQUAL(1U, whole_path.DeadServers().size());
 }
 
@@ -231,8 +231,8 @@
 // death.
 TEST(Silence, WithoutAnySignOfLifeNobodyIsNamed) {
   ProbeRound round(2, false);
-  round.OnAnswer("a", false);
-  round.OnAnswer("b", false);
+  round.OnProbeResult("a", false);
+  round.OnProbeResult("b", false);
   CHECK_TRUE(round.DeadServers().empty());
 }
 
