--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -115,7 +115,7 @@
   const TimePoint now = m_parts.clock.Now();
   const auto suspects = SilenceDetector::Suspects(streams, now);
   if (!suspects.empty()) {
-    m_parts.stalls.Check(suspects, SilenceDetector::OthersFlow(streams, suspects, now),
+    m_parts.stalls.Check(suspects, SilenceDetector::OtherStreamsActive(streams, suspects, now),
                          [this](const std::vector<BackendServerName>& dead) {
                            for (const BackendServerName& server : dead) {
                              m_parts.health.Suspect(server, kDeadExclusion);
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -66,7 +66,7 @@
 }
 
 void StallInquiry::Check(const std::vector<PathPart>& suspects,
-                         bool others_flow,
+                         bool other_streams_active,
                          const OnDead& on_dead) {
   std::vector<PathPart> due;
   for (const PathPart& suspect : suspects) {
@@ -74,7 +74,7 @@
       due.push_back(suspect);
     }
   }
-  const auto round = std::make_shared<ProbeRound>(due.size(), others_flow);
+  const auto round = std::make_shared<ProbeRound>(due.size(), other_streams_active);
   for (const PathPart& suspect : due) {
     m_calls.Probe(suspect, [round, server = suspect.server, on_dead](bool answers) {
       round->OnProbeResult(server, answers);
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.h
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.h
@@ -23,8 +23,10 @@
   using OnDead = std::function<void(const std::vector<BackendServerName>&)>;
 
   /** Probes servers that the events of streams make suspect, and names those that are dead, all of
-      a round together. `others_flow`: see ProbeRound. */
-  void Check(const std::vector<PathPart>& suspects, bool others_flow, const OnDead& on_dead);
+      a round together. `other_streams_active`: see ProbeRound. */
+  void Check(const std::vector<PathPart>& suspects,
+             bool other_streams_active,
+             const OnDead& on_dead);
 
   /** Asks a server that refused a request, or that another one refused it for: it may be full, out
       of reach, or about to leave. Of a server that takes requests by its own word it says nothing.
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
@@ -15,7 +15,7 @@
 
 std::vector<BackendServerName> ProbeRound::DeadServers() const {
   assert(IsComplete() && "a verdict before all answers are in");
-  const bool way_works = m_has_answer || m_others_flow;
+  const bool way_works = m_has_answer || m_other_streams_active;
   return way_works ? m_silent : std::vector<BackendServerName>();
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
@@ -17,9 +17,10 @@
 */
 class ProbeRound {
  public:
-  /** `others_flow`: streams of this instance that pass through none of the probed servers have
-      events. */
-  ProbeRound(std::size_t asked, bool others_flow) : m_waiting(asked), m_others_flow(others_flow) {}
+  /** `other_streams_active`: streams of this instance that pass through none of the probed servers
+     have events. */
+  ProbeRound(std::size_t asked, bool other_streams_active)
+      : m_waiting(asked), m_other_streams_active(other_streams_active) {}
 
   void OnProbeResult(const BackendServerName& server, bool answers);
 
@@ -30,7 +31,7 @@
 
  private:
   std::size_t m_waiting;
-  const bool m_others_flow;
+  const bool m_other_streams_active;
   bool m_has_answer = false;
   std::vector<BackendServerName> m_silent;
 };
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
@@ -56,9 +56,9 @@
   return suspects;
 }
 
-bool SilenceDetector::OthersFlow(const std::vector<StreamProgress>& streams,
-                                 const std::vector<PathPart>& suspects,
-                                 TimePoint now) {
+bool SilenceDetector::OtherStreamsActive(const std::vector<StreamProgress>& streams,
+                                         const std::vector<PathPart>& suspects,
+                                         TimePoint now) {
   const auto is_suspect = [&](const PathPart& part) {
     return std::any_of(suspects.begin(), suspects.end(),
                        [&](const PathPart& suspect) { return suspect.server == part.server; });
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
@@ -29,9 +29,9 @@
   static std::vector<PathPart> Suspects(const std::vector<StreamProgress>& streams, TimePoint now);
 
   /** Whether some stream that passes through no suspect had an event just now. */
-  static bool OthersFlow(const std::vector<StreamProgress>& streams,
-                         const std::vector<PathPart>& suspects,
-                         TimePoint now);
+  static bool OtherStreamsActive(const std::vector<StreamProgress>& streams,
+                                 const std::vector<PathPart>& suspects,
+                                 TimePoint now);
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -239,11 +239,12 @@
 TEST(Silence, StreamsOfOtherPathsThatFlowAreSeen) {
   const std::vector<StreamProgress> silent = {Stream(one, 80), Stream(one, 90)};
   const std::vector<PathPart> suspects = {one.front()};
-  CHECK_FALSE(SilenceDetector::OthersFlow(silent, suspects, now));
+  CHECK_FALSE(SilenceDetector::OtherStreamsActive(silent, suspects, now));
   const LayerPath elsewhere = {{"z", {}, {0, 80}}};
-  CHECK_TRUE(SilenceDetector::OthersFlow({Stream(one, 80), Stream(elsewhere, 10)}, suspects, now));
-  CHECK_FALSE(
-      SilenceDetector::OthersFlow({Stream(one, 80), Stream(elsewhere, 300)}, suspects, now));
+  CHECK_TRUE(
+      SilenceDetector::OtherStreamsActive({Stream(one, 80), Stream(elsewhere, 10)}, suspects, now));
+  CHECK_FALSE(SilenceDetector::OtherStreamsActive({Stream(one, 80), Stream(elsewhere, 300)},
+                                                  suspects, now));
 }
 
 TEST(Silence, AllServersOfASilentPathAreSuspectTogether) {
