--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
@@ -5,8 +5,8 @@
 namespace zinnia {
 
 void ProbeRound::OnProbeResult(const BackendServerName& server, bool answers) {
-  assert(m_waiting > 0 && "more answers than questions");
-  --m_waiting;
+  assert(m_pending > 0 && "more answers than questions");
+  --m_pending;
   m_has_answer = m_has_answer || answers;
   if (!answers) {
     m_silent.push_back(server);
@@ -15,8 +15,8 @@
 
 std::vector<BackendServerName> ProbeRound::DeadServers() const {
   assert(IsComplete() && "a verdict before all answers are in");
-  const bool way_works = m_has_answer || m_other_streams_active;
-  return way_works ? m_silent : std::vector<BackendServerName>();
+  const bool network_works = m_has_answer || m_other_streams_active;
+  return network_works ? m_silent : std::vector<BackendServerName>();
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
@@ -19,18 +19,18 @@
  public:
   /** `other_streams_active`: streams of this instance that pass through none of the probed servers
      have events. */
-  ProbeRound(std::size_t asked, bool other_streams_active)
-      : m_waiting(asked), m_other_streams_active(other_streams_active) {}
+  ProbeRound(std::size_t probed, bool other_streams_active)
+      : m_pending(probed), m_other_streams_active(other_streams_active) {}
 
   void OnProbeResult(const BackendServerName& server, bool answers);
 
-  bool IsComplete() const { return m_waiting == 0; }
+  bool IsComplete() const { return m_pending == 0; }
 
   /** Servers that are dead as far as this round can tell. Only once it is complete. */
   std::vector<BackendServerName> DeadServers() const;
 
  private:
-  std::size_t m_waiting;
+  std::size_t m_pending;
   const bool m_other_streams_active;
   bool m_has_answer = false;
   std::vector<BackendServerName> m_silent;
