--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -250,7 +250,7 @@
     return;
   }
   const auto view = m_parts.view();
-  if (view->ended_starts.contains(m_server)) {
+  if (view->ended_incarnations.contains(m_server)) {
     AbandonServer("the server has started again");
     return;
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/forwarding_view.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/forwarding_view.h
@@ -28,7 +28,7 @@
   std::map<BackendServerName, ServerEntry> servers;
 
   /** Starts of servers that have started again since: what ran there is lost. */
-  std::set<BackendServerName> ended_starts;
+  std::set<BackendServerName> ended_incarnations;
 
   /** This instance and the peers that it knows to live. At least 1. */
   std::size_t live_instances = 1;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -54,7 +54,7 @@
 }
 
 void ServerDirectory::End(const BackendServerName& start) {
-  if (m_ended.size() >= kMostEnded) {
+  if (m_ended.size() >= kMaxEndedIncarnations) {
     m_ended.erase(m_ended.begin());
   }
   m_ended.insert(start);
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -47,7 +47,7 @@
   static constexpr Duration kHeardLeavingBelieved = std::chrono::milliseconds(6'000);
 
   /** Ended starts are remembered for those who still run requests there; more is never asked. */
-  static constexpr std::size_t kMostEnded = 256;
+  static constexpr std::size_t kMaxEndedIncarnations = 256;
 
   using Servers = std::map<BackendServerName, ServerEntry>;
 
@@ -72,7 +72,7 @@
   const Servers& All() const { return m_servers; }
 
   /** Starts whose server is known to have started again since. */
-  const std::set<BackendServerName>& Ended() const { return m_ended; }
+  const std::set<BackendServerName>& EndedIncarnations() const { return m_ended; }
 
  private:
   const ServerEntry* Known(const std::string& registration) const;
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -194,7 +194,7 @@
       view->servers.emplace(name, server);
     }
   }
-  view->ended_starts = m_servers.Ended();
+  view->ended_incarnations = m_servers.EndedIncarnations();
   view->live_instances = m_instances.Live().size();
   view->instances = m_recent_instances.Update(m_instances.Live());
   view->revision = m_mirror.Revision();
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -289,11 +289,11 @@
   Put(Start(200));
   CHECK_EQUAL(1U, directory.All().size());
   CHECK_EQUAL(0U, directory.All().at("s@200").layers.Count());
-  CHECK_TRUE(directory.Ended().contains("s@100"));
+  CHECK_TRUE(directory.EndedIncarnations().contains("s@100"));
   CHECK_FALSE(Hear({"s@100", {0, 40}}));
   Put(Start(300));
   CHECK_EQUAL(1U, directory.All().size());
-  CHECK_TRUE(directory.Ended().contains("s@200"));
+  CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
 
 // Symptom: requests go to layers that a server lost when it crashed. Sequence: the last write of
@@ -318,7 +318,7 @@
   time.AdvanceBy(seconds(3));
   CHECK_EQUAL(1, changes);
   CHECK_TRUE(directory.All().contains("s@100"));
-  CHECK_TRUE(directory.Ended().contains("s@200"));
+  CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
 
 TEST(Servers, ARecordThatCannotBeReadNamesNoServer) {
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -120,7 +120,7 @@
   Write("s/good", "200 0");
   CHECK_EQUAL(2U, view->servers.size());
   CHECK_TRUE(view->servers.contains("good@200"));
-  CHECK_TRUE(view->ended_starts.contains("good@100"));
+  CHECK_TRUE(view->ended_incarnations.contains("good@100"));
   CHECK_EQUAL(1, Logged("server_started_again"));
 }
 
--- a/tests/forwarding_path/answers_test.cc
+++ b/tests/forwarding_path/answers_test.cc
@@ -179,7 +179,7 @@
   const auto later = std::make_shared<ForwardingView>(*f.view);
   const BackendServerName lost = f.a.received.empty() ? "b" : "a";
   later->servers.erase(lost);
-  later->ended_starts = {lost};
+  later->ended_incarnations = {lost};
   f.traffic->SetView(later);
   CHECK_TRUE(f.Until([&] { return caller.Has("data: e2"); }));
   CHECK_EQUAL(2U, f.Arrivals());
