--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -62,31 +62,31 @@
   m_servers.erase(BackendServerName(start));
 }
 
-bool ServerDirectory::NoteServerNews(const ServerNews& news, std::function<void()> changed) {
-  const auto server = m_servers.find(news.server);
+bool ServerDirectory::OnServerStateReport(const ServerNews& report, std::function<void()> changed) {
+  const auto server = m_servers.find(report.server);
   if (server == m_servers.end()) {
     return false;
   }
-  if (news.leaving) {
-    return NoteLeaving(server->second, std::move(changed));
+  if (report.leaving) {
+    return OnLeavingReport(server->second, std::move(changed));
   }
-  if (server->second.layers == news.layers) {
+  if (server->second.layers == report.layers) {
     return false;
   }
-  server->second.layers = news.layers;
+  server->second.layers = report.layers;
   m_logger.Log(LogLevel::kInfo, "server_layers_heard",
-               {{"server", news.server},
-                {"layers", fmt::format("{}-{}", news.layers.first, news.layers.end)}});
+               {{"server", report.server},
+                {"layers", fmt::format("{}-{}", report.layers.first, report.layers.end)}});
   return true;
 }
 
-bool ServerDirectory::NoteLeaving(ServerEntry& server, std::function<void()> changed) {
+bool ServerDirectory::OnLeavingReport(ServerEntry& server, std::function<void()> changed) {
   const bool is_announced = server.draining && !m_heard_leaving.contains(server.name);
   if (is_announced) {
     return false;
   }
-  const bool is_news = !server.draining;
-  if (is_news) {
+  const bool is_change = !server.draining;
+  if (is_change) {
     server.draining = true;
     m_logger.Log(LogLevel::kInfo, "server_leaving_heard", {{"server", server.name}});
   }
@@ -100,7 +100,7 @@
           changed();
         }
       });
-  return is_news;
+  return is_change;
 }
 
 void ServerDirectory::Remove(const std::string& registration,
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -29,7 +29,7 @@
     all that ran there: waiting for its silence would cost each of its streams most of a second.
 
     A server that is to end while the store is away cannot say so there. It refuses new work all the
-    same, and who asks it hears that it leaves; see NoteServerNews.
+    same, and who asks it hears that it leaves; see OnServerStateReport.
 
     A write of an earlier start may reach the store after the first one of a later start, as may a
     later start's whose clock is behind. Both look alike. So an entry that began before the known
@@ -60,7 +60,7 @@
   /** Whether this changes what is known. The next entry that is put counts again. That a server
       leaves is believed for `kHeardLeavingBelieved` after it was last heard; `changed` is called
       when that is over. */
-  bool NoteServerNews(const ServerNews& news, std::function<void()> changed);
+  bool OnServerStateReport(const ServerNews& report, std::function<void()> changed);
 
   /** `in_doubt`: the store failed lately. `changed` is called if the removal is carried out later.
    */
@@ -79,7 +79,7 @@
   void TakeIn(ServerEntry entry);
   void End(const BackendServerName& start);
   void Drop(const std::string& registration, const char* reason);
-  bool NoteLeaving(ServerEntry& server, std::function<void()> changed);
+  bool OnLeavingReport(ServerEntry& server, std::function<void()> changed);
   void Postpone(const std::string& registration, Duration delay, std::function<void()> act);
 
   Scheduler& m_scheduler;
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -101,7 +101,7 @@
   // While the store answers its word on layers is newer than one that was some time on its way.
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
   const bool is_believed = news.leaving || !StoreIsSteady();
-  if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
+  if (is_believed && m_servers.OnServerStateReport(news, [this] { PublishView(); })) {
     m_news.TellServerNews(news);
     PublishView();
   }
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -196,7 +196,7 @@
     return entry;
   }
   bool Hear(const ServerNews& news) {
-    return directory.NoteServerNews(news, [this] { ++changes; });
+    return directory.OnServerStateReport(news, [this] { ++changes; });
   }
   void Remove(bool in_doubt) {
     directory.Remove("s", in_doubt, [this] { ++changes; });
