--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
@@ -175,7 +175,7 @@
 }
 
 std::optional<milliseconds> NewsExchange::SteadyAge() const {
-  if (m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure)) {
+  if (m_mirror.IsSteadyFor(ServerDirectory::kRemovalGracePeriod)) {
     return milliseconds(0);
   }
   return AgeOf(m_steady_seen_at, m_clock.Now());
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -114,7 +114,7 @@
     Drop(registration, "removed");
     return;
   }
-  Postpone(registration, kDoubtAfterFailure, [this, registration, changed = std::move(changed)] {
+  Postpone(registration, kRemovalGracePeriod, [this, registration, changed = std::move(changed)] {
     Drop(registration, "lapsed in an outage and did not return");
     changed();
   });
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -23,7 +23,7 @@
     Entries carry a lease of their server, and leases may lapse while the store is away although the
     server lives. Dropping them at once would empty the directory when the store comes back, and one
     would notice refusals of everything for seconds. So a removal that is seen within
-    `kDoubtAfterFailure` of a failed call waits that long for the entry to come back.
+    `kRemovalGracePeriod` of a failed call waits that long for the entry to come back.
 
     A server may start again under its registration. The earlier start is over at once, and with it
     all that ran there: waiting for its silence would cost each of its streams most of a second.
@@ -38,7 +38,7 @@
 class ServerDirectory {
  public:
   /** A little over the two seconds within which lapsed entries return. */
-  static constexpr Duration kDoubtAfterFailure = std::chrono::milliseconds(2'300);
+  static constexpr Duration kRemovalGracePeriod = std::chrono::milliseconds(2'300);
 
   /** Two of the servers' usual intervals between writes, 1.2 s. */
   static constexpr Duration kEarlierStartBelieved = std::chrono::milliseconds(2'500);
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -94,7 +94,7 @@
 }
 
 bool ForwardingControl::StoreIsSteady() const {
-  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_news.SomePeerIsSteady();
+  return m_mirror.IsSteadyFor(ServerDirectory::kRemovalGracePeriod) || m_news.SomePeerIsSteady();
 }
 
 void ForwardingControl::NoteServerNews(const ServerNews& news) {
