--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -23,7 +23,7 @@
   }
   m_logger.Log(LogLevel::kInfo, "server_entry_of_earlier_start",
                {{"server", known->name}, {"entry", entry.name}});
-  Postpone(registration, kEarlierStartBelieved,
+  Postpone(registration, kEarlierIncarnationDelay,
            [this, entry = std::move(entry), changed = std::move(changed)] {
              TakeIn(entry);
              changed();
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -33,7 +33,7 @@
 
     A write of an earlier start may reach the store after the first one of a later start, as may a
     later start's whose clock is behind. Both look alike. So an entry that began before the known
-    one waits for `kEarlierStartBelieved`: a server that lives has written again by then.
+    one waits for `kEarlierIncarnationDelay`: a server that lives has written again by then.
 */
 class ServerDirectory {
  public:
@@ -41,7 +41,7 @@
   static constexpr Duration kRemovalGracePeriod = std::chrono::milliseconds(2'300);
 
   /** Two of the servers' usual intervals between writes, 1.2 s. */
-  static constexpr Duration kEarlierStartBelieved = std::chrono::milliseconds(2'500);
+  static constexpr Duration kEarlierIncarnationDelay = std::chrono::milliseconds(2'500);
 
   /** As long as most outages of the store, in which servers cannot announce that they leave. */
   static constexpr Duration kHeardLeavingBelieved = std::chrono::milliseconds(6'000);
