--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -48,7 +48,7 @@
   }
   m_present[entry.registration] = entry.name;
   m_ended.erase(entry.name);
-  m_heard_leaving.erase(entry.name);
+  m_reported_leaving.erase(entry.name);
   const BackendServerName name = entry.name;
   m_servers[name] = std::move(entry);
 }
@@ -58,7 +58,7 @@
     m_ended.erase(m_ended.begin());
   }
   m_ended.insert(start);
-  m_heard_leaving.erase(start);
+  m_reported_leaving.erase(start);
   m_servers.erase(BackendServerName(start));
 }
 
@@ -81,7 +81,7 @@
 }
 
 bool ServerDirectory::OnLeavingReport(ServerEntry& server, std::function<void()> changed) {
-  const bool is_announced = server.draining && !m_heard_leaving.contains(server.name);
+  const bool is_announced = server.draining && !m_reported_leaving.contains(server.name);
   if (is_announced) {
     return false;
   }
@@ -90,10 +90,10 @@
     server.draining = true;
     m_logger.Log(LogLevel::kInfo, "server_leaving_heard", {{"server", server.name}});
   }
-  m_heard_leaving[server.name] = m_scheduler.ScheduleAfter(
-      kHeardLeavingBelieved, [this, name = server.name, changed = std::move(changed)] {
+  m_reported_leaving[server.name] = m_scheduler.ScheduleAfter(
+      kLeavingReportLifetime, [this, name = server.name, changed = std::move(changed)] {
         // Kept until it has run: erasing the timer destroys what the call holds.
-        const auto timer = m_heard_leaving.extract(name);
+        const auto timer = m_reported_leaving.extract(name);
         const auto found = m_servers.find(name);
         if (found != m_servers.end()) {
           found->second.draining = false;
@@ -141,7 +141,7 @@
 void ServerDirectory::Drop(const std::string& registration, const char* reason) {
   const BackendServerName name = m_present.at(registration);
   m_logger.Log(LogLevel::kInfo, "server_gone", {{"server", name}, {"reason", reason}});
-  m_heard_leaving.erase(name);
+  m_reported_leaving.erase(name);
   m_servers.erase(name);
   m_present.erase(registration);
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -44,7 +44,7 @@
   static constexpr Duration kEarlierIncarnationDelay = std::chrono::milliseconds(2'500);
 
   /** As long as most outages of the store, in which servers cannot announce that they leave. */
-  static constexpr Duration kHeardLeavingBelieved = std::chrono::milliseconds(6'000);
+  static constexpr Duration kLeavingReportLifetime = std::chrono::milliseconds(6'000);
 
   /** Ended starts are remembered for those who still run requests there; more is never asked. */
   static constexpr std::size_t kMaxEndedIncarnations = 256;
@@ -58,7 +58,7 @@
   void Put(ServerEntry entry, std::function<void()> changed);
 
   /** Whether this changes what is known. The next entry that is put counts again. That a server
-      leaves is believed for `kHeardLeavingBelieved` after it was last heard; `changed` is called
+      leaves is believed for `kLeavingReportLifetime` after it was last heard; `changed` is called
       when that is over. */
   bool OnServerStateReport(const ServerNews& report, std::function<void()> changed);
 
@@ -91,7 +91,7 @@
   std::set<BackendServerName> m_ended;
 
   /** Servers that leave by hearsay alone, and the end of that belief. */
-  std::map<BackendServerName, std::unique_ptr<ScheduledCall>> m_heard_leaving;
+  std::map<BackendServerName, std::unique_ptr<ScheduledCall>> m_reported_leaving;
 
   /** By registration, what is to happen unless another entry comes first. */
   std::map<std::string, std::unique_ptr<ScheduledCall>> m_postponed;
