--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -8,7 +8,7 @@
 
 namespace zinnia {
 
-const ServerEntry* ServerDirectory::Known(const std::string& registration) const {
+const ServerEntry* ServerDirectory::FindEntry(const std::string& registration) const {
   const auto present = m_present.find(registration);
   return present == m_present.end() ? nullptr : &m_servers.at(present->second);
 }
@@ -16,26 +16,26 @@
 void ServerDirectory::Put(ServerEntry entry, std::function<void()> changed) {
   const std::string registration = entry.registration;
   m_postponed.erase(registration);
-  const ServerEntry* known = Known(registration);
+  const ServerEntry* known = FindEntry(registration);
   if (known == nullptr || entry.started_at_ms >= known->started_at_ms) {
-    TakeIn(std::move(entry));
+    ApplyEntry(std::move(entry));
     return;
   }
   m_logger.Log(LogLevel::kInfo, "server_entry_of_earlier_start",
                {{"server", known->name}, {"entry", entry.name}});
   Postpone(registration, kEarlierIncarnationDelay,
            [this, entry = std::move(entry), changed = std::move(changed)] {
-             TakeIn(entry);
+             ApplyEntry(entry);
              changed();
            });
 }
 
-void ServerDirectory::TakeIn(ServerEntry entry) {
-  const ServerEntry* known = Known(entry.registration);
+void ServerDirectory::ApplyEntry(ServerEntry entry) {
+  const ServerEntry* known = FindEntry(entry.registration);
   if (known != nullptr && known->name != entry.name) {
     m_logger.Log(LogLevel::kInfo, "server_started_again",
                  {{"server", entry.name}, {"before", known->name}});
-    End(known->name);
+    EndIncarnation(known->name);
     known = nullptr;
   }
   if (known == nullptr || known->draining != entry.draining || known->layers != entry.layers) {
@@ -53,7 +53,7 @@
   m_servers[name] = std::move(entry);
 }
 
-void ServerDirectory::End(const BackendServerName& start) {
+void ServerDirectory::EndIncarnation(const BackendServerName& start) {
   if (m_ended.size() >= kMaxEndedIncarnations) {
     m_ended.erase(m_ended.begin());
   }
@@ -107,23 +107,23 @@
                              bool in_doubt,
                              std::function<void()> changed) {
   m_postponed.erase(registration);
-  if (Known(registration) == nullptr) {
+  if (FindEntry(registration) == nullptr) {
     return;
   }
   if (!in_doubt) {
-    Drop(registration, "removed");
+    RemoveEntry(registration, "removed");
     return;
   }
   Postpone(registration, kRemovalGracePeriod, [this, registration, changed = std::move(changed)] {
-    Drop(registration, "lapsed in an outage and did not return");
+    RemoveEntry(registration, "lapsed in an outage and did not return");
     changed();
   });
 }
 
 void ServerDirectory::Invalidate(const std::string& registration) {
   m_postponed.erase(registration);
-  if (Known(registration) != nullptr) {
-    Drop(registration, "its entry cannot be read");
+  if (FindEntry(registration) != nullptr) {
+    RemoveEntry(registration, "its entry cannot be read");
   }
 }
 
@@ -138,7 +138,7 @@
       });
 }
 
-void ServerDirectory::Drop(const std::string& registration, const char* reason) {
+void ServerDirectory::RemoveEntry(const std::string& registration, const char* reason) {
   const BackendServerName name = m_present.at(registration);
   m_logger.Log(LogLevel::kInfo, "server_gone", {{"server", name}, {"reason", reason}});
   m_reported_leaving.erase(name);
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -75,10 +75,10 @@
   const std::set<BackendServerName>& EndedIncarnations() const { return m_ended; }
 
  private:
-  const ServerEntry* Known(const std::string& registration) const;
-  void TakeIn(ServerEntry entry);
-  void End(const BackendServerName& start);
-  void Drop(const std::string& registration, const char* reason);
+  const ServerEntry* FindEntry(const std::string& registration) const;
+  void ApplyEntry(ServerEntry entry);
+  void EndIncarnation(const BackendServerName& start);
+  void RemoveEntry(const std::string& registration, const char* reason);
   bool OnLeavingReport(ServerEntry& server, std::function<void()> changed);
   void Postpone(const std::string& registration, Duration delay, std::function<void()> act);
 
