--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -13,7 +13,7 @@
   return present == m_present.end() ? nullptr : &m_servers.at(present->second);
 }
 
-void ServerDirectory::Put(ServerEntry entry, std::function<void()> changed) {
+void ServerDirectory::Put(ServerEntry entry, std::function<void()> on_changed) {
   const std::string registration = entry.registration;
   m_postponed.erase(registration);
   const ServerEntry* known = FindEntry(registration);
@@ -24,9 +24,9 @@
   m_logger.Log(LogLevel::kInfo, "server_entry_of_earlier_start",
                {{"server", known->name}, {"entry", entry.name}});
   Postpone(registration, kEarlierIncarnationDelay,
-           [this, entry = std::move(entry), changed = std::move(changed)] {
+           [this, entry = std::move(entry), on_changed = std::move(on_changed)] {
              ApplyEntry(entry);
-             changed();
+             on_changed();
            });
 }
 
@@ -62,13 +62,14 @@
   m_servers.erase(BackendServerName(start));
 }
 
-bool ServerDirectory::OnServerStateReport(const ServerNews& report, std::function<void()> changed) {
+bool ServerDirectory::OnServerStateReport(const ServerNews& report,
+                                          std::function<void()> on_changed) {
   const auto server = m_servers.find(report.server);
   if (server == m_servers.end()) {
     return false;
   }
   if (report.leaving) {
-    return OnLeavingReport(server->second, std::move(changed));
+    return OnLeavingReport(server->second, std::move(on_changed));
   }
   if (server->second.layers == report.layers) {
     return false;
@@ -80,7 +81,7 @@
   return true;
 }
 
-bool ServerDirectory::OnLeavingReport(ServerEntry& server, std::function<void()> changed) {
+bool ServerDirectory::OnLeavingReport(ServerEntry& server, std::function<void()> on_changed) {
   const bool is_announced = server.draining && !m_reported_leaving.contains(server.name);
   if (is_announced) {
     return false;
@@ -91,33 +92,34 @@
     m_logger.Log(LogLevel::kInfo, "server_leaving_heard", {{"server", server.name}});
   }
   m_reported_leaving[server.name] = m_scheduler.ScheduleAfter(
-      kLeavingReportLifetime, [this, name = server.name, changed = std::move(changed)] {
+      kLeavingReportLifetime, [this, name = server.name, on_changed = std::move(on_changed)] {
         // Kept until it has run: erasing the timer destroys what the call holds.
         const auto timer = m_reported_leaving.extract(name);
         const auto found = m_servers.find(name);
         if (found != m_servers.end()) {
           found->second.draining = false;
-          changed();
+          on_changed();
         }
       });
   return is_change;
 }
 
 void ServerDirectory::Remove(const std::string& registration,
-                             bool in_doubt,
-                             std::function<void()> changed) {
+                             bool store_failed_recently,
+                             std::function<void()> on_changed) {
   m_postponed.erase(registration);
   if (FindEntry(registration) == nullptr) {
     return;
   }
-  if (!in_doubt) {
+  if (!store_failed_recently) {
     RemoveEntry(registration, "removed");
     return;
   }
-  Postpone(registration, kRemovalGracePeriod, [this, registration, changed = std::move(changed)] {
-    RemoveEntry(registration, "lapsed in an outage and did not return");
-    changed();
-  });
+  Postpone(registration, kRemovalGracePeriod,
+           [this, registration, on_changed = std::move(on_changed)] {
+             RemoveEntry(registration, "lapsed in an outage and did not return");
+             on_changed();
+           });
 }
 
 void ServerDirectory::Invalidate(const std::string& registration) {
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -54,17 +54,20 @@
   ServerDirectory(Scheduler& scheduler, Logger& logger)
       : m_scheduler(scheduler), m_logger(logger) {}
 
-  /** `changed` is called if the entry is taken in later. */
-  void Put(ServerEntry entry, std::function<void()> changed);
+  /** `on_changed` is called if the entry is taken in later. */
+  void Put(ServerEntry entry, std::function<void()> on_changed);
 
   /** Whether this changes what is known. The next entry that is put counts again. That a server
-      leaves is believed for `kLeavingReportLifetime` after it was last heard; `changed` is called
-      when that is over. */
-  bool OnServerStateReport(const ServerNews& report, std::function<void()> changed);
+      leaves is believed for `kLeavingReportLifetime` after it was last heard; `on_changed` is
+     called when that is over. */
+  bool OnServerStateReport(const ServerNews& report, std::function<void()> on_changed);
 
-  /** `in_doubt`: the store failed lately. `changed` is called if the removal is carried out later.
+  /** `store_failed_recently`: the store failed lately. `on_changed` is called if the removal is
+   * carried out later.
    */
-  void Remove(const std::string& registration, bool in_doubt, std::function<void()> changed);
+  void Remove(const std::string& registration,
+              bool store_failed_recently,
+              std::function<void()> on_changed);
 
   /** The registration's record cannot be read: whatever wrote it, no server is known there now. */
   void Invalidate(const std::string& registration);
@@ -79,7 +82,7 @@
   void ApplyEntry(ServerEntry entry);
   void EndIncarnation(const BackendServerName& start);
   void RemoveEntry(const std::string& registration, const char* reason);
-  bool OnLeavingReport(ServerEntry& server, std::function<void()> changed);
+  bool OnLeavingReport(ServerEntry& server, std::function<void()> on_changed);
   void Postpone(const std::string& registration, Duration delay, std::function<void()> act);
 
   Scheduler& m_scheduler;
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -198,8 +198,8 @@
   bool Hear(const ServerNews& news) {
     return directory.OnServerStateReport(news, [this] { ++changes; });
   }
-  void Remove(bool in_doubt) {
-    directory.Remove("s", in_doubt, [this] { ++changes; });
+  void Remove(bool store_failed_recently) {
+    directory.Remove("s", store_failed_recently, [this] { ++changes; });
   }
 };
 
