--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -57,11 +57,11 @@
     if (!report) {
       return;  // Who waits for this server finds out that it is silent, and logs it.
     }
-    if (report->pace > parts.health.Pace(name)) {
+    if (report->pace > parts.health.SlowdownFactor(name)) {
       parts.logger.Log(LogLevel::kInfo, "server_slow",
                        {{"server", name}, {"pace", fmt::format("{:.1f}", report->pace)}});
     }
-    parts.health.NotePace({name, report->pace, {}});
+    parts.health.OnSlowdownReport({name, report->pace, {}});
   });
 }
 
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -81,7 +81,7 @@
 
 void ForwardingTraffic::OnPeerPaces(const std::vector<PaceNews>& slow_servers) {
   for (const PaceNews& news : slow_servers) {
-    m_health.NotePace(news);
+    m_health.OnSlowdownReport(news);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -24,13 +24,13 @@
 constexpr Duration kSuspectAskedAgainAfter = std::chrono::milliseconds(500);
 
 /** A server's word on its pace counts for this long; its own values lag by some hundred ms. */
-constexpr Duration kPaceLifetime = std::chrono::seconds(3);
+constexpr Duration kSlowdownLifetime = std::chrono::seconds(3);
 
 /** A server is not asked again before this. Slow servers stay so for seconds. */
 constexpr Duration kPaceAskedAgainAfter = std::chrono::milliseconds(500);
 
-/** From this pace on a server is worth telling of. */
-constexpr double kSlowPace = 1.3;
+/** From this slowdown on a server is worth telling of. */
+constexpr double kSlowServerThreshold = 1.3;
 
 /** Records of servers that have left are dropped beyond this number. */
 constexpr std::size_t kMostRecords = 4'096;
@@ -132,20 +132,20 @@
   return std::chrono::duration_cast<Duration>(delay);
 }
 
-void ServerHealth::NotePace(const PaceNews& news) {
-  Record& record = Touch(news.server);
-  const TimePoint known_at = m_clock.Now() - news.age;
-  if (!record.pace_known_at || known_at >= *record.pace_known_at) {
-    record.pace = std::max(1.0, news.pace);
-    record.pace_known_at = known_at;
+void ServerHealth::OnSlowdownReport(const PaceNews& report) {
+  Record& record = Touch(report.server);
+  const TimePoint known_at = m_clock.Now() - report.age;
+  if (!record.slowdown_known_at || known_at >= *record.slowdown_known_at) {
+    record.slowdown = std::max(1.0, report.pace);
+    record.slowdown_known_at = known_at;
   }
 }
 
-double ServerHealth::Pace(const BackendServerName& server) const {
+double ServerHealth::SlowdownFactor(const BackendServerName& server) const {
   const auto record = m_records.find(server);
-  const bool is_known = record != m_records.end() && record->second.pace_known_at &&
-                        m_clock.Now() - *record->second.pace_known_at < kPaceLifetime;
-  return is_known ? record->second.pace : 1.0;
+  const bool is_known = record != m_records.end() && record->second.slowdown_known_at &&
+                        m_clock.Now() - *record->second.slowdown_known_at < kSlowdownLifetime;
+  return is_known ? record->second.slowdown : 1.0;
 }
 
 bool ServerHealth::TakePaceQuestion(const BackendServerName& server) {
@@ -154,7 +154,7 @@
   const auto is_fresh = [now](const std::optional<TimePoint>& at) {
     return at && now - *at < kPaceAskedAgainAfter;
   };
-  if (is_fresh(record.pace_known_at) || is_fresh(record.pace_asked_at)) {
+  if (is_fresh(record.slowdown_known_at) || is_fresh(record.pace_asked_at)) {
     return false;
   }
   record.pace_asked_at = now;
@@ -164,10 +164,10 @@
 std::vector<PaceNews> ServerHealth::SlowServers() const {
   std::vector<PaceNews> slow;
   for (const auto& [server, record] : m_records) {
-    if (Pace(server) >= kSlowPace) {
-      slow.push_back({server, record.pace,
+    if (SlowdownFactor(server) >= kSlowServerThreshold) {
+      slow.push_back({server, record.slowdown,
                       std::chrono::duration_cast<std::chrono::milliseconds>(
-                          m_clock.Now() - *record.pace_known_at)});
+                          m_clock.Now() - *record.slowdown_known_at)});
     }
   }
   return slow;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -54,15 +54,16 @@
   /** The usual delay of first events lately; zero if none is known. */
   Duration FirstEventDelay(const BackendServerName& server) const;
 
-  /** What a server says of its pace, here or to a peer. The newest word counts, for three seconds.
+  /** What a server says of its slowdown, here or to a peer. The newest word counts, for three
+   * seconds.
    */
-  void NotePace(const PaceNews& news);
+  void OnSlowdownReport(const PaceNews& report);
 
   /** How many times longer than usual the server's work takes; 1 if nothing is known. */
-  double Pace(const BackendServerName& server) const;
+  double SlowdownFactor(const BackendServerName& server) const;
 
-  /** Whether the server should be asked for its pace now: each question is priced, and peers ask
-      too. Notes that it is. */
+  /** Whether the server should be asked for its slowdown now: each question is priced, and peers
+     ask too. Notes that it is. */
   bool TakePaceQuestion(const BackendServerName& server);
 
   /** The servers that are known to be slow, for peers and for asking again. */
@@ -84,8 +85,8 @@
     TimePoint changed_at{};
     double failure_share = 0.0;
     double first_event_ms = 0.0;
-    double pace = 1.0;
-    std::optional<TimePoint> pace_known_at;
+    double slowdown = 1.0;
+    std::optional<TimePoint> slowdown_known_at;
     std::optional<TimePoint> pace_asked_at;
   };
 
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -377,7 +377,7 @@
                                            const GenerationSize& size,
                                            const ServerEntry& server) const {
   const ServerUse use = m_loads.UseOf(server.name);
-  const double pace = m_health.Pace(server.name);
+  const double pace = m_health.SlowdownFactor(server.name);
   const double slowness =
       (1.0 + kFailurePenalty * m_health.FailureShare(server.name)) * ChanceFactor();
   Candidate candidate;
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -51,7 +51,7 @@
   }
   const double tokens = size.prompt_tokens + size.answer_tokens * kAnswerSoFar;
   return tokens * part.layers.Count() * ReadingMsPerTokenLayer(engine, accelerator->second) *
-         m_health.Pace(part.server);
+         m_health.SlowdownFactor(part.server);
 }
 
 void RecoveryChooser::Consider(const ForwardingView& view,
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -160,7 +160,7 @@
 }
 
 TEST(Paths, LeavesServersThatSayTheyAreSlow) {
-  health.NotePace({"x2", 8.0, {}});
+  health.OnSlowdownReport({"x2", 8.0, {}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   time.AdvanceBy(seconds(4));
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -273,15 +273,15 @@
 TEST(ServerChoice, ASlowServersWordCountsForAWhileAndIsAskedForSeldom) {
   CHECK_TRUE(health.TakePaceQuestion("a"));
   CHECK_FALSE(health.TakePaceQuestion("a"));
-  health.NotePace({"a", 8.0, {}});
-  DOUBLES_EQUAL(8.0, health.Pace("a"), 1e-9);
+  health.OnSlowdownReport({"a", 8.0, {}});
+  DOUBLES_EQUAL(8.0, health.SlowdownFactor("a"), 1e-9);
   CHECK_EQUAL(1U, health.SlowServers().size());
-  health.NotePace({"a", 2.0, seconds(1)});
-  DOUBLES_EQUAL(8.0, health.Pace("a"), 1e-9);
+  health.OnSlowdownReport({"a", 2.0, seconds(1)});
+  DOUBLES_EQUAL(8.0, health.SlowdownFactor("a"), 1e-9);
   time.AdvanceBy(milliseconds(600));
   CHECK_TRUE(health.TakePaceQuestion("a"));
   time.AdvanceBy(seconds(3));
-  DOUBLES_EQUAL(1.0, health.Pace("a"), 1e-9);
+  DOUBLES_EQUAL(1.0, health.SlowdownFactor("a"), 1e-9);
   CHECK_TRUE(health.SlowServers().empty());
 }
 
