--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -188,7 +188,7 @@
 /** Events come too slowly: some server of the path may be slow, and only it knows. */
 void ForwardExchange::AskForPaces() {
   for (const PathPart& part : m_path) {
-    if (m_parts.health.TakePaceQuestion(part.server)) {
+    if (m_parts.health.TryBeginSlowdownQuery(part.server)) {
       AskForPace(m_parts, part);
     }
   }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -202,7 +202,7 @@
     const auto server = view->servers.find(slow.server);
     const bool is_own_turn = RandomUnit(m_parts.random) < chance;
     if (is_own_turn && server != view->servers.end() &&
-        m_parts.health.TakePaceQuestion(slow.server)) {
+        m_parts.health.TryBeginSlowdownQuery(slow.server)) {
       AskForPace(m_parts, {slow.server, server->second.address, server->second.layers});
     }
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -27,7 +27,7 @@
 constexpr Duration kSlowdownLifetime = std::chrono::seconds(3);
 
 /** A server is not asked again before this. Slow servers stay so for seconds. */
-constexpr Duration kPaceAskedAgainAfter = std::chrono::milliseconds(500);
+constexpr Duration kSlowdownQueryInterval = std::chrono::milliseconds(500);
 
 /** From this slowdown on a server is worth telling of. */
 constexpr double kSlowServerThreshold = 1.3;
@@ -148,16 +148,16 @@
   return is_known ? record->second.slowdown : 1.0;
 }
 
-bool ServerHealth::TakePaceQuestion(const BackendServerName& server) {
+bool ServerHealth::TryBeginSlowdownQuery(const BackendServerName& server) {
   Record& record = Touch(server);
   const TimePoint now = m_clock.Now();
   const auto is_fresh = [now](const std::optional<TimePoint>& at) {
-    return at && now - *at < kPaceAskedAgainAfter;
+    return at && now - *at < kSlowdownQueryInterval;
   };
-  if (is_fresh(record.slowdown_known_at) || is_fresh(record.pace_asked_at)) {
+  if (is_fresh(record.slowdown_known_at) || is_fresh(record.slowdown_queried_at)) {
     return false;
   }
-  record.pace_asked_at = now;
+  record.slowdown_queried_at = now;
   return true;
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -64,7 +64,7 @@
 
   /** Whether the server should be asked for its slowdown now: each question is priced, and peers
      ask too. Notes that it is. */
-  bool TakePaceQuestion(const BackendServerName& server);
+  bool TryBeginSlowdownQuery(const BackendServerName& server);
 
   /** The servers that are known to be slow, for peers and for asking again. */
   std::vector<PaceNews> SlowServers() const;
@@ -87,7 +87,7 @@
     double first_event_ms = 0.0;
     double slowdown = 1.0;
     std::optional<TimePoint> slowdown_known_at;
-    std::optional<TimePoint> pace_asked_at;
+    std::optional<TimePoint> slowdown_queried_at;
   };
 
   Record& Touch(const BackendServerName& server);
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -271,15 +271,15 @@
 // Symptom: for nine seconds every answer is late by its pauses. Sequence: one server of each chain
 // becomes eight times slower, and all requests go on through them. Cause: nobody asked.
 TEST(ServerChoice, ASlowServersWordCountsForAWhileAndIsAskedForSeldom) {
-  CHECK_TRUE(health.TakePaceQuestion("a"));
-  CHECK_FALSE(health.TakePaceQuestion("a"));
+  CHECK_TRUE(health.TryBeginSlowdownQuery("a"));
+  CHECK_FALSE(health.TryBeginSlowdownQuery("a"));
   health.OnSlowdownReport({"a", 8.0, {}});
   DOUBLES_EQUAL(8.0, health.SlowdownFactor("a"), 1e-9);
   CHECK_EQUAL(1U, health.SlowServers().size());
   health.OnSlowdownReport({"a", 2.0, seconds(1)});
   DOUBLES_EQUAL(8.0, health.SlowdownFactor("a"), 1e-9);
   time.AdvanceBy(milliseconds(600));
-  CHECK_TRUE(health.TakePaceQuestion("a"));
+  CHECK_TRUE(health.TryBeginSlowdownQuery("a"));
   time.AdvanceBy(seconds(3));
   DOUBLES_EQUAL(1.0, health.SlowdownFactor("a"), 1e-9);
   CHECK_TRUE(health.SlowServers().empty());
