--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -175,7 +175,7 @@
     have no such call, and take the next request. */
 void ForwardServer::AskSuspects() {
   const auto view = m_parts.view();
-  for (const BackendServerName& name : m_parts.health.TakeSuspectsToAsk()) {
+  for (const BackendServerName& name : m_parts.health.TakeSuspectsToProbe()) {
     const auto server = view->servers.find(name);
     if (server == view->servers.end()) {
       continue;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -21,7 +21,7 @@
 constexpr Duration kTryOfSuspect = std::chrono::milliseconds(500);
 
 /** A suspect that may still be dead is asked again after this. */
-constexpr Duration kSuspectAskedAgainAfter = std::chrono::milliseconds(500);
+constexpr Duration kSuspectProbeInterval = std::chrono::milliseconds(500);
 
 /** A server's word on its pace counts for this long; its own values lag by some hundred ms. */
 constexpr Duration kSlowdownLifetime = std::chrono::seconds(3);
@@ -74,13 +74,13 @@
   record.has_answered = false;
 }
 
-std::vector<BackendServerName> ServerHealth::TakeSuspectsToAsk() {
+std::vector<BackendServerName> ServerHealth::TakeSuspectsToProbe() {
   const TimePoint now = m_clock.Now();
   std::vector<BackendServerName> due;
   for (auto& [server, record] : m_records) {
     if (record.is_suspect && !record.has_answered && now >= record.excluded_until &&
-        now >= record.next_question_at) {
-      record.next_question_at = now + kSuspectAskedAgainAfter;
+        now >= record.next_probe_at) {
+      record.next_probe_at = now + kSuspectProbeInterval;
       due.push_back(server);
     }
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -34,7 +34,7 @@
   void Suspect(const BackendServerName& server, Duration duration);
 
   /** Suspects that should be asked now whether they answer. Notes that they are. */
-  std::vector<BackendServerName> TakeSuspectsToAsk();
+  std::vector<BackendServerName> TakeSuspectsToProbe();
 
   /** A suspect has answered: a request may try it. */
   void OnAnswered(const BackendServerName& server);
@@ -80,7 +80,7 @@
     Duration last_exclusion{};
     bool is_suspect = false;
     bool has_answered = false;  // Since it became a suspect.
-    TimePoint next_question_at{};
+    TimePoint next_probe_at{};
     TimePoint next_try_at{};
     TimePoint changed_at{};
     double failure_share = 0.0;
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -252,16 +252,16 @@
 // stays. Cause: callers' requests used to find out whether it is back.
 TEST(ServerChoice, ASuspectIsAskedBeforeARequestTriesIt) {
   health.Suspect("a", seconds(3));
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());
+  CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   time.AdvanceBy(milliseconds(3'100));
-  CHECK_EQUAL(1U, health.TakeSuspectsToAsk().size());
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());  // A question costs a call.
+  CHECK_EQUAL(1U, health.TakeSuspectsToProbe().size());
+  CHECK_TRUE(health.TakeSuspectsToProbe().empty());  // A question costs a call.
   time.AdvanceBy(seconds(60));
   CHECK_TRUE(health.IsExcluded("a"));
-  CHECK_EQUAL(1U, health.TakeSuspectsToAsk().size());
+  CHECK_EQUAL(1U, health.TakeSuspectsToProbe().size());
   health.OnAnswered("a");
   time.AdvanceBy(seconds(2));
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());
+  CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   CHECK_FALSE(health.IsExcluded("a"));
   health.Suspect("a", seconds(3));  // It was silent again.
   time.AdvanceBy(seconds(4));
