--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -181,14 +181,14 @@
       continue;
     }
     if (server->second.accelerator.empty()) {
-      m_parts.health.OnAnswered(name);
+      m_parts.health.OnProbeAnswered(name);
       continue;
     }
     // A probe's limit would be too short: a server that is merely busy would stay unused.
     m_parts.engine_calls.ReadReport({name, server->second.address, server->second.layers},
                                     [&health = m_parts.health, name](const auto& report) {
                                       if (report) {
-                                        health.OnAnswered(name);
+                                        health.OnProbeAnswered(name);
                                       }
                                     });
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -87,7 +87,7 @@
   return due;
 }
 
-void ServerHealth::OnAnswered(const BackendServerName& server) {
+void ServerHealth::OnProbeAnswered(const BackendServerName& server) {
   const auto record = m_records.find(server);
   if (record != m_records.end()) {
     record->second.has_answered = true;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -37,7 +37,7 @@
   std::vector<BackendServerName> TakeSuspectsToProbe();
 
   /** A suspect has answered: a request may try it. */
-  void OnAnswered(const BackendServerName& server);
+  void OnProbeAnswered(const BackendServerName& server);
 
   /** A request was sent on a path that needs the server. */
   void OnTried(const BackendServerName& server);
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -234,7 +234,7 @@
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(3'100));
   CHECK_TRUE(health.IsExcluded("a"));
-  health.OnAnswered("a");
+  health.OnProbeAnswered("a");
   CHECK_FALSE(health.IsExcluded("a"));
   health.OnTried("a");
   CHECK_TRUE(health.IsExcluded("a"));
@@ -259,7 +259,7 @@
   time.AdvanceBy(seconds(60));
   CHECK_TRUE(health.IsExcluded("a"));
   CHECK_EQUAL(1U, health.TakeSuspectsToProbe().size());
-  health.OnAnswered("a");
+  health.OnProbeAnswered("a");
   time.AdvanceBy(seconds(2));
   CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   CHECK_FALSE(health.IsExcluded("a"));
