--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -128,7 +128,7 @@
     const double token_layers = tokens * part.layers.Count();
     const bool begins = &part == &path.front();
     m_parts.loads.Add(part.server, token_layers, begins);
-    m_parts.health.OnTried(part.server);
+    m_parts.health.OnAttempt(part.server);
     m_reservations.push_back({part.server, token_layers, begins});
   }
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -18,7 +18,7 @@
 
 /** A request that tries a suspect server has this long to get through before the next one may:
    about the time of a first event, and of finding that a server is silent. */
-constexpr Duration kTryOfSuspect = std::chrono::milliseconds(500);
+constexpr Duration kSuspectAttemptInterval = std::chrono::milliseconds(500);
 
 /** A suspect that may still be dead is asked again after this. */
 constexpr Duration kSuspectProbeInterval = std::chrono::milliseconds(500);
@@ -94,10 +94,10 @@
   }
 }
 
-void ServerHealth::OnTried(const BackendServerName& server) {
+void ServerHealth::OnAttempt(const BackendServerName& server) {
   const auto record = m_records.find(server);
   if (record != m_records.end() && record->second.is_suspect) {
-    record->second.next_try_at = m_clock.Now() + kTryOfSuspect;
+    record->second.next_attempt_at = m_clock.Now() + kSuspectAttemptInterval;
   }
 }
 
@@ -179,8 +179,9 @@
     return false;
   }
   const TimePoint now = m_clock.Now();
-  const bool may_be_tried = record->second.has_answered && now >= record->second.next_try_at;
-  return now < record->second.excluded_until || (record->second.is_suspect && !may_be_tried);
+  const bool may_be_attempted =
+      record->second.has_answered && now >= record->second.next_attempt_at;
+  return now < record->second.excluded_until || (record->second.is_suspect && !may_be_attempted);
 }
 
 double ServerHealth::FailureShare(const BackendServerName& server) const {
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -40,7 +40,7 @@
   void OnProbeAnswered(const BackendServerName& server);
 
   /** A request was sent on a path that needs the server. */
-  void OnTried(const BackendServerName& server);
+  void OnAttempt(const BackendServerName& server);
 
   /** A request that needs the server went on: it is not suspect. */
   void OnReached(const BackendServerName& server);
@@ -81,7 +81,7 @@
     bool is_suspect = false;
     bool has_answered = false;  // Since it became a suspect.
     TimePoint next_probe_at{};
-    TimePoint next_try_at{};
+    TimePoint next_attempt_at{};
     TimePoint changed_at{};
     double failure_share = 0.0;
     double first_event_ms = 0.0;
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -236,14 +236,14 @@
   CHECK_TRUE(health.IsExcluded("a"));
   health.OnProbeAnswered("a");
   CHECK_FALSE(health.IsExcluded("a"));
-  health.OnTried("a");
+  health.OnAttempt("a");
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(600));
   CHECK_FALSE(health.IsExcluded("a"));
-  health.OnTried("a");
+  health.OnAttempt("a");
   health.OnReached("a");
   CHECK_FALSE(health.IsExcluded("a"));
-  health.OnTried("a");
+  health.OnAttempt("a");
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
@@ -303,7 +303,7 @@
 TEST(ServerChoice, AServerThatIsNotSuspectIsTriedByAll) {
   health.Exclude("a", milliseconds(200));
   time.AdvanceBy(milliseconds(300));
-  health.OnTried("a");
+  health.OnAttempt("a");
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
