--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -212,7 +212,7 @@
   }
   if (!std::exchange(m_path_proved, true)) {
     for (const PathPart& part : m_path) {
-      m_parts.health.OnReached(part.server);
+      m_parts.health.OnProgress(part.server);
     }
   }
   m_last_progress = now;
@@ -244,7 +244,7 @@
     return;
   }
   if (IsSuccess(m_status)) {
-    m_parts.health.OnReached(m_server);
+    m_parts.health.OnProgress(m_server);
     m_parts.health.OnOutcome(m_server, true);
     PassOnWholeAnswer();
     return;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -101,7 +101,7 @@
   }
 }
 
-void ServerHealth::OnReached(const BackendServerName& server) {
+void ServerHealth::OnProgress(const BackendServerName& server) {
   const auto record = m_records.find(server);
   if (record != m_records.end()) {
     record->second.is_suspect = false;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -43,7 +43,7 @@
   void OnAttempt(const BackendServerName& server);
 
   /** A request that needs the server went on: it is not suspect. */
-  void OnReached(const BackendServerName& server);
+  void OnProgress(const BackendServerName& server);
 
   /** A request at the server ended well, or failed through its fault. */
   void OnOutcome(const BackendServerName& server, bool good);
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -241,7 +241,7 @@
   time.AdvanceBy(milliseconds(600));
   CHECK_FALSE(health.IsExcluded("a"));
   health.OnAttempt("a");
-  health.OnReached("a");
+  health.OnProgress("a");
   CHECK_FALSE(health.IsExcluded("a"));
   health.OnAttempt("a");
   CHECK_FALSE(health.IsExcluded("a"));
@@ -294,7 +294,7 @@
   time.AdvanceBy(milliseconds(250));
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(250));
-  health.OnReached("a");
+  health.OnProgress("a");
   health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_FALSE(health.IsExcluded("a"));
