--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -270,7 +270,7 @@
     m_parts.health.Exclude(at_fault.server, kMisdirectedExclusion);
   } else if (!m_path.empty()) {
     AskWhyItRefused(at_fault);
-    m_parts.health.ExcludeLonger(at_fault.server, kFullExclusion, kLongestFullExclusion);
+    m_parts.health.ExcludeWithBackoff(at_fault.server, kFullExclusion, kLongestFullExclusion);
   }
   m_avoided.insert(at_fault.server);
   SendAgainOrGiveUp(SendOutcome::kNotRun,
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -56,9 +56,9 @@
   record.excluded_until = std::max(record.excluded_until, m_clock.Now() + duration);
 }
 
-void ServerHealth::ExcludeLonger(const BackendServerName& server,
-                                 Duration first,
-                                 Duration longest) {
+void ServerHealth::ExcludeWithBackoff(const BackendServerName& server,
+                                      Duration first,
+                                      Duration longest) {
   if (IsExcluded(server)) {
     return;  // Requests that were on their way together are one refusal.
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -25,7 +25,7 @@
   void Exclude(const BackendServerName& server, Duration duration);
 
   /** The same, twice as long at each refusal since a request last got through, up to `longest`. */
-  void ExcludeLonger(const BackendServerName& server, Duration first, Duration longest);
+  void ExcludeWithBackoff(const BackendServerName& server, Duration first, Duration longest);
 
   /** Strong evidence (cannot be reached, silent, named as stalled): no requests for `duration`, and
       then none before it has answered a question, and one at a time until one gets through. Its
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -286,16 +286,16 @@
 }
 
 TEST(ServerChoice, AServerThatKeepsRefusingIsLeftForLonger) {
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_FALSE(health.IsExcluded("a"));
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(250));
   health.OnProgress("a");
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_FALSE(health.IsExcluded("a"));
 }
