--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -45,7 +45,7 @@
   }
   Record& record = m_records[server];
   const std::chrono::duration<double> age = now - record.changed_at;
-  record.failure_share *= std::exp2(-age / kHalfLife);
+  record.failure_rate *= std::exp2(-age / kHalfLife);
   record.first_event_ms *= std::exp2(-age / kDelayHalfLife);
   record.changed_at = now;
   return record;
@@ -112,7 +112,7 @@
 void ServerHealth::OnOutcome(const BackendServerName& server, bool good) {
   Record& record = Touch(server);
   const double value = good ? 0.0 : 1.0;
-  record.failure_share += kOutcomeWeight * (value - record.failure_share);
+  record.failure_rate += kOutcomeWeight * (value - record.failure_rate);
 }
 
 void ServerHealth::OnFirstEvent(const BackendServerName& server, Duration delay) {
@@ -184,13 +184,13 @@
   return now < record->second.excluded_until || (record->second.is_suspect && !may_be_attempted);
 }
 
-double ServerHealth::FailureShare(const BackendServerName& server) const {
+double ServerHealth::FailureRate(const BackendServerName& server) const {
   const auto record = m_records.find(server);
   if (record == m_records.end()) {
     return 0.0;
   }
   const std::chrono::duration<double> age = m_clock.Now() - record->second.changed_at;
-  return record->second.failure_share * std::exp2(-age / kHalfLife);
+  return record->second.failure_rate * std::exp2(-age / kHalfLife);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -72,7 +72,7 @@
   bool IsExcluded(const BackendServerName& server) const;
 
   /** The share of its recent requests that failed, 0 to 1. */
-  double FailureShare(const BackendServerName& server) const;
+  double FailureRate(const BackendServerName& server) const;
 
  private:
   struct Record {
@@ -83,7 +83,7 @@
     TimePoint next_probe_at{};
     TimePoint next_attempt_at{};
     TimePoint changed_at{};
-    double failure_share = 0.0;
+    double failure_rate = 0.0;
     double first_event_ms = 0.0;
     double slowdown = 1.0;
     std::optional<TimePoint> slowdown_known_at;
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -379,7 +379,7 @@
   const ServerUse use = m_loads.UseOf(server.name);
   const double pace = m_health.SlowdownFactor(server.name);
   const double slowness =
-      (1.0 + kFailurePenalty * m_health.FailureShare(server.name)) * ChanceFactor();
+      (1.0 + kFailurePenalty * m_health.FailureRate(server.name)) * ChanceFactor();
   Candidate candidate;
   candidate.entry = &server;
   candidate.ms_per_layer =
--- a/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
@@ -35,7 +35,7 @@
     }
     const double slots = std::max(1U, server.most_requests);
     double fill = (m_loads.UseOf(name).requests + 1.0) / slots;
-    fill *= 1.0 + kFailurePenalty * m_health.FailureShare(name);
+    fill *= 1.0 + kFailurePenalty * m_health.FailureRate(name);
     fill += kTieBreak * RandomUnit(m_random);
     fill += m_health.IsExcluded(name) ? kExcludedPenalty : 0.0;
     if (fill < least) {
