--- a/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.cc
@@ -8,13 +8,13 @@
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
 /** Servers that are free again are forgotten beyond this number. */
-constexpr std::size_t kMostServers = 1'024;
+constexpr std::size_t kMaxServers = 1'024;
 
 }  // namespace
 
 void PrefillBacklog::Add(const BackendServerName& server, double work_ms) {
   const TimePoint now = m_clock.Now();
-  if (m_busy_until.size() >= kMostServers) {
+  if (m_busy_until.size() >= kMaxServers) {
     std::erase_if(m_busy_until, [now](const auto& entry) { return entry.second < now; });
   }
   TimePoint& until = m_busy_until[server];
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -33,13 +33,13 @@
 constexpr double kSlowServerThreshold = 1.3;
 
 /** Records of servers that have left are dropped beyond this number. */
-constexpr std::size_t kMostRecords = 4'096;
+constexpr std::size_t kMaxRecords = 4'096;
 
 }  // namespace
 
 ServerHealth::Record& ServerHealth::Touch(const BackendServerName& server) {
   const TimePoint now = m_clock.Now();
-  if (m_records.size() >= kMostRecords) {
+  if (m_records.size() >= kMaxRecords) {
     std::erase_if(m_records,
                   [now](const auto& entry) { return entry.second.excluded_until < now; });
   }
