--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
@@ -7,19 +7,19 @@
 namespace {
 
 /** The shortest silence that counts; a pass of a loaded stage takes tens of milliseconds. */
-constexpr Duration kLeastSilence = std::chrono::milliseconds(70);
+constexpr Duration kMinSilence = std::chrono::milliseconds(70);
 
-/** The silence must also be this many times the usual gap: under load passes grow longer. */
-constexpr double kLeastGaps = 1.5;
+/** The silence must also be this many times the usual interval: under load passes grow longer. */
+constexpr double kMinIntervals = 1.5;
 
 /** So many events must have been due and not come. */
-constexpr double kMissedEvents = 5.0;
+constexpr double kMinMissedEvents = 5.0;
 
 /** A single stream is judged by its engine's report instead. */
-constexpr int kLeastStreams = 2;
+constexpr int kMinStreams = 2;
 
 /** What passes through one server. */
-struct Passage {
+struct ServerActivity {
   const PathPart* part = nullptr;
   TimePoint newest_event_at{};
   double events_per_ms = 0.0;
@@ -30,27 +30,27 @@
 
 std::vector<PathPart> SilenceDetector::Suspects(const std::vector<StreamProgress>& streams,
                                                 TimePoint now) {
-  std::map<BackendServerName, Passage> passages;
+  std::map<BackendServerName, ServerActivity> activities;
   for (const StreamProgress& stream : streams) {
-    const std::chrono::duration<double, std::milli> gap = stream.mean_interval;
+    const std::chrono::duration<double, std::milli> interval = stream.mean_interval;
     for (const PathPart& part : *stream.path) {
-      Passage& passage = passages[part.server];
-      passage.part = &part;
-      passage.newest_event_at = std::max(passage.newest_event_at, stream.last_event_at);
-      passage.events_per_ms += gap.count() > 0 ? 1.0 / gap.count() : 0.0;
-      ++passage.streams;
+      ServerActivity& activity = activities[part.server];
+      activity.part = &part;
+      activity.newest_event_at = std::max(activity.newest_event_at, stream.last_event_at);
+      activity.events_per_ms += interval.count() > 0 ? 1.0 / interval.count() : 0.0;
+      ++activity.streams;
     }
   }
   std::vector<PathPart> suspects;
-  for (const auto& [server, passage] : passages) {
-    const Duration silence = now - passage.newest_event_at;
+  for (const auto& [server, activity] : activities) {
+    const Duration silence = now - activity.newest_event_at;
     const std::chrono::duration<double, std::milli> silent_ms = silence;
-    const double mean_gap_ms =
-        passage.events_per_ms > 0 ? passage.streams / passage.events_per_ms : 0.0;
-    if (passage.streams >= kLeastStreams && silence >= kLeastSilence &&
-        silent_ms.count() >= kLeastGaps * mean_gap_ms &&
-        silent_ms.count() * passage.events_per_ms >= kMissedEvents) {
-      suspects.push_back(*passage.part);
+    const double mean_interval_ms =
+        activity.events_per_ms > 0 ? activity.streams / activity.events_per_ms : 0.0;
+    if (activity.streams >= kMinStreams && silence >= kMinSilence &&
+        silent_ms.count() >= kMinIntervals * mean_interval_ms &&
+        silent_ms.count() * activity.events_per_ms >= kMinMissedEvents) {
+      suspects.push_back(*activity.part);
     }
   }
   return suspects;
@@ -64,7 +64,7 @@
                        [&](const PathPart& suspect) { return suspect.server == part.server; });
   };
   return std::any_of(streams.begin(), streams.end(), [&](const StreamProgress& stream) {
-    return now - stream.last_event_at < kLeastSilence &&
+    return now - stream.last_event_at < kMinSilence &&
            std::none_of(stream.path->begin(), stream.path->end(), is_suspect);
   });
 }
