--- a/packages/zinnia_decisions/forwarding/beliefs/forwarding_view.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/forwarding_view.h
@@ -39,7 +39,7 @@
 
   /** How many instances a bound on a sum is divided by. More than live at the moment: one that
       restarts has spent its part already and comes back to spend it again. */
-  std::size_t CountForShares() const {
+  std::size_t InstancesSharingLimits() const {
     return std::max(live_instances, instances ? instances->size() : std::size_t{1});
   }
 
--- a/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
+++ b/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
@@ -40,7 +40,7 @@
       retries += slice.retries;
     }
   }
-  const double instances = static_cast<double>(view.CountForShares());
+  const double instances = static_cast<double>(view.InstancesSharingLimits());
   const double allowed =
       kGivenRatio * m_settings.ratio * requests + kGivenSlack * m_settings.slack / instances;
   if (retries + 1 > allowed) {
