--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -95,7 +95,7 @@
 
 void ForwardExchange::CheckSilence() {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
-  const Duration limit = SilencePolicy(*m_route).BeforeAsking(m_rhythm.HasBegun());
+  const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_rhythm.HasBegun());
   if (m_last_progress > m_asked_at) {
     m_looks = 0;
   }
@@ -122,7 +122,7 @@
 void ForwardExchange::OnReport(const Result<EngineReport>& report) {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const SilencePolicy policy(*m_route);
-  if (silent < policy.BeforeAsking(m_rhythm.HasBegun()) || !m_connection) {
+  if (silent < policy.ProbeAfter(m_rhythm.HasBegun()) || !m_connection) {
     return;
   }
   if (!report) {
@@ -131,7 +131,7 @@
                         {"server", m_server},
                         {"reason", zinnia::Describe(report.error())}});
     // One report may be lost to a full connection table; the stream's own silence must agree.
-    const bool is_long = silent >= policy.BeforeLeaving(m_rhythm.HasBegun());
+    const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
     if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
       m_parts.health.Suspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
@@ -371,7 +371,7 @@
   }
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   if (m_connection && m_failed_reroutes >= kReroutesBeforeLeaving &&
-      silent >= SilencePolicy(*m_route).BeforeLeaving(m_rhythm.HasBegun())) {
+      silent >= SilencePolicy(*m_route).AbandonAfter(m_rhythm.HasBegun())) {
     AbandonServer("the path could not be changed");
   }
 }
--- a/packages/zinnia_decisions/forwarding/streams/silence_policy.cc
+++ b/packages/zinnia_decisions/forwarding/streams/silence_policy.cc
@@ -13,35 +13,35 @@
 /** In parts of the time that counts as on time. Sooner, engines that are merely full are asked, and
     left: they reset connections beyond their bound, and a question that fails for that looks like
     one to a dead server. */
-constexpr double kAskBeforeFirstEvent = 1.2;
-constexpr double kAskBetweenEvents = 1.0;
-constexpr double kLeaveBeforeFirstEvent = 1.0;
-constexpr double kLeaveBetweenEvents = 2.0;
+constexpr double kProbeBeforeFirstEvent = 1.2;
+constexpr double kProbeBetweenEvents = 1.0;
+constexpr double kAbandonBeforeFirstEvent = 1.0;
+constexpr double kAbandonBetweenEvents = 2.0;
 
 /** Engines' passes take tens of milliseconds. */
-constexpr Duration kLeastSilence = milliseconds(120);
+constexpr Duration kMinSilence = milliseconds(120);
 
 /** Callers leave after two seconds without an event, also of routes that promise nothing. */
-constexpr Duration kMostSilence = milliseconds(800);
+constexpr Duration kMaxSilence = milliseconds(800);
 
-Duration PartOf(milliseconds objective, double part) {
+Duration ScaleObjective(milliseconds objective, double factor) {
   if (objective <= milliseconds::zero()) {
-    return kMostSilence;
+    return kMaxSilence;
   }
-  const auto silence = std::chrono::duration_cast<Duration>(objective * part);
-  return std::clamp(silence, kLeastSilence, kMostSilence);
+  const auto silence = std::chrono::duration_cast<Duration>(objective * factor);
+  return std::clamp(silence, kMinSilence, kMaxSilence);
 }
 
 }  // namespace
 
-Duration SilencePolicy::BeforeAsking(bool has_begun) const {
-  return has_begun ? PartOf(m_route.event_gap_objective, kAskBetweenEvents)
-                   : PartOf(m_route.latency_objective, kAskBeforeFirstEvent);
+Duration SilencePolicy::ProbeAfter(bool has_begun) const {
+  return has_begun ? ScaleObjective(m_route.event_gap_objective, kProbeBetweenEvents)
+                   : ScaleObjective(m_route.latency_objective, kProbeBeforeFirstEvent);
 }
 
-Duration SilencePolicy::BeforeLeaving(bool has_begun) const {
-  return has_begun ? PartOf(m_route.event_gap_objective, kLeaveBetweenEvents)
-                   : PartOf(m_route.latency_objective, kLeaveBeforeFirstEvent);
+Duration SilencePolicy::AbandonAfter(bool has_begun) const {
+  return has_begun ? ScaleObjective(m_route.event_gap_objective, kAbandonBetweenEvents)
+                   : ScaleObjective(m_route.latency_objective, kAbandonBeforeFirstEvent);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/streams/silence_policy.h
+++ b/packages/zinnia_decisions/forwarding/streams/silence_policy.h
@@ -17,10 +17,10 @@
   explicit SilencePolicy(const ForwardRoute& route) : m_route(route) {}
 
   /** Silence that is looked into. */
-  Duration BeforeAsking(bool has_begun) const;
+  Duration ProbeAfter(bool has_begun) const;
 
   /** Silence after which a first server that does not answer questions either is left. */
-  Duration BeforeLeaving(bool has_begun) const;
+  Duration AbandonAfter(bool has_begun) const;
 
  private:
   const ForwardRoute& m_route;
--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -60,17 +60,17 @@
   patient.latency_objective = milliseconds(600);
   patient.event_gap_objective = milliseconds(300);
   for (const bool has_begun : {false, true}) {
-    CHECK_TRUE(SilencePolicy(quick).BeforeAsking(has_begun) <
-               SilencePolicy(patient).BeforeAsking(has_begun));
-    CHECK_TRUE(SilencePolicy(quick).BeforeLeaving(has_begun) <
-               SilencePolicy(patient).BeforeLeaving(has_begun));
+    CHECK_TRUE(SilencePolicy(quick).ProbeAfter(has_begun) <
+               SilencePolicy(patient).ProbeAfter(has_begun));
+    CHECK_TRUE(SilencePolicy(quick).AbandonAfter(has_begun) <
+               SilencePolicy(patient).AbandonAfter(has_begun));
   }
   // Where nothing is promised, callers still leave after two seconds.
   ForwardRoute any;
   any.latency_objective = std::chrono::minutes(1);
-  CHECK_TRUE(SilencePolicy(any).BeforeLeaving(false) < std::chrono::seconds(1));
+  CHECK_TRUE(SilencePolicy(any).AbandonAfter(false) < std::chrono::seconds(1));
   any.event_gap_objective = milliseconds(0);
-  CHECK_TRUE(SilencePolicy(any).BeforeLeaving(true) > milliseconds(500));
+  CHECK_TRUE(SilencePolicy(any).AbandonAfter(true) > milliseconds(500));
 }
 
 // Symptom: answers pause for up to half a second whenever engines are replaced as planned.
