--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -52,7 +52,7 @@
     case NextStep::kRefuse:
       Answer(NotRun(ErrorKind::kOverloaded, std::string(reason)));
       return;
-    case NextStep::kPassOn:
+    case NextStep::kForwardFailure:
       // A status that promises "not run" may not go out for a request that has run.
       if (IsPromise(m_status)) {
         Answer(PerhapsRun(ErrorKind::kBackendUnavailable, std::string(reason)));
--- a/packages/zinnia_decisions/forwarding/retries/retry_policy.cc
+++ b/packages/zinnia_decisions/forwarding/retries/retry_policy.cc
@@ -10,7 +10,7 @@
 
 NextStep GiveUp(SendOutcome outcome, const SendHistory& history) {
   if (outcome == SendOutcome::kServerFailed) {
-    return NextStep::kPassOn;
+    return NextStep::kForwardFailure;
   }
   const bool may_have_run = history.may_have_run || outcome == SendOutcome::kUnknown;
   return may_have_run ? NextStep::kFail : NextStep::kRefuse;
--- a/packages/zinnia_decisions/forwarding/retries/retry_policy.h
+++ b/packages/zinnia_decisions/forwarding/retries/retry_policy.h
@@ -11,9 +11,9 @@
     run. kServerFailed: it ran and the server answered with a failure. */
 enum class SendOutcome { kNotSent, kNotRun, kUnknown, kServerFailed };
 
-/** What to do next. kRefuse promises the caller that nothing ran; kFail promises nothing; kPassOn
-    hands on the server's own failure. */
-enum class NextStep { kSendAgain, kRefuse, kFail, kPassOn };
+/** What to do next. kRefuse promises the caller that nothing ran; kFail promises nothing;
+   kForwardFailure hands on the server's own failure. */
+enum class NextStep { kSendAgain, kRefuse, kFail, kForwardFailure };
 
 /** What is known of a request when one send has ended. */
 struct SendHistory {
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -90,7 +90,7 @@
 TEST(RetryDecision, UnknownOutcomeOfANonIdempotentRequestIsNeverSentAgain) {
   route.repeatability = Repeatability::kNonIdempotent;
   CHECK_TRUE(NextStep::kFail == Decide(SendOutcome::kUnknown));
-  CHECK_TRUE(NextStep::kPassOn == Decide(SendOutcome::kServerFailed));
+  CHECK_TRUE(NextStep::kForwardFailure == Decide(SendOutcome::kServerFailed));
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kNotRun));
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kNotSent));
 }
