--- a/packages/zinnia_decisions/forwarding/retries/retry_policy.cc
+++ b/packages/zinnia_decisions/forwarding/retries/retry_policy.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /** Sends that do not leave are free for servers, but each waits for a connection. */
-constexpr std::uint32_t kMostNotSent = 3;
+constexpr std::uint32_t kMaxNotSent = 3;
 
 NextStep GiveUp(SendOutcome outcome, const SendHistory& history) {
   if (outcome == SendOutcome::kServerFailed) {
@@ -23,10 +23,10 @@
                         const SendHistory& history) {
   const bool certainly_not_run =
       outcome == SendOutcome::kNotSent || outcome == SendOutcome::kNotRun;
-  const bool harmless = route.MayRepeat() || (certainly_not_run && !history.may_have_run);
+  const bool is_safe = route.MayRepeat() || (certainly_not_run && !history.may_have_run);
   const bool within_bounds =
-      history.servers_reached < route.most_servers && history.not_sent <= kMostNotSent;
-  if (harmless && within_bounds && history.time_left && history.has_alternative) {
+      history.servers_reached < route.most_servers && history.not_sent <= kMaxNotSent;
+  if (is_safe && within_bounds && history.time_left && history.has_alternative) {
     return NextStep::kSendAgain;
   }
   return GiveUp(outcome, history);
