--- a/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
+++ b/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
@@ -7,8 +7,8 @@
 
 /** Part of the slack that is given out. The rest covers instances that do not know yet how many
     they are, and windows that begin inside a slice. */
-constexpr double kGivenSlack = 0.7;
-constexpr double kGivenRatio = 0.9;
+constexpr double kSlackFraction = 0.7;
+constexpr double kRatioFraction = 0.9;
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   }
   const double instances = static_cast<double>(view.InstancesSharingLimits());
   const double allowed =
-      kGivenRatio * m_settings.ratio * requests + kGivenSlack * m_settings.slack / instances;
+      kRatioFraction * m_settings.ratio * requests + kSlackFraction * m_settings.slack / instances;
   if (retries + 1 > allowed) {
     return false;
   }
