--- a/packages/zinnia_decisions/forwarding/beliefs/forwarding_view.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/forwarding_view.h
@@ -17,33 +17,33 @@
 
 class RouteTable;
 
-/** Everything that forwarding believes at one moment. Immutable; control publishes a new one at
-    each change, and traffic reads whichever is newest. */
+/** Immutable snapshot of the state that forwarding decisions use. The control thread publishes a
+    new one after each change; traffic threads read the latest. */
 struct ForwardingView {
-  /** Null until a configuration is known: then nothing can be forwarded or denied. */
+  /** Null until a configuration is loaded. Until then requests are neither forwarded nor denied. */
   std::shared_ptr<const ForwardingRules> rules;
   std::shared_ptr<const RouteTable> routes;
 
-  /** Draining servers are in here, those that left are not. */
+  /** Includes draining servers, excludes servers that have left. */
   std::map<BackendServerName, ServerEntry> servers;
 
-  /** Starts of servers that have started again since: what ran there is lost. */
+  /** Incarnations of servers that have restarted since. Requests that ran there are lost. */
   std::set<BackendServerName> ended_incarnations;
 
-  /** This instance and the peers that it knows to live. At least 1. */
+  /** Number of live instances, including this one. At least 1. */
   std::size_t live_instances = 1;
 
-  /** Those that live, or did some seconds ago: who takes part in what is divided. Null in a fleet
-     of one. */
+  /** Instances that are live or were within the last few seconds; shared limits are divided among
+      them. Null if this is the only instance. */
   std::shared_ptr<const std::vector<Instance>> instances;
 
-  /** How many instances a bound on a sum is divided by. More than live at the moment: one that
-      restarts has spent its part already and comes back to spend it again. */
+  /** Number of instances that a shared limit is divided by. Includes recently live ones, since a
+      restarting instance has used its share already and will use it again. */
   std::size_t InstancesSharingLimits() const {
     return std::max(live_instances, instances ? instances->size() : std::size_t{1});
   }
 
-  /** The store's revision that this view stands for, and when it was read. */
+  /** Store revision of this view, and the time at which it was read. */
   std::uint64_t revision = 0;
   TimePoint as_of{};
 };
