--- a/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.cc
@@ -5,8 +5,7 @@
 namespace zinnia {
 namespace {
 
-/** Requests come in bursts of tens of milliseconds, and faults change their ways within a second.
- */
+/** Longer than request bursts (tens of milliseconds), yet short enough to follow a failover. */
 constexpr std::chrono::duration<double, std::milli> kMemory{1'000.0};
 
 }  // namespace
--- a/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h
@@ -4,20 +4,19 @@
 
 namespace zinnia {
 
-/** How busy the pipe between failure domains is, estimated from what this instance sent over it.
+/** Estimates the utilization of the inter-domain link from the transfers of this instance.
 
-    All prompts that cross share one pipe, one transfer after another. A pool that lost stages sends
-    ever more requests across until the pipe is full; then every request waits seconds for its first
-    token, and one notices callers leaving while engines idle.
+    Prompt transfers between failure domains share one link and run one after another. Without this
+    estimate, a pool that lost stages would saturate the link and delay first tokens by seconds.
 */
 class InterDomainLinkMeter {
  public:
   explicit InterDomainLinkMeter(const Clock& clock) : m_clock(clock) {}
 
-  /** A request was sent whose prompt takes the pipe for so long in total. */
+  /** Records a request whose prompt occupies the link for `transfer_ms` in total. */
   void Add(double transfer_ms);
 
-  /** The share of time that transfers of this instance take, 0 and more. */
+  /** Fraction of time that transfers of this instance occupy the link. Exceeds 1 if they queue. */
   double OwnUtilization() const;
 
  private:
