--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.h
@@ -7,18 +7,16 @@
 
 namespace zinnia {
 
-/** The answers to one round of probes of servers that fell silent together, and what they prove.
+/** Collects the results of probing servers that became silent together.
 
-    Silence has two causes that look alike: servers have died, or this instance's own way to them is
-    cut. All servers of a path fall silent with it, so most of a round may well be dead: three of a
-    path of four, in one rack. One answer, or events over some other path meanwhile, show that the
-    way works. Without either nobody is named: one would notice an instance that was cut off
-    and took the servers of the whole fleet out of use.
+    Silent servers may be dead, or this instance may be partitioned from them. Servers count as dead
+    only if another probe of the round succeeded or streams over other paths are active. Otherwise a
+    partitioned instance would take all servers out of use.
 */
 class ProbeRound {
  public:
-  /** `other_streams_active`: streams of this instance that pass through none of the probed servers
-     have events. */
+  /** `other_streams_active`: whether streams of this instance that use none of the probed servers
+      still receive events. */
   ProbeRound(std::size_t probed, bool other_streams_active)
       : m_pending(probed), m_other_streams_active(other_streams_active) {}
 
@@ -26,7 +24,7 @@
 
   bool IsComplete() const { return m_pending == 0; }
 
-  /** Servers that are dead as far as this round can tell. Only once it is complete. */
+  /** Servers that this round found dead. Requires IsComplete(). */
   std::vector<BackendServerName> DeadServers() const;
 
  private:
