--- a/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.cc
@@ -7,7 +7,7 @@
 
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-/** Servers that are free again are forgotten beyond this number. */
+/** Idle servers are removed once the map holds this many entries. */
 constexpr std::size_t kMaxServers = 1'024;
 
 }  // namespace
--- a/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.h
@@ -7,11 +7,10 @@
 
 namespace zinnia {
 
-/** How long servers will be busy reading again what streams had when they were moved.
+/** Estimates how long servers will be busy with the prefill of streams that were moved to them.
 
-    When a server is lost, some eighty streams are moved within a few milliseconds, and each reads
-    its tokens again at its new servers. None of that shows in what is in flight there, so all would
-    choose the same path and wait for each other.
+    When a server is lost, many streams move within milliseconds and each repeats its prefill on the
+    new servers. In-flight counts don't show this work, so all streams would choose the same path.
 */
 class PrefillBacklog {
  public:
@@ -19,7 +18,7 @@
 
   void Add(const BackendServerName& server, double work_ms);
 
-  /** Until what was added so far is read. */
+  /** Time until the prefill work added so far is done. */
   double WaitMs(const BackendServerName& server) const;
 
  private:
