--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -93,7 +93,7 @@
   }
   m_reported_leaving[server.name] = m_scheduler.ScheduleAfter(
       kLeavingReportLifetime, [this, name = server.name, on_changed = std::move(on_changed)] {
-        // Kept until it has run: erasing the timer destroys what the call holds.
+        // Keeps the timer alive until this callback returns, as it owns the captures.
         const auto timer = m_reported_leaving.extract(name);
         const auto found = m_servers.find(name);
         if (found != m_servers.end()) {
@@ -134,7 +134,7 @@
                                std::function<void()> act) {
   m_postponed[registration] =
       m_scheduler.ScheduleAfter(delay, [this, registration, act = std::move(act)] {
-        // Kept until it has run: erasing the timer destroys what the call holds.
+        // Keeps the timer alive until this callback returns, as it owns the captures.
         const auto timer = m_postponed.extract(registration);
         act();
       });
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -16,37 +16,31 @@
 
 class Logger;
 
-/** Which backend servers exist: the registered ones, one start of each.
-
-    Three things can go wrong with entries, and each has its care here.
-
-    Entries carry a lease of their server, and leases may lapse while the store is away although the
-    server lives. Dropping them at once would empty the directory when the store comes back, and one
-    would notice refusals of everything for seconds. So a removal that is seen within
-    `kRemovalGracePeriod` of a failed call waits that long for the entry to come back.
-
-    A server may start again under its registration. The earlier start is over at once, and with it
-    all that ran there: waiting for its silence would cost each of its streams most of a second.
-
-    A server that is to end while the store is away cannot say so there. It refuses new work all the
-    same, and who asks it hears that it leaves; see OnServerStateReport.
-
-    A write of an earlier start may reach the store after the first one of a later start, as may a
-    later start's whose clock is behind. Both look alike. So an entry that began before the known
-    one waits for `kEarlierIncarnationDelay`: a server that lives has written again by then.
+/** Directory of the registered backend servers, with one incarnation of each.
+
+    - Leases may expire during a store outage although their servers are running. If the store
+      failed recently, a removal is delayed by `kRemovalGracePeriod` so that the entry can return.
+      Otherwise the directory would be empty after the outage and requests would be refused.
+    - If a server restarts under its registration, the earlier incarnation ends immediately. Its
+      streams needn't wait until it is found to be silent.
+    - A server that shuts down during a store outage cannot update its entry. It refuses new work,
+      and instances learn from its answers that it is leaving; see OnServerStateReport.
+    - An entry with an earlier start time may be a late write of the previous incarnation, or come
+      from a restarted server whose clock is behind. It is applied after `kEarlierIncarnationDelay`
+      unless another write for the registration arrives first.
 */
 class ServerDirectory {
  public:
-  /** A little over the two seconds within which lapsed entries return. */
+  /** Slightly longer than the two seconds within which expired entries return. */
   static constexpr Duration kRemovalGracePeriod = std::chrono::milliseconds(2'300);
 
-  /** Two of the servers' usual intervals between writes, 1.2 s. */
+  /** Two of the servers' usual write intervals of 1.2 s. */
   static constexpr Duration kEarlierIncarnationDelay = std::chrono::milliseconds(2'500);
 
-  /** As long as most outages of the store, in which servers cannot announce that they leave. */
+  /** Covers most store outages, during which servers cannot announce that they are leaving. */
   static constexpr Duration kLeavingReportLifetime = std::chrono::milliseconds(6'000);
 
-  /** Ended starts are remembered for those who still run requests there; more is never asked. */
+  /** Ended incarnations are kept for instances that still have requests there. */
   static constexpr std::size_t kMaxEndedIncarnations = 256;
 
   using Servers = std::map<BackendServerName, ServerEntry>;
@@ -54,27 +48,25 @@
   ServerDirectory(Scheduler& scheduler, Logger& logger)
       : m_scheduler(scheduler), m_logger(logger) {}
 
-  /** `on_changed` is called if the entry is taken in later. */
+  /** Calls `on_changed` if the entry is applied after a delay. */
   void Put(ServerEntry entry, std::function<void()> on_changed);
 
-  /** Whether this changes what is known. The next entry that is put counts again. That a server
-      leaves is believed for `kLeavingReportLifetime` after it was last heard; `on_changed` is
-     called when that is over. */
+  /** Applies a server's report of its own state and returns whether the directory changed. The next
+      entry passed to Put overrides it. A report that the server is leaving expires
+      `kLeavingReportLifetime` after the last one; `on_changed` is called then. */
   bool OnServerStateReport(const ServerNews& report, std::function<void()> on_changed);
 
-  /** `store_failed_recently`: the store failed lately. `on_changed` is called if the removal is
-   * carried out later.
-   */
+  /** If `store_failed_recently`, the removal is delayed and `on_changed` is called after it. */
   void Remove(const std::string& registration,
               bool store_failed_recently,
               std::function<void()> on_changed);
 
-  /** The registration's record cannot be read: whatever wrote it, no server is known there now. */
+  /** Removes the server of a registration whose record cannot be parsed. */
   void Invalidate(const std::string& registration);
 
   const Servers& All() const { return m_servers; }
 
-  /** Starts whose server is known to have started again since. */
+  /** Incarnations that a later incarnation of the same server replaced. */
   const std::set<BackendServerName>& EndedIncarnations() const { return m_ended; }
 
  private:
@@ -89,14 +81,15 @@
   Logger& m_logger;
   Servers m_servers;
 
-  /** By registration, the present start. */
+  /** The current incarnation by registration. */
   std::map<std::string, BackendServerName> m_present;
   std::set<BackendServerName> m_ended;
 
-  /** Servers that leave by hearsay alone, and the end of that belief. */
+  /** Servers that are leaving according to reports only, with the timers that expire the
+      reports. */
   std::map<BackendServerName, std::unique_ptr<ScheduledCall>> m_reported_leaving;
 
-  /** By registration, what is to happen unless another entry comes first. */
+  /** Delayed changes by registration, cancelled if another entry arrives first. */
   std::map<std::string, std::unique_ptr<ScheduledCall>> m_postponed;
 };
 
