--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -6,33 +6,32 @@
 namespace zinnia {
 namespace {
 
-/** The weight of one outcome: five failures in a row bring the share to about 0.8. */
+/** Weight of one outcome in the moving average: five consecutive failures raise it to about 0.8. */
 constexpr double kOutcomeWeight = 0.28;
 
-/** Half of the evidence is forgotten in this time, so a recovered server is tried within seconds.
- */
+/** Half-life of the failure rate. A recovered server is tried again within seconds. */
 constexpr std::chrono::duration<double> kHalfLife{3.0};
 
-/** Waiting requests come and go faster. */
+/** Half-life of the first-event delay; shorter, since queues change faster than failure rates. */
 constexpr std::chrono::duration<double> kDelayHalfLife{0.7};
 
-/** A request that tries a suspect server has this long to get through before the next one may:
-   about the time of a first event, and of finding that a server is silent. */
+/** Minimum interval between attempts at a suspect server. Covers the delay of a first event and the
+    detection of a silent server. */
 constexpr Duration kSuspectAttemptInterval = std::chrono::milliseconds(500);
 
-/** A suspect that may still be dead is asked again after this. */
+/** Minimum interval between probes of a suspect server. */
 constexpr Duration kSuspectProbeInterval = std::chrono::milliseconds(500);
 
-/** A server's word on its pace counts for this long; its own values lag by some hundred ms. */
+/** A server's report of its slowdown expires after this time. */
 constexpr Duration kSlowdownLifetime = std::chrono::seconds(3);
 
-/** A server is not asked again before this. Slow servers stay so for seconds. */
+/** Minimum interval between slowdown queries to a server. Slow servers stay slow for seconds. */
 constexpr Duration kSlowdownQueryInterval = std::chrono::milliseconds(500);
 
-/** From this slowdown on a server is worth telling of. */
+/** Servers with at least this slowdown factor are reported as slow. */
 constexpr double kSlowServerThreshold = 1.3;
 
-/** Records of servers that have left are dropped beyond this number. */
+/** Records of servers that aren't excluded are removed once there are this many. */
 constexpr std::size_t kMaxRecords = 4'096;
 
 }  // namespace
@@ -60,7 +59,7 @@
                                       Duration first,
                                       Duration longest) {
   if (IsExcluded(server)) {
-    return;  // Requests that were on their way together are one refusal.
+    return;  // Concurrent requests that were refused together count as one refusal.
   }
   Record& record = Touch(server);
   record.last_exclusion = std::clamp(record.last_exclusion * 2, first, longest);
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -12,66 +12,66 @@
 
 namespace zinnia {
 
-/** What the traffic itself says about servers: which to avoid for a while, and which fail often.
+/** Tracks server health from request outcomes: servers to avoid for a while, and failure rates.
 
-    Health checks are not asked: a server may answer them well and fail its requests, or the
-    reverse. Evidence decays, so that a server that recovered gets a try again.
+    Health checks are not considered, since a server may pass them and still fail requests, or the
+    reverse. Observations decay, so that a recovered server receives requests again.
 */
 class ServerHealth {
  public:
   explicit ServerHealth(const Clock& clock) : m_clock(clock) {}
 
-  /** It refuses for now, for want of room or layers: no requests for `duration`. */
+  /** Excludes a server for `duration`, after it refused for lack of capacity or layers. */
   void Exclude(const BackendServerName& server, Duration duration);
 
-  /** The same, twice as long at each refusal since a request last got through, up to `longest`. */
+  /** Excludes a server for `first`, doubled at each refusal up to `longest`. OnProgress resets
+      it. */
   void ExcludeWithBackoff(const BackendServerName& server, Duration first, Duration longest);
 
-  /** Strong evidence (cannot be reached, silent, named as stalled): no requests for `duration`, and
-      then none before it has answered a question, and one at a time until one gets through. Its
-      entry may stay for seconds after its death, as long as an outage of the store lasts, and each
-      request that tries it meanwhile is lost time for a caller. */
+  /** Marks a server as suspect: unreachable, silent or reported as stalled. It is excluded for
+      `duration` and until it answers a probe. Then single requests may try it until one makes
+      progress. The entry of a dead server may remain for as long as a store outage lasts, and each
+      request that tries it meanwhile is delayed. */
   void Suspect(const BackendServerName& server, Duration duration);
 
-  /** Suspects that should be asked now whether they answer. Notes that they are. */
+  /** Returns the suspects that are due for a probe and records that they are being probed. */
   std::vector<BackendServerName> TakeSuspectsToProbe();
 
-  /** A suspect has answered: a request may try it. */
+  /** The server answered a probe. A suspect may now be tried by a request. */
   void OnProbeAnswered(const BackendServerName& server);
 
-  /** A request was sent on a path that needs the server. */
+  /** A request was sent on a path that includes the server. */
   void OnAttempt(const BackendServerName& server);
 
-  /** A request that needs the server went on: it is not suspect. */
+  /** A request made progress on a path that includes the server, so it is no longer suspect. */
   void OnProgress(const BackendServerName& server);
 
-  /** A request at the server ended well, or failed through its fault. */
+  /** A request at the server succeeded, or failed due to the server. */
   void OnOutcome(const BackendServerName& server, bool good);
 
-  /** A request that began at the server had its first event after so long. */
+  /** A request whose path begins at the server received its first event after `delay`. */
   void OnFirstEvent(const BackendServerName& server, Duration delay);
 
-  /** The usual delay of first events lately; zero if none is known. */
+  /** Moving average of recent first-event delays; zero if unknown. */
   Duration FirstEventDelay(const BackendServerName& server) const;
 
-  /** What a server says of its slowdown, here or to a peer. The newest word counts, for three
-   * seconds.
-   */
+  /** Records a server's slowdown report, received directly or through a peer. The latest one counts
+      until it expires. */
   void OnSlowdownReport(const PaceNews& report);
 
-  /** How many times longer than usual the server's work takes; 1 if nothing is known. */
+  /** Factor by which the server's work takes longer than usual; 1 if unknown. */
   double SlowdownFactor(const BackendServerName& server) const;
 
-  /** Whether the server should be asked for its slowdown now: each question is priced, and peers
-     ask too. Notes that it is. */
+  /** Returns whether the server's slowdown should be queried now, and records the query if so.
+      Limits queries, since each has a cost and peers send them too. */
   bool TryBeginSlowdownQuery(const BackendServerName& server);
 
-  /** The servers that are known to be slow, for peers and for asking again. */
+  /** Servers known to be slow, to be reported to peers and queried again. */
   std::vector<PaceNews> SlowServers() const;
 
   bool IsExcluded(const BackendServerName& server) const;
 
-  /** The share of its recent requests that failed, 0 to 1. */
+  /** Fraction of recent requests that failed, 0 to 1. */
   double FailureRate(const BackendServerName& server) const;
 
  private:
@@ -79,7 +79,7 @@
     TimePoint excluded_until{};
     Duration last_exclusion{};
     bool is_suspect = false;
-    bool has_answered = false;  // Since it became a suspect.
+    bool has_answered = false;  // Since the server became suspect.
     TimePoint next_probe_at{};
     TimePoint next_attempt_at{};
     TimePoint changed_at{};
