--- a/packages/zinnia_decisions/forwarding/beliefs/server_use.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_use.h
@@ -4,15 +4,15 @@
 
 namespace zinnia {
 
-/** What requests in flight take of one server. */
+/** Resources of one server that in-flight requests use. */
 struct ServerUse {
   std::uint32_t requests = 0;
 
-  /** Cache memory reserved: for each request its tokens, prompt and expected answer, times the
-      layers that it runs there. */
+  /** Reserved cache memory: for each request, its prompt and expected answer tokens times the
+      layers that it runs on the server. */
   double token_layers = 0.0;
 
-  /** Requests whose path begins there. Engines bound these, not those that pass through. */
+  /** Requests whose path begins at the server. Engines limit only these. */
   std::uint32_t begun = 0;
 
   bool operator==(const ServerUse&) const = default;
