--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
@@ -6,19 +6,19 @@
 namespace zinnia {
 namespace {
 
-/** The shortest silence that counts; a pass of a loaded stage takes tens of milliseconds. */
+/** Longer than one pass of a loaded stage, which takes tens of milliseconds. */
 constexpr Duration kMinSilence = std::chrono::milliseconds(70);
 
-/** The silence must also be this many times the usual interval: under load passes grow longer. */
+/** Minimum silence as a multiple of the mean event interval, since passes are slower under load. */
 constexpr double kMinIntervals = 1.5;
 
-/** So many events must have been due and not come. */
+/** Minimum number of events that were due and have not arrived. */
 constexpr double kMinMissedEvents = 5.0;
 
-/** A single stream is judged by its engine's report instead. */
+/** The stall of a single stream is detected from its engine's report instead. */
 constexpr int kMinStreams = 2;
 
-/** What passes through one server. */
+/** Combined activity of the streams that pass through one server. */
 struct ServerActivity {
   const PathPart* part = nullptr;
   TimePoint newest_event_at{};
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
@@ -7,28 +7,26 @@
 
 namespace zinnia {
 
-/** How a running stream does: what it passes through, and how regularly its events come. */
+/** Path of a running stream and the timing of its events. */
 struct StreamProgress {
   const LayerPath* path = nullptr;
   TimePoint last_event_at{};
   Duration mean_interval{};
 };
 
-/** Finds servers through which nothing passes any more, by the events of all streams of this
-    instance together.
+/** Detects silent servers from the combined events of all streams of this instance.
 
-    One stream alone must be silent for several of its gaps before that means anything; twenty
-    streams through one server bring an event every few milliseconds. Engines report a stalled
-    server only when the allowed pause is over, so waiting for their word makes every stream of a
-    lost stage late.
+    Many streams through one server yield an event every few milliseconds, so a stall shows much
+    sooner than in a single stream. Engines report a stalled server only after the allowed event
+    interval has passed, when every stream through it is late already.
 */
 class SilenceDetector {
  public:
-  /** Servers that are suspected now, each once. A suspicion is a reason to ask the server, no
-     proof: of a path whose streams share all servers, all are suspected together. */
+  /** Returns the silent servers, each once. They should be probed before they are treated as dead:
+      if all streams of a path share its servers, all of these are suspects together. */
   static std::vector<PathPart> Suspects(const std::vector<StreamProgress>& streams, TimePoint now);
 
-  /** Whether some stream that passes through no suspect had an event just now. */
+  /** Whether a stream that passes through no suspect received an event recently. */
   static bool OtherStreamsActive(const std::vector<StreamProgress>& streams,
                                  const std::vector<PathPart>& suspects,
                                  TimePoint now);
