--- a/packages/zinnia_decisions/forwarding/streams/departure_schedule.cc
+++ b/packages/zinnia_decisions/forwarding/streams/departure_schedule.cc
@@ -5,8 +5,9 @@
 namespace zinnia {
 namespace {
 
-/** The parts of the notice between which streams that were to end in time move if they have not.
-    Some servers end sooner than they should, and the last move needs time to be carried out. */
+/** Streams that are expected to end in time move between these fractions of the notice period if
+    they are still running. The rest of the period is left for the last moves to complete, and for
+    servers that shut down early. */
 constexpr double kDeferredMoveFraction = 0.4;
 constexpr double kLastMoveFraction = 0.8;
 
--- a/packages/zinnia_decisions/forwarding/streams/departure_schedule.h
+++ b/packages/zinnia_decisions/forwarding/streams/departure_schedule.h
@@ -5,26 +5,22 @@
 
 namespace zinnia {
 
-/** When a running stream leaves a server of its path that will end soon, but still works.
+/** Decides when running streams move away from a server that has announced its shutdown.
 
-    What fails without it: hundreds of streams leave a server the moment it announces its departure,
-    and all of them read their tokens again at the same substitute. Each stands still for up to
-    half a second, although the server would have served most of them to their end. One notices
-    pauses in answers whenever engines are replaced or taken away as planned.
-
-    So a stream that is expected to end while the server still works stays, for the first part of
-    the notice at least; each of the others moves at a moment of its own. Chance spreads them, as
-    no instance knows the streams of the others.
+    If all streams moved at once, their prefills would queue on the same substitute and stall each
+    answer for up to half a second. Streams that are expected to end before the shutdown stay for
+    the first part of the notice period; the others move at random times, which spreads the load
+    without coordination between instances.
 */
 class DepartureSchedule {
  public:
-  /** `notice`: how long servers go on working after they announced their departure. */
+  /** `notice`: time for which servers continue to serve after announcing their shutdown. */
   DepartureSchedule(RandomSource& random, Duration notice) : m_random(random), m_notice(notice) {}
 
   void SetNotice(Duration notice) { m_notice = notice; }
 
-  /** When a stream that has `expected_remaining` to go should move, if it has not ended by then.
-      `known_at`: when the departure became known. */
+  /** Time at which a stream should move unless it has ended by then. `known_at` is the time at
+      which the shutdown became known. */
   TimePoint MoveAt(TimePoint known_at, Duration expected_remaining) const;
 
  private:
