--- a/packages/zinnia_decisions/forwarding/streams/silence_policy.cc
+++ b/packages/zinnia_decisions/forwarding/streams/silence_policy.cc
@@ -10,18 +10,18 @@
 
 using std::chrono::milliseconds;
 
-/** In parts of the time that counts as on time. Sooner, engines that are merely full are asked, and
-    left: they reset connections beyond their bound, and a question that fails for that looks like
-    one to a dead server. */
+/** Factors of the route's objectives. Smaller ones would probe and abandon engines that are only
+    full: these reset connections beyond their limit, so that a failed probe looks like a dead
+    server. */
 constexpr double kProbeBeforeFirstEvent = 1.2;
 constexpr double kProbeBetweenEvents = 1.0;
 constexpr double kAbandonBeforeFirstEvent = 1.0;
 constexpr double kAbandonBetweenEvents = 2.0;
 
-/** Engines' passes take tens of milliseconds. */
+/** Longer than one pass of an engine, which takes tens of milliseconds. */
 constexpr Duration kMinSilence = milliseconds(120);
 
-/** Callers leave after two seconds without an event, also of routes that promise nothing. */
+/** Callers disconnect after two seconds without an event, also on routes without objectives. */
 constexpr Duration kMaxSilence = milliseconds(800);
 
 Duration ScaleObjective(milliseconds objective, double factor) {
--- a/packages/zinnia_decisions/forwarding/streams/silence_policy.h
+++ b/packages/zinnia_decisions/forwarding/streams/silence_policy.h
@@ -6,20 +6,20 @@
 
 struct ForwardRoute;
 
-/** How long one stream may be silent before its servers are asked, and before its first server is
-    left. Both follow from what the route's callers count as late: a limit that is longer than that
-    finds a dead server only when the answer is late already.
+/** Timeouts after which the servers of a silent stream are probed and its first server is
+    abandoned. Both derive from the route's latency objectives, so that a dead server is detected
+    before the answer is late.
 
-    Lives as long as its route.
+    Must not outlive its route.
 */
 class SilencePolicy {
  public:
   explicit SilencePolicy(const ForwardRoute& route) : m_route(route) {}
 
-  /** Silence that is looked into. */
+  /** Silence after which the servers of the stream are probed. */
   Duration ProbeAfter(bool has_begun) const;
 
-  /** Silence after which a first server that does not answer questions either is left. */
+  /** Silence after which a first server that doesn't answer probes is abandoned. */
   Duration AbandonAfter(bool has_begun) const;
 
  private:
