--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.cc
@@ -6,13 +6,14 @@
 namespace zinnia {
 namespace {
 
-/** Longer than the usual pause by this factor: sound paths of many slow accelerators are even. */
+/** An interval is unusual above this multiple of the mean; healthy slow paths have even
+    intervals. */
 constexpr double kUnusualIntervalFactor = 1.5;
 
-/** The usual pause is a running mean over about so many. */
+/** Approximate window of the moving average. */
 constexpr int kIntervalsInMean = 4;
 
-/** A stream beyond its expected length goes on for so many events. */
+/** Lower bound of the expected remaining events, for streams that exceed their expected length. */
 constexpr double kMinRemainingEvents = 8.0;
 
 }  // namespace
--- a/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
+++ b/packages/zinnia_decisions/forwarding/streams/event_interval_tracker.h
@@ -4,30 +4,30 @@
 
 namespace zinnia {
 
-/** When the events of one stream came, and from that when the next ones and its end are due. */
+/** Tracks the intervals between the events of one stream and estimates when it will end. */
 class EventIntervalTracker {
  public:
-  /** Events that arrive together are one. */
+  /** Call once for events that arrive together. */
   void OnEvent(TimePoint now);
 
   bool HasBegun() const { return m_events > 0; }
 
-  /** Only after the first event. */
+  /** Requires HasBegun(). */
   TimePoint LastEventAt() const { return m_last_event_at; }
 
-  /** The pause before the newest event; zero for the first one. */
+  /** Interval before the latest event; zero for the first event. */
   Duration LastInterval() const { return m_last_interval; }
 
-  /** Mean of the last few pauses. */
+  /** Moving average of the last few intervals. */
   Duration MeanInterval() const { return m_mean_interval; }
   Duration LongestInterval() const { return m_longest_interval; }
 
-  /** Whether the newest event came so late that the path may have changed: `min_interval` at
-     min_interval, and much later than this stream's events used to. */
+  /** Whether the latest interval is at least `min_interval` and much longer than the mean before
+      it. A server of the path may have slowed down then. */
   bool IsLastIntervalUnusual(Duration min_interval) const;
 
-  /** Until `expected_events` have come in all. Estimates of an answer's length are often short, so
-      a stream that is beyond its own is taken to go on for some events more. */
+  /** Expected time until `expected_events` have arrived in total. Length estimates are often too
+      low, so a few more events are assumed once a stream exceeds its own. */
   Duration ExpectedRemaining(double expected_events) const;
 
  private:
--- a/packages/zinnia_decisions/forwarding/streams/streams.h
+++ b/packages/zinnia_decisions/forwarding/streams/streams.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** When a running stream stays, moves or starts again. */
+/** Timing of running streams: detection of silence and moves to other servers. */
 
 #include "zinnia_decisions/forwarding/streams/departure_schedule.h"
 #include "zinnia_decisions/forwarding/streams/event_interval_tracker.h"
