--- a/packages/zinnia_decisions/forwarding/retries/retries.h
+++ b/packages/zinnia_decisions/forwarding/retries/retries.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** What may be sent again, and how often all instances together may. */
+/** Retry policy and the retry budget that all instances share. */
 
 #include "zinnia_decisions/forwarding/retries/retry_policy.h"
 #include "zinnia_decisions/forwarding/retries/shared_retry_budget.h"
--- a/packages/zinnia_decisions/forwarding/retries/retry_policy.cc
+++ b/packages/zinnia_decisions/forwarding/retries/retry_policy.cc
@@ -5,7 +5,7 @@
 namespace zinnia {
 namespace {
 
-/** Sends that do not leave are free for servers, but each waits for a connection. */
+/** Unsent attempts cost servers nothing, but each waits for a connection. */
 constexpr std::uint32_t kMaxNotSent = 3;
 
 NextStep GiveUp(SendOutcome outcome, const SendHistory& history) {
--- a/packages/zinnia_decisions/forwarding/retries/retry_policy.h
+++ b/packages/zinnia_decisions/forwarding/retries/retry_policy.h
@@ -6,34 +6,34 @@
 
 struct ForwardRoute;
 
-/** How sending a request to one server ended without an answer that can be passed on.
-    kNotSent: no byte left. kNotRun: the server vouches that it never ran it. kUnknown: it may have
-    run. kServerFailed: it ran and the server answered with a failure. */
+/** Outcome of an attempt that yielded no answer for the caller. kNotSent: no byte was sent.
+    kNotRun: the server confirmed that it did not run the request. kUnknown: the request may have
+    run. kServerFailed: it ran, and the server returned an error. */
 enum class SendOutcome { kNotSent, kNotRun, kUnknown, kServerFailed };
 
-/** What to do next. kRefuse promises the caller that nothing ran; kFail promises nothing;
-   kForwardFailure hands on the server's own failure. */
+/** Next step after a failed attempt. kRefuse guarantees the caller that nothing ran, kFail
+    guarantees nothing, and kForwardFailure returns the server's own error. */
 enum class NextStep { kSendAgain, kRefuse, kFail, kForwardFailure };
 
-/** What is known of a request when one send has ended. */
+/** State of a request after an attempt has ended. */
 struct SendHistory {
-  /** Servers that the request reached, this one included unless it was kNotSent. */
+  /** Servers that the request reached, including the latest one unless the outcome was kNotSent. */
   std::uint32_t servers_reached = 0;
 
-  /** Sends that did not leave this instance. */
+  /** Attempts that ended with kNotSent. */
   std::uint32_t not_sent = 0;
 
-  /** Some earlier send may have run. */
+  /** Whether an earlier attempt may have run. */
   bool may_have_run = false;
 
   bool time_left = true;
 
-  /** Another server could take it. */
+  /** Whether another server could take the request. */
   bool has_alternative = true;
 };
 
-/** Decides whether a request may be sent again: never when that could run a non-idempotent request
-    twice, never beyond the route's number of servers. The retry budget is the caller's to ask. */
+/** Decides whether to retry a request. Never runs a non-idempotent request twice or exceeds the
+    route's number of servers. The caller must check the retry budget. */
 NextStep DecideNextStep(const ForwardRoute& route, SendOutcome outcome, const SendHistory& history);
 
 }  // namespace zinnia
