--- a/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
+++ b/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
@@ -5,8 +5,8 @@
 namespace zinnia {
 namespace {
 
-/** Part of the slack that is given out. The rest covers instances that do not know yet how many
-    they are, and windows that begin inside a slice. */
+/** Fractions of the configured limits that are used. The rest covers instances with an outdated
+    instance count, and windows that begin within a slice. */
 constexpr double kSlackFraction = 0.7;
 constexpr double kRatioFraction = 0.9;
 
--- a/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.h
+++ b/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.h
@@ -12,19 +12,19 @@
 
 struct ForwardingView;
 
-/** The bound that all instances keep together, per service and sliding window: retries up to
-    `ratio` times the requests, plus `slack`. */
+/** Limit on the retries of all instances, per service and sliding window: `ratio` times the
+    requests plus `slack`. */
 struct SharedRetryBudgetSettings {
   double ratio = 0.2;
   double slack = 100.0;
   Duration window = std::chrono::seconds(10);
 };
 
-/** This instance's part of a retry budget that all instances share.
+/** This instance's share of a retry budget for all instances.
 
-    Without a shared bound every instance alone stays small while the fleet multiplies the load of a
-    service that is failing already. Each takes its own requests' share of the ratio and an equal
-    part of the slack, so the sum over instances keeps the bound without asking anybody.
+    With separate budgets, all instances together could multiply the load of a failing service. Each
+    instance applies the ratio to its own requests and takes an equal share of the slack, which
+    keeps the total within the limit without coordination.
 */
 class SharedRetryBudget {
  public:
@@ -35,7 +35,7 @@
 
   void OnRequest(const ServiceName& service);
 
-  /** Takes one retry; false if none is left in this window. */
+  /** Consumes one retry. Returns false if none is left in the current window. */
   [[nodiscard]] bool TrySpend(const ServiceName& service, const ForwardingView& view);
 
  private:
