--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -9,8 +9,8 @@
 namespace zinnia {
 
 const ServerEntry* ServerDirectory::FindEntry(const std::string& registration) const {
-  const auto present = m_present.find(registration);
-  return present == m_present.end() ? nullptr : &m_servers.at(present->second);
+  const auto current = m_current.find(registration);
+  return current == m_current.end() ? nullptr : &m_servers.at(current->second);
 }
 
 void ServerDirectory::Put(ServerEntry entry, std::function<void()> on_changed) {
@@ -46,20 +46,20 @@
                   {"draining", entry.draining ? "yes" : "no"},
                   {"layers", fmt::format("{}-{}", entry.layers.first, entry.layers.end)}});
   }
-  m_present[entry.registration] = entry.name;
-  m_ended.erase(entry.name);
+  m_current[entry.registration] = entry.name;
+  m_ended_incarnations.erase(entry.name);
   m_reported_leaving.erase(entry.name);
   const BackendServerName name = entry.name;
   m_servers[name] = std::move(entry);
 }
 
-void ServerDirectory::EndIncarnation(const BackendServerName& start) {
-  if (m_ended.size() >= kMaxEndedIncarnations) {
-    m_ended.erase(m_ended.begin());
+void ServerDirectory::EndIncarnation(const BackendServerName& incarnation) {
+  if (m_ended_incarnations.size() >= kMaxEndedIncarnations) {
+    m_ended_incarnations.erase(m_ended_incarnations.begin());
   }
-  m_ended.insert(start);
-  m_reported_leaving.erase(start);
-  m_servers.erase(BackendServerName(start));
+  m_ended_incarnations.insert(incarnation);
+  m_reported_leaving.erase(incarnation);
+  m_servers.erase(BackendServerName(incarnation));
 }
 
 bool ServerDirectory::OnServerStateReport(const ServerNews& report,
@@ -131,21 +131,21 @@
 
 void ServerDirectory::Postpone(const std::string& registration,
                                Duration delay,
-                               std::function<void()> act) {
+                               std::function<void()> action) {
   m_postponed[registration] =
-      m_scheduler.ScheduleAfter(delay, [this, registration, act = std::move(act)] {
+      m_scheduler.ScheduleAfter(delay, [this, registration, action = std::move(action)] {
         // Keeps the timer alive until this callback returns, as it owns the captures.
         const auto timer = m_postponed.extract(registration);
-        act();
+        action();
       });
 }
 
 void ServerDirectory::RemoveEntry(const std::string& registration, const char* reason) {
-  const BackendServerName name = m_present.at(registration);
+  const BackendServerName name = m_current.at(registration);
   m_logger.Log(LogLevel::kInfo, "server_gone", {{"server", name}, {"reason", reason}});
   m_reported_leaving.erase(name);
   m_servers.erase(name);
-  m_present.erase(registration);
+  m_current.erase(registration);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -67,23 +67,23 @@
   const Servers& All() const { return m_servers; }
 
   /** Incarnations that a later incarnation of the same server replaced. */
-  const std::set<BackendServerName>& EndedIncarnations() const { return m_ended; }
+  const std::set<BackendServerName>& EndedIncarnations() const { return m_ended_incarnations; }
 
  private:
   const ServerEntry* FindEntry(const std::string& registration) const;
   void ApplyEntry(ServerEntry entry);
-  void EndIncarnation(const BackendServerName& start);
+  void EndIncarnation(const BackendServerName& incarnation);
   void RemoveEntry(const std::string& registration, const char* reason);
   bool OnLeavingReport(ServerEntry& server, std::function<void()> on_changed);
-  void Postpone(const std::string& registration, Duration delay, std::function<void()> act);
+  void Postpone(const std::string& registration, Duration delay, std::function<void()> action);
 
   Scheduler& m_scheduler;
   Logger& m_logger;
   Servers m_servers;
 
   /** The current incarnation by registration. */
-  std::map<std::string, BackendServerName> m_present;
-  std::set<BackendServerName> m_ended;
+  std::map<std::string, BackendServerName> m_current;
+  std::set<BackendServerName> m_ended_incarnations;
 
   /** Servers that are leaving according to reports only, with the timers that expire the
       reports. */
