--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -280,7 +280,7 @@
 void ForwardExchange::OnServerFailed(AnswerFailure failure, std::string_view reason) {
   m_connection.reset();
   if (failure == AnswerFailure::kNotSent) {
-    m_parts.health.Suspect(m_server, kUnreachableExclusion);
+    m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
     ++m_history.not_sent;
     --m_history.servers_reached;
     m_avoided.insert(m_server);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -133,7 +133,7 @@
     // One report may be lost to a full connection table; the stream's own silence must agree.
     const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
     if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
-      m_parts.health.Suspect(m_server, kUnreachableExclusion);
+      m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
     }
     return;
@@ -153,7 +153,7 @@
     return;
   }
   for (const BackendServerName& server : stalled) {
-    m_parts.health.Suspect(server, kStalledExclusion);
+    m_parts.health.MarkSuspect(server, kStalledExclusion);
   }
   m_parts.report_stalled({stalled.begin(), stalled.end()});
 }
@@ -229,7 +229,7 @@
   m_parts.stalls.Confirm(
       accused, is_full ? std::string() : service->second.health_path,
       [&parts = m_parts](const BackendServerName& dead) {
-        parts.health.Suspect(dead, kStalledExclusion);
+        parts.health.MarkSuspect(dead, kStalledExclusion);
         parts.report_stalled({dead});
       },
       [&parts = m_parts](const BackendServerName& leaving) {
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -118,7 +118,7 @@
     m_parts.stalls.Check(suspects, SilenceDetector::OtherStreamsActive(streams, suspects, now),
                          [this](const std::vector<BackendServerName>& dead) {
                            for (const BackendServerName& server : dead) {
-                             m_parts.health.Suspect(server, kDeadExclusion);
+                             m_parts.health.MarkSuspect(server, kDeadExclusion);
                            }
                            m_parts.report_stalled(dead);
                          });
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -122,7 +122,7 @@
     m_parts.logger.Log(LogLevel::kInfo, "server_stalled",
                        {{"server", stall.server}, {"seen_by", "peer"}});
     if (stall.age < kStalledExclusion) {
-      m_health.Suspect(stall.server, kStalledExclusion - stall.age);
+      m_health.MarkSuspect(stall.server, kStalledExclusion - stall.age);
       servers.push_back(stall.server);
     }
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -66,7 +66,7 @@
   record.excluded_until = m_clock.Now() + record.last_exclusion;
 }
 
-void ServerHealth::Suspect(const BackendServerName& server, Duration duration) {
+void ServerHealth::MarkSuspect(const BackendServerName& server, Duration duration) {
   Exclude(server, duration);
   Record& record = m_records[server];
   record.is_suspect = true;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -32,7 +32,7 @@
       `duration` and until it answers a probe. Then single requests may try it until one makes
       progress. The entry of a dead server may remain for as long as a store outage lasts, and each
       request that tries it meanwhile is delayed. */
-  void Suspect(const BackendServerName& server, Duration duration);
+  void MarkSuspect(const BackendServerName& server, Duration duration);
 
   /** Returns the suspects that are due for a probe and records that they are being probed. */
   std::vector<BackendServerName> TakeSuspectsToProbe();
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -230,7 +230,7 @@
 // is left for a moment, then all waiting requests try it at once. Cause: the end of an exclusion
 // taken for a recovery.
 TEST(ServerChoice, ASuspectIsTriedByOneRequestAtATimeUntilOneGetsThrough) {
-  health.Suspect("a", seconds(3));
+  health.MarkSuspect("a", seconds(3));
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(3'100));
   CHECK_TRUE(health.IsExcluded("a"));
@@ -251,7 +251,7 @@
 // three seconds, and its caller waits for nothing. Sequence: a server dies in an outage, its entry
 // stays. Cause: callers' requests used to find out whether it is back.
 TEST(ServerChoice, ASuspectIsAskedBeforeARequestTriesIt) {
-  health.Suspect("a", seconds(3));
+  health.MarkSuspect("a", seconds(3));
   CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   time.AdvanceBy(milliseconds(3'100));
   CHECK_EQUAL(1U, health.TakeSuspectsToProbe().size());
@@ -263,7 +263,7 @@
   time.AdvanceBy(seconds(2));
   CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   CHECK_FALSE(health.IsExcluded("a"));
-  health.Suspect("a", seconds(3));  // It was silent again.
+  health.MarkSuspect("a", seconds(3));  // It was silent again.
   time.AdvanceBy(seconds(4));
   CHECK_TRUE(health.IsExcluded("a"));
 }
