--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -113,7 +113,7 @@
     BeginWaiting(exchanges);
   }
   const TimePoint now = m_parts.clock.Now();
-  const auto suspects = SilenceDetector::Suspects(streams, now);
+  const auto suspects = SilenceDetector::FindSuspects(streams, now);
   if (!suspects.empty()) {
     m_parts.stalls.Check(suspects, SilenceDetector::OtherStreamsActive(streams, suspects, now),
                          [this](const std::vector<BackendServerName>& dead) {
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-std::vector<PathPart> SilenceDetector::Suspects(const std::vector<StreamProgress>& streams,
-                                                TimePoint now) {
+std::vector<PathPart> SilenceDetector::FindSuspects(const std::vector<StreamProgress>& streams,
+                                                    TimePoint now) {
   std::map<BackendServerName, ServerActivity> activities;
   for (const StreamProgress& stream : streams) {
     const std::chrono::duration<double, std::milli> interval = stream.mean_interval;
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/silence_detector.h
@@ -24,7 +24,8 @@
  public:
   /** Returns the silent servers, each once. They should be probed before they are treated as dead:
       if all streams of a path share its servers, all of these are suspects together. */
-  static std::vector<PathPart> Suspects(const std::vector<StreamProgress>& streams, TimePoint now);
+  static std::vector<PathPart> FindSuspects(const std::vector<StreamProgress>& streams,
+                                            TimePoint now);
 
   /** Whether a stream that passes through no suspect received an event recently. */
   static bool OtherStreamsActive(const std::vector<StreamProgress>& streams,
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -194,7 +194,7 @@
 
   std::string Suspects(const std::vector<StreamProgress>& streams) {
     std::string names;
-    for (const PathPart& part : SilenceDetector::Suspects(streams, now)) {
+    for (const PathPart& part : SilenceDetector::FindSuspects(streams, now)) {
       names += part.server + " ";
     }
     return names;
