--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -13,55 +13,55 @@
   VirtualTime time;
   HeldStore store{time};
   SilentLogger logger;
-  RecordedMirror seen;
+  RecordedMirror recorded;
   StoreMirror mirror{store, time, time, logger, {}};
 
   void setup() override {
     store.Put("a", "1");
     store.Put("b", "1");
-    mirror.SetListener(&seen);
+    mirror.SetListener(&recorded);
     mirror.Start();
     time.AdvanceBy(milliseconds(600));
   }
 
-  void Watched() {
+  void AnswerWatch() {
     store.AnswerWatch();
     time.AdvanceBy(milliseconds(100));
   }
 };
 
-TEST(Mirror, ListsOnceThenFollowsByWatches) {
+TEST(Mirror, ListsOnceThenWatches) {
   CHECK_TRUE(mirror.IsFilled());
   store.Put("a", "2");
   store.Erase("b");
-  Watched();
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
-  CHECK_FALSE(seen.values["b"].has_value());
+  AnswerWatch();
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
+  CHECK_FALSE(recorded.values["b"].has_value());
   CHECK_EQUAL(1, store.lists);
 }
 
 // Symptom: a server that left long ago still gets requests. Sequence: watches hear nothing while
 // the server leaves, then the store drops its history. Cause: watching on from the newest revision
 // without listing what is left.
-TEST(Mirror, ALostHistoryIsListedAnewAndWhatIsMissingIsGone) {
+TEST(Mirror, ListsAgainAfterLostHistoryAndRemovesMissingRecords) {
   store.Erase("b");
   store.Put("c", "1");
   store.FailWatch(ErrorKind::kStoreHistoryLost);
   time.AdvanceBy(milliseconds(10));
   CHECK_EQUAL(2, store.lists);
-  CHECK_FALSE(seen.values["b"].has_value());
-  STRCMP_EQUAL("1", seen.values["c"]->c_str());
+  CHECK_FALSE(recorded.values["b"].has_value());
+  STRCMP_EQUAL("1", recorded.values["c"]->c_str());
 }
 
-TEST(Mirror, GoesOnWatchingFromWhereItWasAfterAFailure) {
+TEST(Mirror, ResumesWatchFromLastRevisionAfterFailure) {
   const std::uint64_t before = mirror.Revision();
   store.FailWatch(ErrorKind::kStoreUnavailable);
   CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
   time.AdvanceBy(seconds(1));
   CHECK_EQUAL(before, store.last_watch_after);
   store.Put("a", "2");
-  Watched();
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
+  AnswerWatch();
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
   time.AdvanceBy(seconds(2));
   CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
@@ -69,7 +69,7 @@
 
 // Symptom: an outage of the store costs two thousand calls. Sequence: no reader is in contact, so
 // all eighty instances try twice a second. Cause: each tried as often as if others relied on it.
-TEST(Mirror, ASubstituteTriesAnAbsentStoreSeldom) {
+TEST(Mirror, SubstituteRetriesUnavailableStoreAtReducedRate) {
   const auto calls_in_ten_seconds = [this] {
     int calls = 0;
     for (int step = 0; step < 100; ++step) {
@@ -91,9 +91,9 @@
 
 // Symptom: a watch that hears of nothing costs two hundred instances a call each two seconds.
 // Sequence: a reader's word reaches all of them. Cause: each watches the store all the same.
-TEST(Mirror, WhoNeedNotReadMakesNoCalls) {
+TEST(Mirror, MakesNoCallsWithoutReadingRole) {
   mirror.SetReading(StoreReading::kNone, 200);
-  Watched();
+  AnswerWatch();
   time.AdvanceBy(seconds(30));
   CHECK_EQUAL(0U, store.watches.size());
   CHECK_EQUAL(1, store.lists);
@@ -101,26 +101,26 @@
 
 // Symptom: two hundred calls to the store in the moment in which a domain's relays are lost.
 // Sequence: all members miss the readers' word at the same time. Cause: all try at once.
-TEST(Mirror, SubstitutesSpreadTheirFirstCalls) {
+TEST(Mirror, SubstitutesSpreadFirstCalls) {
   StoreMirrorSettings settings;
   settings.place = 0.5;
-  HeldStore quiet{time};
-  StoreMirror late{quiet, time, time, logger, settings};
-  late.SetReading(StoreReading::kNone, 200);
-  late.Start();
+  HeldStore unwatched_store{time};
+  StoreMirror delayed_mirror{unwatched_store, time, time, logger, settings};
+  delayed_mirror.SetReading(StoreReading::kNone, 200);
+  delayed_mirror.Start();
   time.AdvanceBy(seconds(1));
-  late.SetReading(StoreReading::kSubstitute, 200);
+  delayed_mirror.SetReading(StoreReading::kSubstitute, 200);
   time.AdvanceBy(milliseconds(400));
-  CHECK_EQUAL(0U, quiet.watches.size());
+  CHECK_EQUAL(0U, unwatched_store.watches.size());
   time.AdvanceBy(milliseconds(200));
-  CHECK_EQUAL(1U, quiet.watches.size());
+  CHECK_EQUAL(1U, unwatched_store.watches.size());
 }
 
 // Symptom: after an outage of the store all its servers are dropped. Sequence: an instance that
 // seldom asks the store has not noticed the outage; it tells its peers that the store is steady;
 // they take lapsed entries for servers that left. Cause: silence taken for steadiness.
-TEST(Mirror, AStoreThatWasNotAskedLatelyIsNotSteady) {
-  Watched();
+TEST(Mirror, IsNotSteadyWithoutRecentCalls) {
+  AnswerWatch();
   CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
   time.AdvanceBy(seconds(3));
   CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
@@ -128,26 +128,26 @@
 
 // Symptom: an old configuration comes into force again. Sequence: a peer that lags sends its
 // records. Cause: news applied by arrival instead of by revision.
-TEST(Mirror, OlderNewsOfPeersChangesNothing) {
+TEST(Mirror, IgnoresOlderRecordsFromPeers) {
   store.Put("a", "2");
-  Watched();
+  AnswerWatch();
   mirror.Merge({true, 2, {{"a", 2, "1"}}});
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_TRUE(mirror.Has("b"));
 }
 
-TEST(Mirror, APeerThatLagsGetsJustWhatItLacks) {
+TEST(Mirror, SendsOnlyMissingChangesToLaggingPeer) {
   const std::uint64_t before = mirror.Revision();
   store.Put("c", "1");
   store.Erase("b");
-  Watched();
+  AnswerWatch();
   const MirrorDelta delta = mirror.ChangesAfter(before);
   CHECK_FALSE(delta.complete);
   CHECK_EQUAL(2U, delta.records.size());
 
-  RecordedMirror other_seen;
+  RecordedMirror other_recorded;
   StoreMirror other{store, time, time, logger, {}};
-  other.SetListener(&other_seen);
+  other.SetListener(&other_recorded);
   other.Merge(mirror.ChangesAfter(0));
   CHECK_TRUE(other.IsFilled());
   CHECK_TRUE(other.Has("c"));
@@ -156,21 +156,21 @@
 
 // Symptom: a changed configuration is in force after six seconds. Sequence: the readers are lost,
 // and an instance that relied on them becomes one. Cause: it begins only after a pause.
-TEST(Mirror, ANewReaderWatchesAtOnce) {
+TEST(Mirror, NewReaderWatchesImmediately) {
   mirror.SetReading(StoreReading::kNone, 1);
-  Watched();
+  AnswerWatch();
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(0U, store.watches.size());
   store.Put("a", "2");
   mirror.SetReading(StoreReading::kReader, 1);
   CHECK_EQUAL(1U, store.watches.size());
-  Watched();
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
+  AnswerWatch();
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
 }
 
-TEST(Mirror, ANewReaderThatPausesStartsOneWatchAndNotTwo) {
+TEST(Mirror, NewReaderStartsOneWatchDuringDelay) {
   mirror.SetReading(StoreReading::kSubstitute, 1);
-  Watched();
+  AnswerWatch();
   CHECK_EQUAL(0U, store.watches.size());
   mirror.SetReading(StoreReading::kReader, 1);
   time.AdvanceBy(seconds(2));
