--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -127,7 +127,7 @@
 }
 
 // Symptom: an old configuration comes into force again. Sequence: a peer that lags sends its
-// records. Cause: news applied by arrival instead of by revision.
+// records. Cause: report applied by arrival instead of by revision.
 TEST(Mirror, IgnoresOlderRecordsFromPeers) {
   store.Put("a", "2");
   AnswerWatch();
@@ -189,21 +189,21 @@
   void Put(ServerEntry entry) {
     directory.Put(std::move(entry), [this] { ++changes; });
   }
-  ServerEntry Start(std::uint64_t started_at_ms, LayerRange layers = {}) {
+  ServerEntry Incarnation(std::uint64_t started_at_ms, LayerRange layers = {}) {
     ServerEntry entry = EngineServer("s", "fast", "x", layers);
     entry.name = "s@" + std::to_string(started_at_ms);
     entry.started_at_ms = started_at_ms;
     return entry;
   }
-  bool Hear(const ServerNews& news) {
-    return directory.OnServerStateReport(news, [this] { ++changes; });
+  bool Report(const ServerNews& report) {
+    return directory.OnServerStateReport(report, [this] { ++changes; });
   }
   void Remove(bool store_failed_recently) {
     directory.Remove("s", store_failed_recently, [this] { ++changes; });
   }
 };
 
-TEST(Servers, ARemovalWithoutDoubtActsAtOnce) {
+TEST(Servers, RemovesImmediatelyWithoutStoreFailure) {
   Remove(false);
   CHECK_TRUE(directory.All().empty());
 }
@@ -211,7 +211,7 @@
 // Symptom: everything is refused for seconds after an outage of the store. Sequence: leases of the
 // servers' entries lapse while the store is away; it comes back without the entries, and the
 // servers register again a second later. Cause: lapsed entries taken for dead servers.
-TEST(Servers, AnEntryThatLapsedInAnOutageMayReturn) {
+TEST(Servers, ExpiredEntryMayReturnAfterOutage) {
   Remove(true);
   CHECK_EQUAL(1U, directory.All().size());
   time.AdvanceBy(seconds(1));
@@ -224,10 +224,10 @@
 // Symptom: requests over moved layers are refused until the store is back. Sequence: an engine is
 // ordered to take other layers, the store goes away before its entry changes. Cause: only entries
 // believed.
-TEST(Servers, LayersThatAServerNamesCountUntilItsNextEntry) {
-  CHECK_TRUE(Hear({"s", {20, 40}}));
-  CHECK_FALSE(Hear({"s", {20, 40}}));
-  CHECK_FALSE(Hear({"stranger", {20, 40}}));
+TEST(Servers, ReportedLayersApplyUntilNextEntry) {
+  CHECK_TRUE(Report({"s", {20, 40}}));
+  CHECK_FALSE(Report({"s", {20, 40}}));
+  CHECK_FALSE(Report({"unknown", {20, 40}}));
   CHECK_EQUAL(20U, directory.All().at("s").layers.first);
   Put(EngineServer("s", "fast", "x", {0, 5}));
   CHECK_EQUAL(0U, directory.All().at("s").layers.first);
@@ -235,10 +235,10 @@
 
 // Symptom: callers are refused by servers that take no new work for as long as the store is away.
 // Sequence: a server that is to end cannot say so in the store. Cause: only entries believed.
-TEST(Servers, AServerThatTakesNoNewWorkLeavesUntilItsNextEntry) {
+TEST(Servers, LeavingReportAppliesUntilNextEntry) {
   const LayerRange held = directory.All().at("s").layers;
-  CHECK_TRUE(Hear({"s", {}, true}));
-  CHECK_FALSE(Hear({"s", {}, true}));
+  CHECK_TRUE(Report({"s", {}, true}));
+  CHECK_FALSE(Report({"s", {}, true}));
   CHECK_TRUE(directory.All().at("s").draining);
   CHECK_TRUE(directory.All().at("s").layers == held);
   Put(EngineServer("s", "fast", "x", held));
@@ -248,10 +248,10 @@
 
 // Symptom: a sound server gets no requests any more. Sequence: it refuses one, and its health check
 // lies; its entry stays as it was. Cause: hearsay believed for ever.
-TEST(Servers, ThatAServerLeavesIsBelievedForAWhileAfterItWasLastHeard) {
-  Hear({"s", {}, true});
+TEST(Servers, LeavingReportExpiresAfterLastReport) {
+  Report({"s", {}, true});
   time.AdvanceBy(seconds(4));
-  Hear({"s", {}, true});
+  Report({"s", {}, true});
   time.AdvanceBy(seconds(4));
   CHECK_TRUE(directory.All().at("s").draining);
   time.AdvanceBy(seconds(3));
@@ -262,8 +262,8 @@
 // Symptom: a leaving server gets requests again. Sequence: it refuses while the store is away; the
 // store is back and its entry says that it leaves; six seconds after the refusal the hearsay ends.
 // Cause: the end of hearsay applied to what the entry says.
-TEST(Servers, AnAnnouncementReplacesHearsay) {
-  Hear({"s", {}, true});
+TEST(Servers, AnnouncedDepartureReplacesReport) {
+  Report({"s", {}, true});
   time.AdvanceBy(seconds(3));
   ServerEntry leaving = EngineServer("s", "fast", "x");
   leaving.draining = true;
@@ -272,11 +272,11 @@
   CHECK_TRUE(directory.All().at("s").draining);
 }
 
-TEST(Servers, AnAnnouncedDepartureDoesNotEndAsHearsayDoes) {
+TEST(Servers, AnnouncedDepartureDoesNotExpire) {
   ServerEntry leaving = EngineServer("s", "fast", "x");
   leaving.draining = true;
   Put(leaving);
-  CHECK_FALSE(Hear({"s", {}, true}));
+  CHECK_FALSE(Report({"s", {}, true}));
   time.AdvanceBy(seconds(7));
   CHECK_TRUE(directory.All().at("s").draining);
 }
@@ -284,14 +284,14 @@
 // Symptom: streams stand still for half a second and more, and orders meant for an engine's former
 // start are counted on. Sequence: a server crashes and starts again under its registration before
 // its entry lapses. Cause: the new entry taken for a change of the old one.
-TEST(Servers, ALaterStartEndsTheEarlierOne) {
-  Put(Start(100, {0, 40}));
-  Put(Start(200));
+TEST(Servers, LaterIncarnationEndsEarlierOne) {
+  Put(Incarnation(100, {0, 40}));
+  Put(Incarnation(200));
   CHECK_EQUAL(1U, directory.All().size());
   CHECK_EQUAL(0U, directory.All().at("s@200").layers.Count());
   CHECK_TRUE(directory.EndedIncarnations().contains("s@100"));
-  CHECK_FALSE(Hear({"s@100", {0, 40}}));
-  Put(Start(300));
+  CHECK_FALSE(Report({"s@100", {0, 40}}));
+  Put(Incarnation(300));
   CHECK_EQUAL(1U, directory.All().size());
   CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
@@ -299,12 +299,12 @@
 // Symptom: requests go to layers that a server lost when it crashed. Sequence: the last write of
 // the earlier start reaches the store after the later start has registered. Cause: the newest
 // record believed, whoever wrote it.
-TEST(Servers, ALateWriteOfAnEarlierStartIsNotBelieved) {
-  Put(Start(200));
-  Put(Start(100, {0, 40}));
+TEST(Servers, IgnoresLateWriteOfEarlierIncarnation) {
+  Put(Incarnation(200));
+  Put(Incarnation(100, {0, 40}));
   time.AdvanceBy(seconds(1));
   CHECK_TRUE(directory.All().contains("s@200"));
-  Put(Start(200, {0, 20}));
+  Put(Incarnation(200, {0, 20}));
   time.AdvanceBy(seconds(5));
   CHECK_EQUAL(20U, directory.All().at("s@200").layers.end);
   CHECK_EQUAL(0, changes);
@@ -312,35 +312,35 @@
 
 // Symptom: a server that lives gets nothing for good. Sequence: it starts again with a clock that
 // is behind. Cause: starts ordered by their clocks alone.
-TEST(Servers, AStartWhoseClockIsBehindIsBelievedWhenItsEntryStays) {
-  Put(Start(200, {0, 40}));
-  Put(Start(100));
+TEST(Servers, AcceptsIncarnationWithLaggingClockAfterDelay) {
+  Put(Incarnation(200, {0, 40}));
+  Put(Incarnation(100));
   time.AdvanceBy(seconds(3));
   CHECK_EQUAL(1, changes);
   CHECK_TRUE(directory.All().contains("s@100"));
   CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
 
-TEST(Servers, ARecordThatCannotBeReadNamesNoServer) {
-  Put(Start(100));
+TEST(Servers, UnreadableRecordRemovesServer) {
+  Put(Incarnation(100));
   directory.Invalidate("s");
   CHECK_TRUE(directory.All().empty());
-  Put(Start(100));
+  Put(Incarnation(100));
   CHECK_EQUAL(1U, directory.All().size());
 }
 
 // A start again within an outage: the entry lapses, and what returns is another start.
-TEST(Servers, AnEntryThatLapsedMayReturnAsALaterStart) {
-  Put(Start(100, {0, 40}));
+TEST(Servers, ExpiredEntryMayReturnAsLaterIncarnation) {
+  Put(Incarnation(100, {0, 40}));
   Remove(true);
   time.AdvanceBy(seconds(1));
-  Put(Start(200));
+  Put(Incarnation(200));
   time.AdvanceBy(seconds(5));
   CHECK_EQUAL(1U, directory.All().size());
   CHECK_TRUE(directory.All().contains("s@200"));
 }
 
-TEST(Servers, AnEntryThatDoesNotReturnIsGone) {
+TEST(Servers, RemovesExpiredEntryAfterGracePeriod) {
   Remove(true);
   time.AdvanceBy(seconds(3));
   CHECK_TRUE(directory.All().empty());
