--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -22,21 +22,21 @@
   }
 };
 
-TEST(Streams, TheRhythmTellsWhenTheEndIsDue) {
-  EventIntervalTracker rhythm;
-  CHECK_FALSE(rhythm.HasBegun());
+TEST(Streams, EstimatesRemainingTimeFromMeanInterval) {
+  EventIntervalTracker intervals;
+  CHECK_FALSE(intervals.HasBegun());
   for (int event = 0; event < 11; ++event) {
-    rhythm.OnEvent(time.Now());
+    intervals.OnEvent(time.Now());
     time.AdvanceBy(milliseconds(30));
   }
-  CHECK_TRUE(rhythm.MeanInterval() == milliseconds(30));
-  CHECK_TRUE(rhythm.LongestInterval() == milliseconds(30));
-  CHECK_TRUE(rhythm.ExpectedRemaining(31) == milliseconds(600));
+  CHECK_TRUE(intervals.MeanInterval() == milliseconds(30));
+  CHECK_TRUE(intervals.LongestInterval() == milliseconds(30));
+  CHECK_TRUE(intervals.ExpectedRemaining(31) == milliseconds(600));
   // Estimates are often short: it goes on for a while.
-  CHECK_TRUE(rhythm.ExpectedRemaining(5) > milliseconds(100));
+  CHECK_TRUE(intervals.ExpectedRemaining(5) > milliseconds(100));
 }
 
-TEST(Streams, APauseIsUnusualOnlyBesideTheOthersOfItsStream) {
+TEST(Streams, ComparesIntervalWithMeanOfSameStream) {
   EventIntervalTracker slow;
   for (int event = 0; event < 10; ++event) {
     slow.OnEvent(time.Now());
@@ -52,46 +52,46 @@
 
 // Symptom: engines are asked again and again where events come every quarter of a second, and a
 // silent one is left late where they come every tenth. Cause: one limit for all routes.
-TEST(Streams, ASilenceIsLongByWhatTheRouteAllows) {
-  ForwardRoute quick;
-  quick.latency_objective = milliseconds(300);
-  quick.event_gap_objective = milliseconds(150);
-  ForwardRoute patient;
-  patient.latency_objective = milliseconds(600);
-  patient.event_gap_objective = milliseconds(300);
+TEST(Streams, SilenceTimeoutsFollowRouteObjectives) {
+  ForwardRoute fast_route;
+  fast_route.latency_objective = milliseconds(300);
+  fast_route.event_gap_objective = milliseconds(150);
+  ForwardRoute slow_route;
+  slow_route.latency_objective = milliseconds(600);
+  slow_route.event_gap_objective = milliseconds(300);
   for (const bool has_begun : {false, true}) {
-    CHECK_TRUE(SilencePolicy(quick).ProbeAfter(has_begun) <
-               SilencePolicy(patient).ProbeAfter(has_begun));
-    CHECK_TRUE(SilencePolicy(quick).AbandonAfter(has_begun) <
-               SilencePolicy(patient).AbandonAfter(has_begun));
+    CHECK_TRUE(SilencePolicy(fast_route).ProbeAfter(has_begun) <
+               SilencePolicy(slow_route).ProbeAfter(has_begun));
+    CHECK_TRUE(SilencePolicy(fast_route).AbandonAfter(has_begun) <
+               SilencePolicy(slow_route).AbandonAfter(has_begun));
   }
   // Where nothing is promised, callers still leave after two seconds.
-  ForwardRoute any;
-  any.latency_objective = std::chrono::minutes(1);
-  CHECK_TRUE(SilencePolicy(any).AbandonAfter(false) < std::chrono::seconds(1));
-  any.event_gap_objective = milliseconds(0);
-  CHECK_TRUE(SilencePolicy(any).AbandonAfter(true) > milliseconds(500));
+  ForwardRoute no_objective;
+  no_objective.latency_objective = std::chrono::minutes(1);
+  CHECK_TRUE(SilencePolicy(no_objective).AbandonAfter(false) < std::chrono::seconds(1));
+  no_objective.event_gap_objective = milliseconds(0);
+  CHECK_TRUE(SilencePolicy(no_objective).AbandonAfter(true) > milliseconds(500));
 }
 
 // Symptom: answers pause for up to half a second whenever engines are replaced as planned.
 // Sequence: an engine that will work for three seconds more announces its departure; the five
 // hundred streams that pass through it, most of them with a second to go, all move at that moment.
 // Cause: a leaving server treated like a lost one.
-TEST(Streams, WhoEndsBeforeALeavingServerDoesNotMove) {
+TEST(Streams, StreamsThatEndBeforeShutdownRarelyMove) {
   constexpr int kStreams = 500;
   int moved = 0;
   for (int stream = 0; stream < kStreams; ++stream) {
-    const milliseconds left(4 * stream);  // Up to two seconds.
-    moved += MoveAfter(left) < left ? 1 : 0;
+    const milliseconds remaining(4 * stream);  // Up to two seconds.
+    moved += MoveAfter(remaining) < remaining ? 1 : 0;
   }
   CHECK_TRUE(moved <= kStreams / 8);
 }
 
 // The load of a planned replacement: long streams that must all move, read one after the other by
 // their substitute, 10 ms each. At once, the last would wait for two seconds.
-TEST(Streams, LongStreamsMoveOneByOneBeforeTheServerEnds) {
+TEST(Streams, LongStreamsSpreadMovesBeforeShutdown) {
   constexpr int kStreams = 200;
-  constexpr int kReadingMs = 10;
+  constexpr int kPrefillMs = 10;
   std::vector<int> arrivals_by_ms(3'000, 0);
   for (int stream = 0; stream < kStreams; ++stream) {
     const milliseconds at = MoveAfter(std::chrono::minutes(1));
@@ -101,7 +101,7 @@
   int backlog_ms = 0;
   int longest_ms = 0;
   for (const int arrivals : arrivals_by_ms) {
-    backlog_ms = std::max(0, backlog_ms + arrivals * kReadingMs - 1);
+    backlog_ms = std::max(0, backlog_ms + arrivals * kPrefillMs - 1);
     longest_ms = std::max(longest_ms, backlog_ms);
   }
   CHECK_TRUE(longest_ms < 250);
