--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -40,9 +40,8 @@
   CHECK_EQUAL(1, store.lists);
 }
 
-// Symptom: a server that left long ago still gets requests. Sequence: watches hear nothing while
-// the server leaves, then the store drops its history. Cause: watching on from the newest revision
-// without listing what is left.
+// Guards against servers that stay in the mirror because their removal fell into the part of the
+// history that the store has dropped.
 TEST(Mirror, ListsAgainAfterLostHistoryAndRemovesMissingRecords) {
   store.Erase("b");
   store.Put("c", "1");
@@ -67,8 +66,7 @@
   CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
 }
 
-// Symptom: an outage of the store costs two thousand calls. Sequence: no reader is in contact, so
-// all eighty instances try twice a second. Cause: each tried as often as if others relied on it.
+// Guards against all instances calling an unavailable store at the rate of a store watcher.
 TEST(Mirror, SubstituteRetriesUnavailableStoreAtReducedRate) {
   const auto calls_in_ten_seconds = [this] {
     int calls = 0;
@@ -89,9 +87,8 @@
   CHECK_TRUE(calls_in_ten_seconds() >= 15);
 }
 
-// Symptom: a watch that hears of nothing costs two hundred instances a call each two seconds.
-// Sequence: a reader's word reaches all of them. Cause: each watches the store all the same.
-TEST(Mirror, MakesNoCallsWithoutReadingRole) {
+// Guards against store calls by instances that receive all records from a store watcher.
+TEST(Mirror, MakesNoCallsWhileNotWatching) {
   mirror.SetReading(StoreReading::kNone, 200);
   AnswerWatch();
   time.AdvanceBy(seconds(30));
@@ -99,8 +96,7 @@
   CHECK_EQUAL(1, store.lists);
 }
 
-// Symptom: two hundred calls to the store in the moment in which a domain's relays are lost.
-// Sequence: all members miss the readers' word at the same time. Cause: all try at once.
+// Guards against a burst of store calls when all members of a domain lose their relays.
 TEST(Mirror, SubstitutesSpreadFirstCalls) {
   StoreMirrorSettings settings;
   settings.place = 0.5;
@@ -116,9 +112,8 @@
   CHECK_EQUAL(1U, unwatched_store.watches.size());
 }
 
-// Symptom: after an outage of the store all its servers are dropped. Sequence: an instance that
-// seldom asks the store has not noticed the outage; it tells its peers that the store is steady;
-// they take lapsed entries for servers that left. Cause: silence taken for steadiness.
+// An instance that rarely calls the store may miss an outage. If it reported the store as steady,
+// its peers would remove servers whose entries expired in the outage.
 TEST(Mirror, IsNotSteadyWithoutRecentCalls) {
   AnswerWatch();
   CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
@@ -126,8 +121,7 @@
   CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
 }
 
-// Symptom: an old configuration comes into force again. Sequence: a peer that lags sends its
-// records. Cause: report applied by arrival instead of by revision.
+// Guards against a lagging peer restoring an outdated configuration.
 TEST(Mirror, IgnoresOlderRecordsFromPeers) {
   store.Put("a", "2");
   AnswerWatch();
@@ -154,9 +148,8 @@
   CHECK_FALSE(other.Has("b"));
 }
 
-// Symptom: a changed configuration is in force after six seconds. Sequence: the readers are lost,
-// and an instance that relied on them becomes one. Cause: it begins only after a pause.
-TEST(Mirror, NewReaderWatchesImmediately) {
+// Guards against late configuration changes after the store watchers are lost and replaced.
+TEST(Mirror, NewStoreWatcherWatchesImmediately) {
   mirror.SetReading(StoreReading::kNone, 1);
   AnswerWatch();
   time.AdvanceBy(seconds(6));
@@ -168,7 +161,7 @@
   STRCMP_EQUAL("2", recorded.values["a"]->c_str());
 }
 
-TEST(Mirror, NewReaderStartsOneWatchDuringDelay) {
+TEST(Mirror, NewStoreWatcherStartsOneWatchDuringDelay) {
   mirror.SetReading(StoreReading::kSubstitute, 1);
   AnswerWatch();
   CHECK_EQUAL(0U, store.watches.size());
@@ -208,9 +201,8 @@
   CHECK_TRUE(directory.All().empty());
 }
 
-// Symptom: everything is refused for seconds after an outage of the store. Sequence: leases of the
-// servers' entries lapse while the store is away; it comes back without the entries, and the
-// servers register again a second later. Cause: lapsed entries taken for dead servers.
+// Leases expire during a store outage, and servers register again a second later. Their requests
+// must not be refused in between.
 TEST(Servers, ExpiredEntryMayReturnAfterOutage) {
   Remove(true);
   CHECK_EQUAL(1U, directory.All().size());
@@ -221,9 +213,7 @@
   CHECK_EQUAL(0, changes);
 }
 
-// Symptom: requests over moved layers are refused until the store is back. Sequence: an engine is
-// ordered to take other layers, the store goes away before its entry changes. Cause: only entries
-// believed.
+// Guards against refused requests if the layers of an engine change during a store outage.
 TEST(Servers, ReportedLayersApplyUntilNextEntry) {
   CHECK_TRUE(Report({"s", {20, 40}}));
   CHECK_FALSE(Report({"s", {20, 40}}));
@@ -233,8 +223,8 @@
   CHECK_EQUAL(0U, directory.All().at("s").layers.first);
 }
 
-// Symptom: callers are refused by servers that take no new work for as long as the store is away.
-// Sequence: a server that is to end cannot say so in the store. Cause: only entries believed.
+// Guards against requests to servers that are shutting down but cannot update their entries during
+// a store outage.
 TEST(Servers, LeavingReportAppliesUntilNextEntry) {
   const LayerRange held = directory.All().at("s").layers;
   CHECK_TRUE(Report({"s", {}, true}));
@@ -246,8 +236,7 @@
   CHECK_EQUAL(0, changes);
 }
 
-// Symptom: a sound server gets no requests any more. Sequence: it refuses one, and its health check
-// lies; its entry stays as it was. Cause: hearsay believed for ever.
+// A wrong leaving report must not exclude a healthy server permanently.
 TEST(Servers, LeavingReportExpiresAfterLastReport) {
   Report({"s", {}, true});
   time.AdvanceBy(seconds(4));
@@ -259,9 +248,7 @@
   CHECK_EQUAL(1, changes);
 }
 
-// Symptom: a leaving server gets requests again. Sequence: it refuses while the store is away; the
-// store is back and its entry says that it leaves; six seconds after the refusal the hearsay ends.
-// Cause: the end of hearsay applied to what the entry says.
+// The expiry of a leaving report must not affect a server whose entry announces its departure.
 TEST(Servers, AnnouncedDepartureReplacesReport) {
   Report({"s", {}, true});
   time.AdvanceBy(seconds(3));
@@ -281,9 +268,8 @@
   CHECK_TRUE(directory.All().at("s").draining);
 }
 
-// Symptom: streams stand still for half a second and more, and orders meant for an engine's former
-// start are counted on. Sequence: a server crashes and starts again under its registration before
-// its entry lapses. Cause: the new entry taken for a change of the old one.
+// A server may crash and register again before its entry expires. Treating the new entry as a
+// change of the old one would stall streams and keep outdated layer assignments.
 TEST(Servers, LaterIncarnationEndsEarlierOne) {
   Put(Incarnation(100, {0, 40}));
   Put(Incarnation(200));
@@ -296,9 +282,8 @@
   CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
 
-// Symptom: requests go to layers that a server lost when it crashed. Sequence: the last write of
-// the earlier start reaches the store after the later start has registered. Cause: the newest
-// record believed, whoever wrote it.
+// The last write of a crashed incarnation may reach the store after the next one has registered.
+// Requests must not use layers that were lost in the crash.
 TEST(Servers, IgnoresLateWriteOfEarlierIncarnation) {
   Put(Incarnation(200));
   Put(Incarnation(100, {0, 40}));
@@ -310,8 +295,7 @@
   CHECK_EQUAL(0, changes);
 }
 
-// Symptom: a server that lives gets nothing for good. Sequence: it starts again with a clock that
-// is behind. Cause: starts ordered by their clocks alone.
+// Guards against ignoring a server permanently because its clock was behind when it restarted.
 TEST(Servers, AcceptsIncarnationWithLaggingClockAfterDelay) {
   Put(Incarnation(200, {0, 40}));
   Put(Incarnation(100));
@@ -329,7 +313,7 @@
   CHECK_EQUAL(1U, directory.All().size());
 }
 
-// A start again within an outage: the entry lapses, and what returns is another start.
+// A server may restart during a store outage in which its entry expires.
 TEST(Servers, ExpiredEntryMayReturnAsLaterIncarnation) {
   Put(Incarnation(100, {0, 40}));
   Remove(true);
--- a/tests/forwarding/streams_test.cc
+++ b/tests/forwarding/streams_test.cc
@@ -32,7 +32,7 @@
   CHECK_TRUE(intervals.MeanInterval() == milliseconds(30));
   CHECK_TRUE(intervals.LongestInterval() == milliseconds(30));
   CHECK_TRUE(intervals.ExpectedRemaining(31) == milliseconds(600));
-  // Estimates are often short: it goes on for a while.
+  // The estimate may be too low, so more events are expected.
   CHECK_TRUE(intervals.ExpectedRemaining(5) > milliseconds(100));
 }
 
@@ -50,8 +50,8 @@
   CHECK_FALSE(slow.IsLastIntervalUnusual(milliseconds(500)));
 }
 
-// Symptom: engines are asked again and again where events come every quarter of a second, and a
-// silent one is left late where they come every tenth. Cause: one limit for all routes.
+// With one limit for all routes, engines of slow routes would be probed needlessly and silent
+// engines of fast routes abandoned too late.
 TEST(Streams, SilenceTimeoutsFollowRouteObjectives) {
   ForwardRoute fast_route;
   fast_route.latency_objective = milliseconds(300);
@@ -65,7 +65,7 @@
     CHECK_TRUE(SilencePolicy(fast_route).AbandonAfter(has_begun) <
                SilencePolicy(slow_route).AbandonAfter(has_begun));
   }
-  // Where nothing is promised, callers still leave after two seconds.
+  // Callers disconnect after two seconds, also on routes without an objective.
   ForwardRoute no_objective;
   no_objective.latency_objective = std::chrono::minutes(1);
   CHECK_TRUE(SilencePolicy(no_objective).AbandonAfter(false) < std::chrono::seconds(1));
@@ -73,22 +73,20 @@
   CHECK_TRUE(SilencePolicy(no_objective).AbandonAfter(true) > milliseconds(500));
 }
 
-// Symptom: answers pause for up to half a second whenever engines are replaced as planned.
-// Sequence: an engine that will work for three seconds more announces its departure; the five
-// hundred streams that pass through it, most of them with a second to go, all move at that moment.
-// Cause: a leaving server treated like a lost one.
+// Guards against all streams moving at the moment in which a server announces its shutdown,
+// although most would end before it. Each needless move pauses an answer for up to half a second.
 TEST(Streams, StreamsThatEndBeforeShutdownRarelyMove) {
   constexpr int kStreams = 500;
   int moved = 0;
   for (int stream = 0; stream < kStreams; ++stream) {
-    const milliseconds remaining(4 * stream);  // Up to two seconds.
+    const milliseconds remaining(4 * stream);  // Up to 2 s.
     moved += MoveAfter(remaining) < remaining ? 1 : 0;
   }
   CHECK_TRUE(moved <= kStreams / 8);
 }
 
-// The load of a planned replacement: long streams that must all move, read one after the other by
-// their substitute, 10 ms each. At once, the last would wait for two seconds.
+// Simulates a planned replacement: a substitute runs the prefills of all streams sequentially, 10
+// ms each. Without spreading, the last stream would wait for 2 s.
 TEST(Streams, LongStreamsSpreadMovesBeforeShutdown) {
   constexpr int kStreams = 200;
   constexpr int kPrefillMs = 10;
