--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
@@ -5,7 +5,7 @@
 namespace zinnia {
 
 void ProbeRound::OnProbeResult(const BackendServerName& server, bool answers) {
-  assert(m_pending > 0 && "more answers than questions");
+  assert(m_pending > 0 && "more results than probes");
   --m_pending;
   m_has_answer = m_has_answer || answers;
   if (!answers) {
@@ -14,7 +14,7 @@
 }
 
 std::vector<BackendServerName> ProbeRound::DeadServers() const {
-  assert(IsComplete() && "a verdict before all answers are in");
+  assert(IsComplete() && "DeadServers called before all probes completed");
   const bool network_works = m_has_answer || m_other_streams_active;
   return network_works ? m_silent : std::vector<BackendServerName>();
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -117,7 +117,7 @@
   }
   Postpone(registration, kRemovalGracePeriod,
            [this, registration, on_changed = std::move(on_changed)] {
-             RemoveEntry(registration, "lapsed in an outage and did not return");
+             RemoveEntry(registration, "expired during a store outage and did not return");
              on_changed();
            });
 }
@@ -125,7 +125,7 @@
 void ServerDirectory::Invalidate(const std::string& registration) {
   m_postponed.erase(registration);
   if (FindEntry(registration) != nullptr) {
-    RemoveEntry(registration, "its entry cannot be read");
+    RemoveEntry(registration, "entry cannot be parsed");
   }
 }
 
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -201,7 +201,7 @@
   CHECK_TRUE(directory.All().empty());
 }
 
-// Leases expire during a store outage, and servers register again a second later. Their requests
+// Leases expire during a store outage, and servers register again a second later. Requests
 // must not be refused in between.
 TEST(Servers, ExpiredEntryMayReturnAfterOutage) {
   Remove(true);
