--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -36,22 +36,22 @@
 
 }  // namespace
 
-ServerHealth::Record& ServerHealth::Touch(const BackendServerName& server) {
+ServerHealth::Record& ServerHealth::UpdateRecord(const BackendServerName& server) {
   const TimePoint now = m_clock.Now();
   if (m_records.size() >= kMaxRecords) {
     std::erase_if(m_records,
                   [now](const auto& entry) { return entry.second.excluded_until < now; });
   }
   Record& record = m_records[server];
-  const std::chrono::duration<double> age = now - record.changed_at;
+  const std::chrono::duration<double> age = now - record.updated_at;
   record.failure_rate *= std::exp2(-age / kHalfLife);
   record.first_event_ms *= std::exp2(-age / kDelayHalfLife);
-  record.changed_at = now;
+  record.updated_at = now;
   return record;
 }
 
 void ServerHealth::Exclude(const BackendServerName& server, Duration duration) {
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   record.excluded_until = std::max(record.excluded_until, m_clock.Now() + duration);
 }
 
@@ -61,7 +61,7 @@
   if (IsExcluded(server)) {
     return;  // Concurrent requests that were refused together count as one refusal.
   }
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   record.last_exclusion = std::clamp(record.last_exclusion * 2, first, longest);
   record.excluded_until = m_clock.Now() + record.last_exclusion;
 }
@@ -108,14 +108,14 @@
   }
 }
 
-void ServerHealth::OnOutcome(const BackendServerName& server, bool good) {
-  Record& record = Touch(server);
-  const double value = good ? 0.0 : 1.0;
+void ServerHealth::OnOutcome(const BackendServerName& server, bool succeeded) {
+  Record& record = UpdateRecord(server);
+  const double value = succeeded ? 0.0 : 1.0;
   record.failure_rate += kOutcomeWeight * (value - record.failure_rate);
 }
 
 void ServerHealth::OnFirstEvent(const BackendServerName& server, Duration delay) {
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   const std::chrono::duration<double, std::milli> milliseconds = delay;
   record.first_event_ms += kOutcomeWeight * (milliseconds.count() - record.first_event_ms);
 }
@@ -125,14 +125,14 @@
   if (record == m_records.end()) {
     return Duration::zero();
   }
-  const std::chrono::duration<double> age = m_clock.Now() - record->second.changed_at;
+  const std::chrono::duration<double> age = m_clock.Now() - record->second.updated_at;
   const std::chrono::duration<double, std::milli> delay(record->second.first_event_ms *
                                                         std::exp2(-age / kDelayHalfLife));
   return std::chrono::duration_cast<Duration>(delay);
 }
 
 void ServerHealth::OnSlowdownReport(const PaceNews& report) {
-  Record& record = Touch(report.server);
+  Record& record = UpdateRecord(report.server);
   const TimePoint known_at = m_clock.Now() - report.age;
   if (!record.slowdown_known_at || known_at >= *record.slowdown_known_at) {
     record.slowdown = std::max(1.0, report.pace);
@@ -148,7 +148,7 @@
 }
 
 bool ServerHealth::TryBeginSlowdownQuery(const BackendServerName& server) {
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   const TimePoint now = m_clock.Now();
   const auto is_fresh = [now](const std::optional<TimePoint>& at) {
     return at && now - *at < kSlowdownQueryInterval;
@@ -188,7 +188,7 @@
   if (record == m_records.end()) {
     return 0.0;
   }
-  const std::chrono::duration<double> age = m_clock.Now() - record->second.changed_at;
+  const std::chrono::duration<double> age = m_clock.Now() - record->second.updated_at;
   return record->second.failure_rate * std::exp2(-age / kHalfLife);
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -47,7 +47,7 @@
   void OnProgress(const BackendServerName& server);
 
   /** A request at the server succeeded, or failed due to the server. */
-  void OnOutcome(const BackendServerName& server, bool good);
+  void OnOutcome(const BackendServerName& server, bool succeeded);
 
   /** A request whose path begins at the server received its first event after `delay`. */
   void OnFirstEvent(const BackendServerName& server, Duration delay);
@@ -82,7 +82,7 @@
     bool has_answered = false;  // Since the server became suspect.
     TimePoint next_probe_at{};
     TimePoint next_attempt_at{};
-    TimePoint changed_at{};
+    TimePoint updated_at{};
     double failure_rate = 0.0;
     double first_event_ms = 0.0;
     double slowdown = 1.0;
@@ -90,7 +90,7 @@
     std::optional<TimePoint> slowdown_queried_at;
   };
 
-  Record& Touch(const BackendServerName& server);
+  Record& UpdateRecord(const BackendServerName& server);
 
   const Clock& m_clock;
   std::map<BackendServerName, Record> m_records;
