--- a/packages/zinnia_decisions/forwarding/streams/silence_policy.h
+++ b/packages/zinnia_decisions/forwarding/streams/silence_policy.h
@@ -7,7 +7,7 @@
 struct ForwardRoute;
 
 /** Timeouts after which the servers of a silent stream are probed and its first server is
-    abandoned. Both derive from the route's latency objectives, so that a dead server is detected
+    abandoned. Both derive from the objectives of the route, so that a dead server is detected
     before the answer is late.
 
     Must not outlive its route.
