--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -24,7 +24,7 @@
     time.AdvanceBy(milliseconds(600));
   }
 
-  void AnswerWatch() {
+  void CompleteWatch() {
     store.AnswerWatch();
     time.AdvanceBy(milliseconds(100));
   }
@@ -34,7 +34,7 @@
   CHECK_TRUE(mirror.IsFilled());
   store.Put("a", "2");
   store.Erase("b");
-  AnswerWatch();
+  CompleteWatch();
   STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_FALSE(recorded.values["b"].has_value());
   CHECK_EQUAL(1, store.lists);
@@ -59,7 +59,7 @@
   time.AdvanceBy(seconds(1));
   CHECK_EQUAL(before, store.last_watch_after);
   store.Put("a", "2");
-  AnswerWatch();
+  CompleteWatch();
   STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
   time.AdvanceBy(seconds(2));
@@ -90,7 +90,7 @@
 // Guards against store calls by instances that receive all records from a store watcher.
 TEST(Mirror, MakesNoCallsWhileNotWatching) {
   mirror.SetReading(StoreReading::kNone, 200);
-  AnswerWatch();
+  CompleteWatch();
   time.AdvanceBy(seconds(30));
   CHECK_EQUAL(0U, store.watches.size());
   CHECK_EQUAL(1, store.lists);
@@ -115,7 +115,7 @@
 // An instance that rarely calls the store may miss an outage. If it reported the store as steady,
 // its peers would remove servers whose entries expired in the outage.
 TEST(Mirror, IsNotSteadyWithoutRecentCalls) {
-  AnswerWatch();
+  CompleteWatch();
   CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
   time.AdvanceBy(seconds(3));
   CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
@@ -124,7 +124,7 @@
 // Guards against a lagging peer restoring an outdated configuration.
 TEST(Mirror, IgnoresOlderRecordsFromPeers) {
   store.Put("a", "2");
-  AnswerWatch();
+  CompleteWatch();
   mirror.Merge({true, 2, {{"a", 2, "1"}}});
   STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_TRUE(mirror.Has("b"));
@@ -134,7 +134,7 @@
   const std::uint64_t before = mirror.Revision();
   store.Put("c", "1");
   store.Erase("b");
-  AnswerWatch();
+  CompleteWatch();
   const MirrorDelta delta = mirror.ChangesAfter(before);
   CHECK_FALSE(delta.complete);
   CHECK_EQUAL(2U, delta.records.size());
@@ -151,19 +151,19 @@
 // Guards against late configuration changes after the store watchers are lost and replaced.
 TEST(Mirror, NewStoreWatcherWatchesImmediately) {
   mirror.SetReading(StoreReading::kNone, 1);
-  AnswerWatch();
+  CompleteWatch();
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(0U, store.watches.size());
   store.Put("a", "2");
   mirror.SetReading(StoreReading::kReader, 1);
   CHECK_EQUAL(1U, store.watches.size());
-  AnswerWatch();
+  CompleteWatch();
   STRCMP_EQUAL("2", recorded.values["a"]->c_str());
 }
 
 TEST(Mirror, NewStoreWatcherStartsOneWatchDuringDelay) {
   mirror.SetReading(StoreReading::kSubstitute, 1);
-  AnswerWatch();
+  CompleteWatch();
   CHECK_EQUAL(0U, store.watches.size());
   mirror.SetReading(StoreReading::kReader, 1);
   time.AdvanceBy(seconds(2));
