--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -206,13 +206,13 @@
     m_parts.health.OnFirstEvent(m_server, now - m_sent_at);
     m_parts.metrics.Observe(m_organisation, RequestClass::kChat, Measure::kFirstToken,
                             m_first_event_after);
-  } else if (m_rhythm.IsUnusual(std::chrono::duration_cast<Duration>(m_route->event_gap_objective *
-                                                                     kGapThatAsksForPaces))) {
+  } else if (m_rhythm.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
+                 m_route->event_gap_objective * kGapThatAsksForPaces))) {
     AskForPaces();
   }
   if (!std::exchange(m_path_proved, true)) {
     for (const PathPart& part : m_path) {
-      m_parts.health.OnReached(part.server);
+      m_parts.health.OnProgress(part.server);
     }
   }
   m_last_progress = now;
@@ -244,7 +244,7 @@
     return;
   }
   if (IsSuccess(m_status)) {
-    m_parts.health.OnReached(m_server);
+    m_parts.health.OnProgress(m_server);
     m_parts.health.OnOutcome(m_server, true);
     PassOnWholeAnswer();
     return;
@@ -270,7 +270,7 @@
     m_parts.health.Exclude(at_fault.server, kMisdirectedExclusion);
   } else if (!m_path.empty()) {
     AskWhyItRefused(at_fault);
-    m_parts.health.ExcludeLonger(at_fault.server, kFullExclusion, kLongestFullExclusion);
+    m_parts.health.ExcludeWithBackoff(at_fault.server, kFullExclusion, kLongestFullExclusion);
   }
   m_avoided.insert(at_fault.server);
   SendAgainOrGiveUp(SendOutcome::kNotRun,
@@ -280,7 +280,7 @@
 void ForwardExchange::OnServerFailed(AnswerFailure failure, std::string_view reason) {
   m_connection.reset();
   if (failure == AnswerFailure::kNotSent) {
-    m_parts.health.Suspect(m_server, kUnreachableExclusion);
+    m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
     ++m_history.not_sent;
     --m_history.servers_reached;
     m_avoided.insert(m_server);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -5,8 +5,8 @@
 #include "zinnia_adapters/forwarding/forward_exchange.h"
 #include "zinnia_base/time/clock.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/plain_server_chooser.h"
@@ -128,7 +128,7 @@
     const double token_layers = tokens * part.layers.Count();
     const bool begins = &part == &path.front();
     m_parts.loads.Add(part.server, token_layers, begins);
-    m_parts.health.OnTried(part.server);
+    m_parts.health.OnAttempt(part.server);
     m_reservations.push_back({part.server, token_layers, begins});
   }
 }
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -12,8 +12,8 @@
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/room_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
 #include "zinnia_decisions/forwarding/retries/shared_retry_budget.h"
@@ -57,11 +57,11 @@
     if (!report) {
       return;  // Who waits for this server finds out that it is silent, and logs it.
     }
-    if (report->pace > parts.health.Pace(name)) {
+    if (report->pace > parts.health.SlowdownFactor(name)) {
       parts.logger.Log(LogLevel::kInfo, "server_slow",
                        {{"server", name}, {"pace", fmt::format("{:.1f}", report->pace)}});
     }
-    parts.health.NotePace({name, report->pace, {}});
+    parts.health.OnSlowdownReport({name, report->pace, {}});
   });
 }
 
@@ -95,7 +95,7 @@
 
 void ForwardExchange::CheckSilence() {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
-  const Duration limit = SilencePolicy(*m_route).BeforeAsking(m_rhythm.HasBegun());
+  const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_rhythm.HasBegun());
   if (m_last_progress > m_asked_at) {
     m_looks = 0;
   }
@@ -122,7 +122,7 @@
 void ForwardExchange::OnReport(const Result<EngineReport>& report) {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const SilencePolicy policy(*m_route);
-  if (silent < policy.BeforeAsking(m_rhythm.HasBegun()) || !m_connection) {
+  if (silent < policy.ProbeAfter(m_rhythm.HasBegun()) || !m_connection) {
     return;
   }
   if (!report) {
@@ -131,9 +131,9 @@
                         {"server", m_server},
                         {"reason", zinnia::Describe(report.error())}});
     // One report may be lost to a full connection table; the stream's own silence must agree.
-    const bool is_long = silent >= policy.BeforeLeaving(m_rhythm.HasBegun());
+    const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
     if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
-      m_parts.health.Suspect(m_server, kUnreachableExclusion);
+      m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
     }
     return;
@@ -153,7 +153,7 @@
     return;
   }
   for (const BackendServerName& server : stalled) {
-    m_parts.health.Suspect(server, kStalledExclusion);
+    m_parts.health.MarkSuspect(server, kStalledExclusion);
   }
   m_parts.report_stalled({stalled.begin(), stalled.end()});
 }
@@ -162,7 +162,7 @@
   if (m_ended || !m_connection || !m_rhythm.HasBegun() || m_rerouting || m_path.empty()) {
     return std::nullopt;
   }
-  return StreamProgress{&m_path, m_last_progress, m_rhythm.UsualGap()};
+  return StreamProgress{&m_path, m_last_progress, m_rhythm.MeanInterval()};
 }
 
 void ForwardExchange::OnServersStalled(const std::vector<BackendServerName>& servers) {
@@ -188,7 +188,7 @@
 /** Events come too slowly: some server of the path may be slow, and only it knows. */
 void ForwardExchange::AskForPaces() {
   for (const PathPart& part : m_path) {
-    if (m_parts.health.TakePaceQuestion(part.server)) {
+    if (m_parts.health.TryBeginSlowdownQuery(part.server)) {
       AskForPace(m_parts, part);
     }
   }
@@ -229,7 +229,7 @@
   m_parts.stalls.Confirm(
       accused, is_full ? std::string() : service->second.health_path,
       [&parts = m_parts](const BackendServerName& dead) {
-        parts.health.Suspect(dead, kStalledExclusion);
+        parts.health.MarkSuspect(dead, kStalledExclusion);
         parts.report_stalled({dead});
       },
       [&parts = m_parts](const BackendServerName& leaving) {
@@ -250,7 +250,7 @@
     return;
   }
   const auto view = m_parts.view();
-  if (view->ended_starts.contains(m_server)) {
+  if (view->ended_incarnations.contains(m_server)) {
     AbandonServer("the server has started again");
     return;
   }
@@ -279,7 +279,7 @@
     tokens_per_event = std::max(1.0, service->second.engine->steps_per_pass);
   }
   const double events = ExpectedSize().answer_tokens / tokens_per_event;
-  m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedLeft(events));
+  m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedRemaining(events));
 }
 
 /** Best called after an event: moved right then, a stream has the whole allowed pause for it. */
@@ -371,7 +371,7 @@
   }
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   if (m_connection && m_failed_reroutes >= kReroutesBeforeLeaving &&
-      silent >= SilencePolicy(*m_route).BeforeLeaving(m_rhythm.HasBegun())) {
+      silent >= SilencePolicy(*m_route).AbandonAfter(m_rhythm.HasBegun())) {
     AbandonServer("the path could not be changed");
   }
 }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -113,12 +113,12 @@
     BeginWaiting(exchanges);
   }
   const TimePoint now = m_parts.clock.Now();
-  const auto suspects = SilenceDetector::Suspects(streams, now);
+  const auto suspects = SilenceDetector::FindSuspects(streams, now);
   if (!suspects.empty()) {
-    m_parts.stalls.Check(suspects, SilenceDetector::OthersFlow(streams, suspects, now),
+    m_parts.stalls.Check(suspects, SilenceDetector::OtherStreamsActive(streams, suspects, now),
                          [this](const std::vector<BackendServerName>& dead) {
                            for (const BackendServerName& server : dead) {
-                             m_parts.health.Suspect(server, kDeadExclusion);
+                             m_parts.health.MarkSuspect(server, kDeadExclusion);
                            }
                            m_parts.report_stalled(dead);
                          });
@@ -175,20 +175,20 @@
     have no such call, and take the next request. */
 void ForwardServer::AskSuspects() {
   const auto view = m_parts.view();
-  for (const BackendServerName& name : m_parts.health.TakeSuspectsToAsk()) {
+  for (const BackendServerName& name : m_parts.health.TakeSuspectsToProbe()) {
     const auto server = view->servers.find(name);
     if (server == view->servers.end()) {
       continue;
     }
     if (server->second.accelerator.empty()) {
-      m_parts.health.OnAnswered(name);
+      m_parts.health.OnProbeAnswered(name);
       continue;
     }
     // A probe's limit would be too short: a server that is merely busy would stay unused.
     m_parts.engine_calls.ReadReport({name, server->second.address, server->second.layers},
                                     [&health = m_parts.health, name](const auto& report) {
                                       if (report) {
-                                        health.OnAnswered(name);
+                                        health.OnProbeAnswered(name);
                                       }
                                     });
   }
@@ -202,7 +202,7 @@
     const auto server = view->servers.find(slow.server);
     const bool is_own_turn = RandomUnit(m_parts.random) < chance;
     if (is_own_turn && server != view->servers.end() &&
-        m_parts.health.TakePaceQuestion(slow.server)) {
+        m_parts.health.TryBeginSlowdownQuery(slow.server)) {
       AskForPace(m_parts, {slow.server, server->second.address, server->second.layers});
     }
   }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -81,7 +81,7 @@
 
 void ForwardingTraffic::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
   for (const SlowdownReport& news : slow_servers) {
-    m_health.NotePace(news);
+    m_health.OnSlowdownReport(news);
   }
 }
 
@@ -122,7 +122,7 @@
     m_parts.logger.Log(LogLevel::kInfo, "server_stalled",
                        {{"server", stall.server}, {"seen_by", "peer"}});
     if (stall.age < kStalledExclusion) {
-      m_health.Suspect(stall.server, kStalledExclusion - stall.age);
+      m_health.MarkSuspect(stall.server, kStalledExclusion - stall.age);
       servers.push_back(stall.server);
     }
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
@@ -4,19 +4,19 @@
 
 namespace zinnia {
 
-void ProbeRound::OnAnswer(const BackendServerName& server, bool answers) {
-  assert(m_waiting > 0 && "more answers than questions");
-  --m_waiting;
+void ProbeRound::OnProbeResult(const BackendServerName& server, bool answers) {
+  assert(m_pending > 0 && "more results than probes");
+  --m_pending;
   m_has_answer = m_has_answer || answers;
   if (!answers) {
     m_silent.push_back(server);
   }
 }
 
-std::vector<BackendServerName> ProbeRound::Dead() const {
-  assert(IsComplete() && "a verdict before all answers are in");
-  const bool way_works = m_has_answer || m_others_flow;
-  return way_works ? m_silent : std::vector<BackendServerName>();
+std::vector<BackendServerName> ProbeRound::DeadServers() const {
+  assert(IsComplete() && "DeadServers called before all probes completed");
+  const bool network_works = m_has_answer || m_other_streams_active;
+  return network_works ? m_silent : std::vector<BackendServerName>();
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -172,7 +172,7 @@
 }
 
 std::optional<milliseconds> ReportExchange::StableStoreAge() const {
-  if (m_mirror.IsStableFor(ServerDirectory::kDoubtAfterFailure)) {
+  if (m_mirror.IsStableFor(ServerDirectory::kRemovalGracePeriod)) {
     return milliseconds(0);
   }
   return AgeOf(m_stable_store_seen_at, m_clock.Now());
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -8,34 +8,34 @@
 
 namespace zinnia {
 
-const ServerEntry* ServerDirectory::Known(const std::string& registration) const {
-  const auto present = m_present.find(registration);
-  return present == m_present.end() ? nullptr : &m_servers.at(present->second);
+const ServerEntry* ServerDirectory::FindEntry(const std::string& registration) const {
+  const auto current = m_current.find(registration);
+  return current == m_current.end() ? nullptr : &m_servers.at(current->second);
 }
 
-void ServerDirectory::Put(ServerEntry entry, std::function<void()> changed) {
+void ServerDirectory::Put(ServerEntry entry, std::function<void()> on_changed) {
   const std::string registration = entry.registration;
   m_postponed.erase(registration);
-  const ServerEntry* known = Known(registration);
+  const ServerEntry* known = FindEntry(registration);
   if (known == nullptr || entry.started_at_ms >= known->started_at_ms) {
-    TakeIn(std::move(entry));
+    ApplyEntry(std::move(entry));
     return;
   }
   m_logger.Log(LogLevel::kInfo, "server_entry_of_earlier_start",
                {{"server", known->name}, {"entry", entry.name}});
-  Postpone(registration, kEarlierStartBelieved,
-           [this, entry = std::move(entry), changed = std::move(changed)] {
-             TakeIn(entry);
-             changed();
+  Postpone(registration, kEarlierIncarnationDelay,
+           [this, entry = std::move(entry), on_changed = std::move(on_changed)] {
+             ApplyEntry(entry);
+             on_changed();
            });
 }
 
-void ServerDirectory::TakeIn(ServerEntry entry) {
-  const ServerEntry* known = Known(entry.registration);
+void ServerDirectory::ApplyEntry(ServerEntry entry) {
+  const ServerEntry* known = FindEntry(entry.registration);
   if (known != nullptr && known->name != entry.name) {
     m_logger.Log(LogLevel::kInfo, "server_started_again",
                  {{"server", entry.name}, {"before", known->name}});
-    End(known->name);
+    EndIncarnation(known->name);
     known = nullptr;
   }
   if (known == nullptr || known->draining != entry.draining || known->layers != entry.layers) {
@@ -46,104 +46,106 @@
                   {"draining", entry.draining ? "yes" : "no"},
                   {"layers", fmt::format("{}-{}", entry.layers.first, entry.layers.end)}});
   }
-  m_present[entry.registration] = entry.name;
-  m_ended.erase(entry.name);
-  m_heard_leaving.erase(entry.name);
+  m_current[entry.registration] = entry.name;
+  m_ended_incarnations.erase(entry.name);
+  m_reported_leaving.erase(entry.name);
   const BackendServerName name = entry.name;
   m_servers[name] = std::move(entry);
 }
 
-void ServerDirectory::End(const BackendServerName& start) {
-  if (m_ended.size() >= kMostEnded) {
-    m_ended.erase(m_ended.begin());
+void ServerDirectory::EndIncarnation(const BackendServerName& incarnation) {
+  if (m_ended_incarnations.size() >= kMaxEndedIncarnations) {
+    m_ended_incarnations.erase(m_ended_incarnations.begin());
   }
-  m_ended.insert(start);
-  m_heard_leaving.erase(start);
-  m_servers.erase(BackendServerName(start));
+  m_ended_incarnations.insert(incarnation);
+  m_reported_leaving.erase(incarnation);
+  m_servers.erase(BackendServerName(incarnation));
 }
 
-bool ServerDirectory::NoteServerNews(const ServerStateReport& news, std::function<void()> changed) {
-  const auto server = m_servers.find(news.server);
+bool ServerDirectory::OnServerStateReport(const ServerStateReport& report,
+                                          std::function<void()> on_changed) {
+  const auto server = m_servers.find(report.server);
   if (server == m_servers.end()) {
     return false;
   }
-  if (news.leaving) {
-    return NoteLeaving(server->second, std::move(changed));
+  if (report.leaving) {
+    return OnLeavingReport(server->second, std::move(on_changed));
   }
-  if (server->second.layers == news.layers) {
+  if (server->second.layers == report.layers) {
     return false;
   }
-  server->second.layers = news.layers;
+  server->second.layers = report.layers;
   m_logger.Log(LogLevel::kInfo, "server_layers_heard",
-               {{"server", news.server},
-                {"layers", fmt::format("{}-{}", news.layers.first, news.layers.end)}});
+               {{"server", report.server},
+                {"layers", fmt::format("{}-{}", report.layers.first, report.layers.end)}});
   return true;
 }
 
-bool ServerDirectory::NoteLeaving(ServerEntry& server, std::function<void()> changed) {
-  const bool is_announced = server.draining && !m_heard_leaving.contains(server.name);
+bool ServerDirectory::OnLeavingReport(ServerEntry& server, std::function<void()> on_changed) {
+  const bool is_announced = server.draining && !m_reported_leaving.contains(server.name);
   if (is_announced) {
     return false;
   }
-  const bool is_news = !server.draining;
-  if (is_news) {
+  const bool is_change = !server.draining;
+  if (is_change) {
     server.draining = true;
     m_logger.Log(LogLevel::kInfo, "server_leaving_heard", {{"server", server.name}});
   }
-  m_heard_leaving[server.name] = m_scheduler.ScheduleAfter(
-      kHeardLeavingBelieved, [this, name = server.name, changed = std::move(changed)] {
-        // Kept until it has run: erasing the timer destroys what the call holds.
-        const auto timer = m_heard_leaving.extract(name);
+  m_reported_leaving[server.name] = m_scheduler.ScheduleAfter(
+      kLeavingReportLifetime, [this, name = server.name, on_changed = std::move(on_changed)] {
+        // Keeps the timer alive until this callback returns, as it owns the captures.
+        const auto timer = m_reported_leaving.extract(name);
         const auto found = m_servers.find(name);
         if (found != m_servers.end()) {
           found->second.draining = false;
-          changed();
+          on_changed();
         }
       });
-  return is_news;
+  return is_change;
 }
 
 void ServerDirectory::Remove(const std::string& registration,
-                             bool in_doubt,
-                             std::function<void()> changed) {
+                             bool store_failed_recently,
+                             std::function<void()> on_changed) {
   m_postponed.erase(registration);
-  if (Known(registration) == nullptr) {
+  if (FindEntry(registration) == nullptr) {
     return;
   }
-  if (!in_doubt) {
-    Drop(registration, "removed");
+  if (!store_failed_recently) {
+    RemoveEntry(registration, "removed");
     return;
   }
-  Postpone(registration, kDoubtAfterFailure, [this, registration, changed = std::move(changed)] {
-    Drop(registration, "lapsed in an outage and did not return");
-    changed();
-  });
+  Postpone(registration, kRemovalGracePeriod,
+           [this, registration, on_changed = std::move(on_changed)] {
+             RemoveEntry(registration, "expired during a store outage and did not return");
+             on_changed();
+           });
 }
 
 void ServerDirectory::Invalidate(const std::string& registration) {
   m_postponed.erase(registration);
-  if (Known(registration) != nullptr) {
-    Drop(registration, "its entry cannot be read");
+  if (FindEntry(registration) != nullptr) {
+    RemoveEntry(registration, "entry cannot be parsed");
   }
 }
 
 void ServerDirectory::Postpone(const std::string& registration,
                                Duration delay,
-                               std::function<void()> act) {
+                               std::function<void()> action) {
   m_postponed[registration] =
-      m_scheduler.ScheduleAfter(delay, [this, registration, act = std::move(act)] {
-        // Kept until it has run: erasing the timer destroys what the call holds.
+      m_scheduler.ScheduleAfter(delay, [this, registration, action = std::move(action)] {
+        // Keeps the timer alive until this callback returns, as it owns the captures.
         const auto timer = m_postponed.extract(registration);
-        act();
+        action();
       });
 }
 
-void ServerDirectory::Drop(const std::string& registration, const char* reason) {
-  const BackendServerName name = m_present.at(registration);
+void ServerDirectory::RemoveEntry(const std::string& registration, const char* reason) {
+  const BackendServerName name = m_current.at(registration);
   m_logger.Log(LogLevel::kInfo, "server_gone", {{"server", name}, {"reason", reason}});
-  m_heard_leaving.erase(name);
+  m_reported_leaving.erase(name);
   m_servers.erase(name);
-  m_present.erase(registration);
+  m_current.erase(registration);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -6,102 +6,101 @@
 namespace zinnia {
 namespace {
 
-/** The weight of one outcome: five failures in a row bring the share to about 0.8. */
+/** Weight of one outcome in the moving average: five consecutive failures raise it to about 0.8. */
 constexpr double kOutcomeWeight = 0.28;
 
-/** Half of the evidence is forgotten in this time, so a recovered server is tried within seconds.
- */
+/** Half-life of the failure rate. A recovered server is tried again within seconds. */
 constexpr std::chrono::duration<double> kHalfLife{3.0};
 
-/** Waiting requests come and go faster. */
+/** Half-life of the first-event delay; shorter, since queues change faster than failure rates. */
 constexpr std::chrono::duration<double> kDelayHalfLife{0.7};
 
-/** A request that tries a suspect server has this long to get through before the next one may:
-   about the time of a first event, and of finding that a server is silent. */
-constexpr Duration kTryOfSuspect = std::chrono::milliseconds(500);
+/** Minimum interval between attempts at a suspect server. Covers the delay of a first event and the
+    detection of a silent server. */
+constexpr Duration kSuspectAttemptInterval = std::chrono::milliseconds(500);
 
-/** A suspect that may still be dead is asked again after this. */
-constexpr Duration kSuspectAskedAgainAfter = std::chrono::milliseconds(500);
+/** Minimum interval between probes of a suspect server. */
+constexpr Duration kSuspectProbeInterval = std::chrono::milliseconds(500);
 
-/** A server's word on its pace counts for this long; its own values lag by some hundred ms. */
-constexpr Duration kPaceLifetime = std::chrono::seconds(3);
+/** A server's report of its slowdown expires after this time. */
+constexpr Duration kSlowdownLifetime = std::chrono::seconds(3);
 
-/** A server is not asked again before this. Slow servers stay so for seconds. */
-constexpr Duration kPaceAskedAgainAfter = std::chrono::milliseconds(500);
+/** Minimum interval between slowdown queries to a server. Slow servers stay slow for seconds. */
+constexpr Duration kSlowdownQueryInterval = std::chrono::milliseconds(500);
 
-/** From this pace on a server is worth telling of. */
-constexpr double kSlowPace = 1.3;
+/** Servers with at least this slowdown factor are reported as slow. */
+constexpr double kSlowServerThreshold = 1.3;
 
-/** Records of servers that have left are dropped beyond this number. */
-constexpr std::size_t kMostRecords = 4'096;
+/** Records of servers that aren't excluded are removed once there are this many. */
+constexpr std::size_t kMaxRecords = 4'096;
 
 }  // namespace
 
-ServerHealth::Record& ServerHealth::Touch(const BackendServerName& server) {
+ServerHealth::Record& ServerHealth::UpdateRecord(const BackendServerName& server) {
   const TimePoint now = m_clock.Now();
-  if (m_records.size() >= kMostRecords) {
+  if (m_records.size() >= kMaxRecords) {
     std::erase_if(m_records,
                   [now](const auto& entry) { return entry.second.excluded_until < now; });
   }
   Record& record = m_records[server];
-  const std::chrono::duration<double> age = now - record.changed_at;
-  record.failure_share *= std::exp2(-age / kHalfLife);
+  const std::chrono::duration<double> age = now - record.updated_at;
+  record.failure_rate *= std::exp2(-age / kHalfLife);
   record.first_event_ms *= std::exp2(-age / kDelayHalfLife);
-  record.changed_at = now;
+  record.updated_at = now;
   return record;
 }
 
 void ServerHealth::Exclude(const BackendServerName& server, Duration duration) {
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   record.excluded_until = std::max(record.excluded_until, m_clock.Now() + duration);
 }
 
-void ServerHealth::ExcludeLonger(const BackendServerName& server,
-                                 Duration first,
-                                 Duration longest) {
+void ServerHealth::ExcludeWithBackoff(const BackendServerName& server,
+                                      Duration first,
+                                      Duration longest) {
   if (IsExcluded(server)) {
-    return;  // Requests that were on their way together are one refusal.
+    return;  // Concurrent requests that were refused together count as one refusal.
   }
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   record.last_exclusion = std::clamp(record.last_exclusion * 2, first, longest);
   record.excluded_until = m_clock.Now() + record.last_exclusion;
 }
 
-void ServerHealth::Suspect(const BackendServerName& server, Duration duration) {
+void ServerHealth::MarkSuspect(const BackendServerName& server, Duration duration) {
   Exclude(server, duration);
   Record& record = m_records[server];
   record.is_suspect = true;
   record.has_answered = false;
 }
 
-std::vector<BackendServerName> ServerHealth::TakeSuspectsToAsk() {
+std::vector<BackendServerName> ServerHealth::TakeSuspectsToProbe() {
   const TimePoint now = m_clock.Now();
   std::vector<BackendServerName> due;
   for (auto& [server, record] : m_records) {
     if (record.is_suspect && !record.has_answered && now >= record.excluded_until &&
-        now >= record.next_question_at) {
-      record.next_question_at = now + kSuspectAskedAgainAfter;
+        now >= record.next_probe_at) {
+      record.next_probe_at = now + kSuspectProbeInterval;
       due.push_back(server);
     }
   }
   return due;
 }
 
-void ServerHealth::OnAnswered(const BackendServerName& server) {
+void ServerHealth::OnProbeAnswered(const BackendServerName& server) {
   const auto record = m_records.find(server);
   if (record != m_records.end()) {
     record->second.has_answered = true;
   }
 }
 
-void ServerHealth::OnTried(const BackendServerName& server) {
+void ServerHealth::OnAttempt(const BackendServerName& server) {
   const auto record = m_records.find(server);
   if (record != m_records.end() && record->second.is_suspect) {
-    record->second.next_try_at = m_clock.Now() + kTryOfSuspect;
+    record->second.next_attempt_at = m_clock.Now() + kSuspectAttemptInterval;
   }
 }
 
-void ServerHealth::OnReached(const BackendServerName& server) {
+void ServerHealth::OnProgress(const BackendServerName& server) {
   const auto record = m_records.find(server);
   if (record != m_records.end()) {
     record->second.is_suspect = false;
@@ -109,14 +108,14 @@
   }
 }
 
-void ServerHealth::OnOutcome(const BackendServerName& server, bool good) {
-  Record& record = Touch(server);
-  const double value = good ? 0.0 : 1.0;
-  record.failure_share += kOutcomeWeight * (value - record.failure_share);
+void ServerHealth::OnOutcome(const BackendServerName& server, bool succeeded) {
+  Record& record = UpdateRecord(server);
+  const double value = succeeded ? 0.0 : 1.0;
+  record.failure_rate += kOutcomeWeight * (value - record.failure_rate);
 }
 
 void ServerHealth::OnFirstEvent(const BackendServerName& server, Duration delay) {
-  Record& record = Touch(server);
+  Record& record = UpdateRecord(server);
   const std::chrono::duration<double, std::milli> milliseconds = delay;
   record.first_event_ms += kOutcomeWeight * (milliseconds.count() - record.first_event_ms);
 }
@@ -126,48 +125,48 @@
   if (record == m_records.end()) {
     return Duration::zero();
   }
-  const std::chrono::duration<double> age = m_clock.Now() - record->second.changed_at;
+  const std::chrono::duration<double> age = m_clock.Now() - record->second.updated_at;
   const std::chrono::duration<double, std::milli> delay(record->second.first_event_ms *
                                                         std::exp2(-age / kDelayHalfLife));
   return std::chrono::duration_cast<Duration>(delay);
 }
 
-void ServerHealth::NotePace(const SlowdownReport& news) {
-  Record& record = Touch(news.server);
-  const TimePoint known_at = m_clock.Now() - news.age;
-  if (!record.pace_known_at || known_at >= *record.pace_known_at) {
-    record.pace = std::max(1.0, news.slowdown_factor);
-    record.pace_known_at = known_at;
+void ServerHealth::OnSlowdownReport(const SlowdownReport& report) {
+  Record& record = UpdateRecord(report.server);
+  const TimePoint known_at = m_clock.Now() - report.age;
+  if (!record.slowdown_known_at || known_at >= *record.slowdown_known_at) {
+    record.slowdown = std::max(1.0, report.slowdown_factor);
+    record.slowdown_known_at = known_at;
   }
 }
 
-double ServerHealth::Pace(const BackendServerName& server) const {
+double ServerHealth::SlowdownFactor(const BackendServerName& server) const {
   const auto record = m_records.find(server);
-  const bool is_known = record != m_records.end() && record->second.pace_known_at &&
-                        m_clock.Now() - *record->second.pace_known_at < kPaceLifetime;
-  return is_known ? record->second.pace : 1.0;
+  const bool is_known = record != m_records.end() && record->second.slowdown_known_at &&
+                        m_clock.Now() - *record->second.slowdown_known_at < kSlowdownLifetime;
+  return is_known ? record->second.slowdown : 1.0;
 }
 
-bool ServerHealth::TakePaceQuestion(const BackendServerName& server) {
-  Record& record = Touch(server);
+bool ServerHealth::TryBeginSlowdownQuery(const BackendServerName& server) {
+  Record& record = UpdateRecord(server);
   const TimePoint now = m_clock.Now();
   const auto is_fresh = [now](const std::optional<TimePoint>& at) {
-    return at && now - *at < kPaceAskedAgainAfter;
+    return at && now - *at < kSlowdownQueryInterval;
   };
-  if (is_fresh(record.pace_known_at) || is_fresh(record.pace_asked_at)) {
+  if (is_fresh(record.slowdown_known_at) || is_fresh(record.slowdown_queried_at)) {
     return false;
   }
-  record.pace_asked_at = now;
+  record.slowdown_queried_at = now;
   return true;
 }
 
 std::vector<SlowdownReport> ServerHealth::SlowServers() const {
   std::vector<SlowdownReport> slow;
   for (const auto& [server, record] : m_records) {
-    if (Pace(server) >= kSlowPace) {
-      slow.push_back({server, record.pace,
+    if (SlowdownFactor(server) >= kSlowServerThreshold) {
+      slow.push_back({server, record.slowdown,
                       std::chrono::duration_cast<std::chrono::milliseconds>(
-                          m_clock.Now() - *record.pace_known_at)});
+                          m_clock.Now() - *record.slowdown_known_at)});
     }
   }
   return slow;
@@ -179,17 +178,18 @@
     return false;
   }
   const TimePoint now = m_clock.Now();
-  const bool may_be_tried = record->second.has_answered && now >= record->second.next_try_at;
-  return now < record->second.excluded_until || (record->second.is_suspect && !may_be_tried);
+  const bool may_be_attempted =
+      record->second.has_answered && now >= record->second.next_attempt_at;
+  return now < record->second.excluded_until || (record->second.is_suspect && !may_be_attempted);
 }
 
-double ServerHealth::FailureShare(const BackendServerName& server) const {
+double ServerHealth::FailureRate(const BackendServerName& server) const {
   const auto record = m_records.find(server);
   if (record == m_records.end()) {
     return 0.0;
   }
-  const std::chrono::duration<double> age = m_clock.Now() - record->second.changed_at;
-  return record->second.failure_share * std::exp2(-age / kHalfLife);
+  const std::chrono::duration<double> age = m_clock.Now() - record->second.updated_at;
+  return record->second.failure_rate * std::exp2(-age / kHalfLife);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -94,7 +94,7 @@
 }
 
 bool ForwardingControl::StoreIsSteady() const {
-  return m_mirror.IsStableFor(ServerDirectory::kDoubtAfterFailure) ||
+  return m_mirror.IsStableFor(ServerDirectory::kRemovalGracePeriod) ||
          m_news.AnyPeerSeesStableStore();
 }
 
@@ -102,7 +102,7 @@
   // While the store answers its word on layers is newer than one that was some time on its way.
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
   const bool is_believed = news.leaving || !StoreIsSteady();
-  if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
+  if (is_believed && m_servers.OnServerStateReport(news, [this] { PublishView(); })) {
     m_news.AddServerState(news);
     PublishView();
   }
@@ -195,7 +195,7 @@
       view->servers.emplace(name, server);
     }
   }
-  view->ended_starts = m_servers.Ended();
+  view->ended_incarnations = m_servers.EndedIncarnations();
   view->live_instances = m_instances.Live().size();
   view->instances = m_recent_instances.Update(m_instances.Live());
   view->revision = m_mirror.Revision();
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -6,8 +6,8 @@
 #include <map>
 
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
@@ -377,9 +377,9 @@
                                            const GenerationSize& size,
                                            const ServerEntry& server) const {
   const ServerUse use = m_loads.UseOf(server.name);
-  const double pace = m_health.Pace(server.name);
+  const double pace = m_health.SlowdownFactor(server.name);
   const double slowness =
-      (1.0 + kFailurePenalty * m_health.FailureShare(server.name)) * ChanceFactor();
+      (1.0 + kFailurePenalty * m_health.FailureRate(server.name)) * ChanceFactor();
   Candidate candidate;
   candidate.entry = &server;
   candidate.ms_per_layer =
@@ -436,7 +436,7 @@
                                            const GenerationSize& size,
                                            const SearchSpace& space,
                                            const std::optional<PathPart>& first) const {
-  const double pipe_use = m_pipe.OwnUse() * static_cast<double>(view.live_instances);
+  const double pipe_use = m_pipe.OwnUtilization() * static_cast<double>(view.live_instances);
   Search search(engine, size, space.candidates, pipe_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
   auto found = search.Run(first_layer, space.start_domain, space.domains.size(), false);
--- a/packages/zinnia_decisions/forwarding/streams/streams.h
+++ b/packages/zinnia_decisions/forwarding/streams/streams.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/** When a running stream stays, moves or starts again. */
+/** Timing of running streams: detection of silence and moves to other servers. */
 
 #include "zinnia_decisions/forwarding/streams/departure_schedule.h"
+#include "zinnia_decisions/forwarding/streams/event_interval_tracker.h"
 #include "zinnia_decisions/forwarding/streams/silence_policy.h"
-#include "zinnia_decisions/forwarding/streams/stream_rhythm.h"
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -13,63 +13,61 @@
   VirtualTime time;
   HeldStore store{time};
   SilentLogger logger;
-  RecordedMirror seen;
+  RecordedMirror recorded;
   StoreMirror mirror{store, time, time, logger, {}};
 
   void setup() override {
     store.Put("a", "1");
     store.Put("b", "1");
-    mirror.SetListener(&seen);
+    mirror.SetListener(&recorded);
     mirror.Start();
     time.AdvanceBy(milliseconds(600));
   }
 
-  void Watched() {
+  void CompleteWatch() {
     store.AnswerWatch();
     time.AdvanceBy(milliseconds(100));
   }
 };
 
-TEST(Mirror, ListsOnceThenFollowsByWatches) {
+TEST(Mirror, ListsOnceThenWatches) {
   CHECK_TRUE(mirror.IsFilled());
   store.Put("a", "2");
   store.Erase("b");
-  Watched();
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
-  CHECK_FALSE(seen.values["b"].has_value());
+  CompleteWatch();
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
+  CHECK_FALSE(recorded.values["b"].has_value());
   CHECK_EQUAL(1, store.lists);
 }
 
-// Symptom: a server that left long ago still gets requests. Sequence: watches hear nothing while
-// the server leaves, then the store drops its history. Cause: watching on from the newest revision
-// without listing what is left.
-TEST(Mirror, ALostHistoryIsListedAnewAndWhatIsMissingIsGone) {
+// Guards against servers that stay in the mirror because their removal fell into the part of the
+// history that the store has dropped.
+TEST(Mirror, ListsAgainAfterLostHistoryAndRemovesMissingRecords) {
   store.Erase("b");
   store.Put("c", "1");
   store.FailWatch(ErrorKind::kStoreHistoryLost);
   time.AdvanceBy(milliseconds(10));
   CHECK_EQUAL(2, store.lists);
-  CHECK_FALSE(seen.values["b"].has_value());
-  STRCMP_EQUAL("1", seen.values["c"]->c_str());
+  CHECK_FALSE(recorded.values["b"].has_value());
+  STRCMP_EQUAL("1", recorded.values["c"]->c_str());
 }
 
-TEST(Mirror, GoesOnWatchingFromWhereItWasAfterAFailure) {
+TEST(Mirror, ResumesWatchFromLastRevisionAfterFailure) {
   const std::uint64_t before = mirror.Revision();
   store.FailWatch(ErrorKind::kStoreUnavailable);
   CHECK_FALSE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(1));
   CHECK_EQUAL(before, store.last_watch_after);
   store.Put("a", "2");
-  Watched();
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
+  CompleteWatch();
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_FALSE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(2));
   CHECK_TRUE(mirror.IsStableFor(seconds(2)));
 }
 
-// Symptom: an outage of the store costs two thousand calls. Sequence: no reader is in contact, so
-// all eighty instances try twice a second. Cause: each tried as often as if others relied on it.
-TEST(Mirror, ASubstituteTriesAnAbsentStoreSeldom) {
+// Guards against all instances calling an unavailable store at the rate of a store watcher.
+TEST(Mirror, SubstituteRetriesUnavailableStoreAtReducedRate) {
   const auto calls_in_ten_seconds = [this] {
     int calls = 0;
     for (int step = 0; step < 100; ++step) {
@@ -89,88 +87,83 @@
   CHECK_TRUE(calls_in_ten_seconds() >= 15);
 }
 
-// Symptom: a watch that hears of nothing costs two hundred instances a call each two seconds.
-// Sequence: a reader's word reaches all of them. Cause: each watches the store all the same.
-TEST(Mirror, WhoNeedNotReadMakesNoCalls) {
+// Guards against store calls by instances that receive all records from a store watcher.
+TEST(Mirror, MakesNoCallsWhileNotWatching) {
   mirror.SetWatchRole(StoreWatchRole::kNone, 200);
-  Watched();
+  CompleteWatch();
   time.AdvanceBy(seconds(30));
   CHECK_EQUAL(0U, store.watches.size());
   CHECK_EQUAL(1, store.lists);
 }
 
-// Symptom: two hundred calls to the store in the moment in which a domain's relays are lost.
-// Sequence: all members miss the readers' word at the same time. Cause: all try at once.
-TEST(Mirror, SubstitutesSpreadTheirFirstCalls) {
+// Guards against a burst of store calls when all members of a domain lose their relays.
+TEST(Mirror, SubstitutesSpreadFirstCalls) {
   StoreMirrorSettings settings;
   settings.spread_position = 0.5;
-  HeldStore quiet{time};
-  StoreMirror late{quiet, time, time, logger, settings};
-  late.SetWatchRole(StoreWatchRole::kNone, 200);
-  late.Start();
+  HeldStore unwatched_store{time};
+  StoreMirror delayed_mirror{unwatched_store, time, time, logger, settings};
+  delayed_mirror.SetWatchRole(StoreWatchRole::kNone, 200);
+  delayed_mirror.Start();
   time.AdvanceBy(seconds(1));
-  late.SetWatchRole(StoreWatchRole::kSubstitute, 200);
+  delayed_mirror.SetWatchRole(StoreWatchRole::kSubstitute, 200);
   time.AdvanceBy(milliseconds(400));
-  CHECK_EQUAL(0U, quiet.watches.size());
+  CHECK_EQUAL(0U, unwatched_store.watches.size());
   time.AdvanceBy(milliseconds(200));
-  CHECK_EQUAL(1U, quiet.watches.size());
+  CHECK_EQUAL(1U, unwatched_store.watches.size());
 }
 
-// Symptom: after an outage of the store all its servers are dropped. Sequence: an instance that
-// seldom asks the store has not noticed the outage; it tells its peers that the store is steady;
-// they take lapsed entries for servers that left. Cause: silence taken for steadiness.
-TEST(Mirror, AStoreThatWasNotAskedLatelyIsNotSteady) {
-  Watched();
+// An instance that rarely calls the store may miss an outage. If it reported the store as steady,
+// its peers would remove servers whose entries expired in the outage.
+TEST(Mirror, IsNotSteadyWithoutRecentCalls) {
+  CompleteWatch();
   CHECK_TRUE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(3));
   CHECK_FALSE(mirror.IsStableFor(seconds(2)));
 }
 
-// Symptom: an old configuration comes into force again. Sequence: a peer that lags sends its
-// records. Cause: news applied by arrival instead of by revision.
-TEST(Mirror, OlderNewsOfPeersChangesNothing) {
+// Guards against a lagging peer restoring an outdated configuration.
+TEST(Mirror, IgnoresOlderRecordsFromPeers) {
   store.Put("a", "2");
-  Watched();
+  CompleteWatch();
   mirror.Merge({true, 2, {{"a", 2, "1"}}});
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
   CHECK_TRUE(mirror.Has("b"));
 }
 
-TEST(Mirror, APeerThatLagsGetsJustWhatItLacks) {
+TEST(Mirror, SendsOnlyMissingChangesToLaggingPeer) {
   const std::uint64_t before = mirror.Revision();
   store.Put("c", "1");
   store.Erase("b");
-  Watched();
+  CompleteWatch();
   const MirrorDelta delta = mirror.ChangesAfter(before);
   CHECK_FALSE(delta.complete);
   CHECK_EQUAL(2U, delta.records.size());
 
-  RecordedMirror other_seen;
+  RecordedMirror other_recorded;
   StoreMirror other{store, time, time, logger, {}};
-  other.SetListener(&other_seen);
+  other.SetListener(&other_recorded);
   other.Merge(mirror.ChangesAfter(0));
   CHECK_TRUE(other.IsFilled());
   CHECK_TRUE(other.Has("c"));
   CHECK_FALSE(other.Has("b"));
 }
 
-// Symptom: a changed configuration is in force after six seconds. Sequence: the readers are lost,
-// and an instance that relied on them becomes one. Cause: it begins only after a pause.
-TEST(Mirror, ANewReaderWatchesAtOnce) {
+// Guards against late configuration changes after the store watchers are lost and replaced.
+TEST(Mirror, NewStoreWatcherWatchesImmediately) {
   mirror.SetWatchRole(StoreWatchRole::kNone, 1);
-  Watched();
+  CompleteWatch();
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(0U, store.watches.size());
   store.Put("a", "2");
   mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 1);
   CHECK_EQUAL(1U, store.watches.size());
-  Watched();
-  STRCMP_EQUAL("2", seen.values["a"]->c_str());
+  CompleteWatch();
+  STRCMP_EQUAL("2", recorded.values["a"]->c_str());
 }
 
-TEST(Mirror, ANewReaderThatPausesStartsOneWatchAndNotTwo) {
+TEST(Mirror, NewStoreWatcherStartsOneWatchDuringDelay) {
   mirror.SetWatchRole(StoreWatchRole::kSubstitute, 1);
-  Watched();
+  CompleteWatch();
   CHECK_EQUAL(0U, store.watches.size());
   mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 1);
   time.AdvanceBy(seconds(2));
@@ -189,29 +182,28 @@
   void Put(ServerEntry entry) {
     directory.Put(std::move(entry), [this] { ++changes; });
   }
-  ServerEntry Start(std::uint64_t started_at_ms, LayerRange layers = {}) {
+  ServerEntry Incarnation(std::uint64_t started_at_ms, LayerRange layers = {}) {
     ServerEntry entry = EngineServer("s", "fast", "x", layers);
     entry.name = "s@" + std::to_string(started_at_ms);
     entry.started_at_ms = started_at_ms;
     return entry;
   }
-  bool Hear(const ServerStateReport& news) {
-    return directory.NoteServerNews(news, [this] { ++changes; });
+  bool Report(const ServerStateReport& report) {
+    return directory.OnServerStateReport(report, [this] { ++changes; });
   }
-  void Remove(bool in_doubt) {
-    directory.Remove("s", in_doubt, [this] { ++changes; });
+  void Remove(bool store_failed_recently) {
+    directory.Remove("s", store_failed_recently, [this] { ++changes; });
   }
 };
 
-TEST(Servers, ARemovalWithoutDoubtActsAtOnce) {
+TEST(Servers, RemovesImmediatelyWithoutStoreFailure) {
   Remove(false);
   CHECK_TRUE(directory.All().empty());
 }
 
-// Symptom: everything is refused for seconds after an outage of the store. Sequence: leases of the
-// servers' entries lapse while the store is away; it comes back without the entries, and the
-// servers register again a second later. Cause: lapsed entries taken for dead servers.
-TEST(Servers, AnEntryThatLapsedInAnOutageMayReturn) {
+// Leases expire during a store outage, and servers register again a second later. Requests
+// must not be refused in between.
+TEST(Servers, ExpiredEntryMayReturnAfterOutage) {
   Remove(true);
   CHECK_EQUAL(1U, directory.All().size());
   time.AdvanceBy(seconds(1));
@@ -221,24 +213,22 @@
   CHECK_EQUAL(0, changes);
 }
 
-// Symptom: requests over moved layers are refused until the store is back. Sequence: an engine is
-// ordered to take other layers, the store goes away before its entry changes. Cause: only entries
-// believed.
-TEST(Servers, LayersThatAServerNamesCountUntilItsNextEntry) {
-  CHECK_TRUE(Hear({"s", {20, 40}}));
-  CHECK_FALSE(Hear({"s", {20, 40}}));
-  CHECK_FALSE(Hear({"stranger", {20, 40}}));
+// Guards against refused requests if the layers of an engine change during a store outage.
+TEST(Servers, ReportedLayersApplyUntilNextEntry) {
+  CHECK_TRUE(Report({"s", {20, 40}}));
+  CHECK_FALSE(Report({"s", {20, 40}}));
+  CHECK_FALSE(Report({"unknown", {20, 40}}));
   CHECK_EQUAL(20U, directory.All().at("s").layers.first);
   Put(EngineServer("s", "fast", "x", {0, 5}));
   CHECK_EQUAL(0U, directory.All().at("s").layers.first);
 }
 
-// Symptom: callers are refused by servers that take no new work for as long as the store is away.
-// Sequence: a server that is to end cannot say so in the store. Cause: only entries believed.
-TEST(Servers, AServerThatTakesNoNewWorkLeavesUntilItsNextEntry) {
+// Guards against requests to servers that are shutting down but cannot update their entries during
+// a store outage.
+TEST(Servers, LeavingReportAppliesUntilNextEntry) {
   const LayerRange held = directory.All().at("s").layers;
-  CHECK_TRUE(Hear({"s", {}, true}));
-  CHECK_FALSE(Hear({"s", {}, true}));
+  CHECK_TRUE(Report({"s", {}, true}));
+  CHECK_FALSE(Report({"s", {}, true}));
   CHECK_TRUE(directory.All().at("s").draining);
   CHECK_TRUE(directory.All().at("s").layers == held);
   Put(EngineServer("s", "fast", "x", held));
@@ -246,12 +236,11 @@
   CHECK_EQUAL(0, changes);
 }
 
-// Symptom: a sound server gets no requests any more. Sequence: it refuses one, and its health check
-// lies; its entry stays as it was. Cause: hearsay believed for ever.
-TEST(Servers, ThatAServerLeavesIsBelievedForAWhileAfterItWasLastHeard) {
-  Hear({"s", {}, true});
+// A wrong leaving report must not exclude a healthy server permanently.
+TEST(Servers, LeavingReportExpiresAfterLastReport) {
+  Report({"s", {}, true});
   time.AdvanceBy(seconds(4));
-  Hear({"s", {}, true});
+  Report({"s", {}, true});
   time.AdvanceBy(seconds(4));
   CHECK_TRUE(directory.All().at("s").draining);
   time.AdvanceBy(seconds(3));
@@ -259,11 +248,9 @@
   CHECK_EQUAL(1, changes);
 }
 
-// Symptom: a leaving server gets requests again. Sequence: it refuses while the store is away; the
-// store is back and its entry says that it leaves; six seconds after the refusal the hearsay ends.
-// Cause: the end of hearsay applied to what the entry says.
-TEST(Servers, AnAnnouncementReplacesHearsay) {
-  Hear({"s", {}, true});
+// The expiry of a leaving report must not affect a server whose entry announces its departure.
+TEST(Servers, AnnouncedDepartureReplacesReport) {
+  Report({"s", {}, true});
   time.AdvanceBy(seconds(3));
   ServerEntry leaving = EngineServer("s", "fast", "x");
   leaving.draining = true;
@@ -272,75 +259,72 @@
   CHECK_TRUE(directory.All().at("s").draining);
 }
 
-TEST(Servers, AnAnnouncedDepartureDoesNotEndAsHearsayDoes) {
+TEST(Servers, AnnouncedDepartureDoesNotExpire) {
   ServerEntry leaving = EngineServer("s", "fast", "x");
   leaving.draining = true;
   Put(leaving);
-  CHECK_FALSE(Hear({"s", {}, true}));
+  CHECK_FALSE(Report({"s", {}, true}));
   time.AdvanceBy(seconds(7));
   CHECK_TRUE(directory.All().at("s").draining);
 }
 
-// Symptom: streams stand still for half a second and more, and orders meant for an engine's former
-// start are counted on. Sequence: a server crashes and starts again under its registration before
-// its entry lapses. Cause: the new entry taken for a change of the old one.
-TEST(Servers, ALaterStartEndsTheEarlierOne) {
-  Put(Start(100, {0, 40}));
-  Put(Start(200));
+// A server may crash and register again before its entry expires. Treating the new entry as a
+// change of the old one would stall streams and keep outdated layer assignments.
+TEST(Servers, LaterIncarnationEndsEarlierOne) {
+  Put(Incarnation(100, {0, 40}));
+  Put(Incarnation(200));
   CHECK_EQUAL(1U, directory.All().size());
   CHECK_EQUAL(0U, directory.All().at("s@200").layers.Count());
-  CHECK_TRUE(directory.Ended().contains("s@100"));
-  CHECK_FALSE(Hear({"s@100", {0, 40}}));
-  Put(Start(300));
+  CHECK_TRUE(directory.EndedIncarnations().contains("s@100"));
+  CHECK_FALSE(Report({"s@100", {0, 40}}));
+  Put(Incarnation(300));
   CHECK_EQUAL(1U, directory.All().size());
-  CHECK_TRUE(directory.Ended().contains("s@200"));
+  CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
 
-// Symptom: requests go to layers that a server lost when it crashed. Sequence: the last write of
-// the earlier start reaches the store after the later start has registered. Cause: the newest
-// record believed, whoever wrote it.
-TEST(Servers, ALateWriteOfAnEarlierStartIsNotBelieved) {
-  Put(Start(200));
-  Put(Start(100, {0, 40}));
+// The last write of a crashed incarnation may reach the store after the next one has registered.
+// Requests must not use layers that were lost in the crash.
+TEST(Servers, IgnoresLateWriteOfEarlierIncarnation) {
+  Put(Incarnation(200));
+  Put(Incarnation(100, {0, 40}));
   time.AdvanceBy(seconds(1));
   CHECK_TRUE(directory.All().contains("s@200"));
-  Put(Start(200, {0, 20}));
+  Put(Incarnation(200, {0, 20}));
   time.AdvanceBy(seconds(5));
   CHECK_EQUAL(20U, directory.All().at("s@200").layers.end);
   CHECK_EQUAL(0, changes);
 }
 
-// Symptom: a server that lives gets nothing for good. Sequence: it starts again with a clock that
-// is behind. Cause: starts ordered by their clocks alone.
-TEST(Servers, AStartWhoseClockIsBehindIsBelievedWhenItsEntryStays) {
-  Put(Start(200, {0, 40}));
-  Put(Start(100));
+// Guards against ignoring a server permanently because its clock was behind when it restarted.
+TEST(Servers, AcceptsIncarnationWithLaggingClockAfterDelay) {
+  Put(Incarnation(200, {0, 40}));
+  Put(Incarnation(100));
   time.AdvanceBy(seconds(3));
   CHECK_EQUAL(1, changes);
   CHECK_TRUE(directory.All().contains("s@100"));
-  CHECK_TRUE(directory.Ended().contains("s@200"));
+  CHECK_TRUE(directory.EndedIncarnations().contains("s@200"));
 }
 
-TEST(Servers, ARecordThatCannotBeReadNamesNoServer) {
-  Put(Start(100));
+TEST(Servers, UnreadableRecordRemovesServer) {
+  Put(Incarnation(100));
   directory.Invalidate("s");
   CHECK_TRUE(directory.All().empty());
-  Put(Start(100));
+  Put(Incarnation(100));
   CHECK_EQUAL(1U, directory.All().size());
 }
 
-// A start again within an outage: the entry lapses, and what returns is another start.
-TEST(Servers, AnEntryThatLapsedMayReturnAsALaterStart) {
-  Put(Start(100, {0, 40}));
+// A server may restart during a store outage in which its entry expires.
+TEST(Servers, ExpiredEntryMayReturnAsLaterIncarnation) {
+  Put(Incarnation(100, {0, 40}));
   Remove(true);
   time.AdvanceBy(seconds(1));
-  Put(Start(200));
+  Put(Incarnation(200));
   time.AdvanceBy(seconds(5));
   CHECK_EQUAL(1U, directory.All().size());
   CHECK_TRUE(directory.All().contains("s@200"));
 }
 
-TEST(Servers, AnEntryThatDoesNotReturnIsGone) {
+TEST(Servers, RemovesExpiredEntryAfterGracePeriod) {
   Remove(true);
   time.AdvanceBy(seconds(3));
   CHECK_TRUE(directory.All().empty());
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
+#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/probe_round.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
@@ -21,7 +21,7 @@
   ServerHealth health{time};
   HolderDivision division;
   ServerLimits limits{time, division, "self"};
-  PipeMeter pipe{time};
+  InterDomainLinkMeter pipe{time};
   RandomSource random{1};
   NamedConnections connections;
   PathFinder finder{loads, health, limits, pipe, connections, random};
@@ -160,7 +160,7 @@
 }
 
 TEST(Paths, LeavesServersThatSayTheyAreSlow) {
-  health.NotePace({"x2", 8.0, {}});
+  health.OnSlowdownReport({"x2", 8.0, {}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   time.AdvanceBy(seconds(4));
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
@@ -194,7 +194,7 @@
 
   std::string Suspects(const std::vector<StreamProgress>& streams) {
     std::string names;
-    for (const PathPart& part : SilenceDetector::Suspects(streams, now)) {
+    for (const PathPart& part : SilenceDetector::FindSuspects(streams, now)) {
       names += part.server + " ";
     }
     return names;
@@ -214,16 +214,16 @@
 // Cause: a round in which most are silent taken for the instance's own way being cut.
 TEST(Silence, OneAnswerOrOtherStreamsShowThatTheWayWorks) {
   ProbeRound rack(4, false);
-  rack.OnAnswer("a", false);
-  rack.OnAnswer("b", false);
+  rack.OnProbeResult("a", false);
+  rack.OnProbeResult("b", false);
   CHECK_FALSE(rack.IsComplete());
-  rack.OnAnswer("c", false);
-  rack.OnAnswer("d", true);
+  rack.OnProbeResult("c", false);
+  rack.OnProbeResult("d", true);
   CHECK_TRUE(rack.IsComplete());
-  CHECK_EQUAL(3U, rack.Dead().size());
+  CHECK_EQUAL(3U, rack.DeadServers().size());
   ProbeRound whole_path(1, true);
-  whole_path.OnAnswer("a", false);
-  CHECK_EQUAL(1U, whole_path.Dead().size());
+  whole_path.OnProbeResult("a", false);
+  CHECK_EQUAL(1U, whole_path.DeadServers().size());
 }
 
 // Symptom: an instance that is cut off takes the servers of the whole fleet out of use. Sequence:
@@ -231,19 +231,20 @@
 // death.
 TEST(Silence, WithoutAnySignOfLifeNobodyIsNamed) {
   ProbeRound round(2, false);
-  round.OnAnswer("a", false);
-  round.OnAnswer("b", false);
-  CHECK_TRUE(round.Dead().empty());
+  round.OnProbeResult("a", false);
+  round.OnProbeResult("b", false);
+  CHECK_TRUE(round.DeadServers().empty());
 }
 
 TEST(Silence, StreamsOfOtherPathsThatFlowAreSeen) {
   const std::vector<StreamProgress> silent = {Stream(one, 80), Stream(one, 90)};
   const std::vector<PathPart> suspects = {one.front()};
-  CHECK_FALSE(SilenceDetector::OthersFlow(silent, suspects, now));
+  CHECK_FALSE(SilenceDetector::OtherStreamsActive(silent, suspects, now));
   const LayerPath elsewhere = {{"z", {}, {0, 80}}};
-  CHECK_TRUE(SilenceDetector::OthersFlow({Stream(one, 80), Stream(elsewhere, 10)}, suspects, now));
-  CHECK_FALSE(
-      SilenceDetector::OthersFlow({Stream(one, 80), Stream(elsewhere, 300)}, suspects, now));
+  CHECK_TRUE(
+      SilenceDetector::OtherStreamsActive({Stream(one, 80), Stream(elsewhere, 10)}, suspects, now));
+  CHECK_FALSE(SilenceDetector::OtherStreamsActive({Stream(one, 80), Stream(elsewhere, 300)},
+                                                  suspects, now));
 }
 
 TEST(Silence, AllServersOfASilentPathAreSuspectTogether) {
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -90,7 +90,7 @@
 TEST(RetryDecision, UnknownOutcomeOfANonIdempotentRequestIsNeverSentAgain) {
   route.repeatability = Repeatability::kNonIdempotent;
   CHECK_TRUE(NextStep::kFail == Decide(SendOutcome::kUnknown));
-  CHECK_TRUE(NextStep::kPassOn == Decide(SendOutcome::kServerFailed));
+  CHECK_TRUE(NextStep::kForwardFailure == Decide(SendOutcome::kServerFailed));
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kNotRun));
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kNotSent));
 }
@@ -230,20 +230,20 @@
 // is left for a moment, then all waiting requests try it at once. Cause: the end of an exclusion
 // taken for a recovery.
 TEST(ServerChoice, ASuspectIsTriedByOneRequestAtATimeUntilOneGetsThrough) {
-  health.Suspect("a", seconds(3));
+  health.MarkSuspect("a", seconds(3));
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(3'100));
   CHECK_TRUE(health.IsExcluded("a"));
-  health.OnAnswered("a");
+  health.OnProbeAnswered("a");
   CHECK_FALSE(health.IsExcluded("a"));
-  health.OnTried("a");
+  health.OnAttempt("a");
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(600));
   CHECK_FALSE(health.IsExcluded("a"));
-  health.OnTried("a");
-  health.OnReached("a");
+  health.OnAttempt("a");
+  health.OnProgress("a");
   CHECK_FALSE(health.IsExcluded("a"));
-  health.OnTried("a");
+  health.OnAttempt("a");
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
@@ -251,19 +251,19 @@
 // three seconds, and its caller waits for nothing. Sequence: a server dies in an outage, its entry
 // stays. Cause: callers' requests used to find out whether it is back.
 TEST(ServerChoice, ASuspectIsAskedBeforeARequestTriesIt) {
-  health.Suspect("a", seconds(3));
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());
+  health.MarkSuspect("a", seconds(3));
+  CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   time.AdvanceBy(milliseconds(3'100));
-  CHECK_EQUAL(1U, health.TakeSuspectsToAsk().size());
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());  // A question costs a call.
+  CHECK_EQUAL(1U, health.TakeSuspectsToProbe().size());
+  CHECK_TRUE(health.TakeSuspectsToProbe().empty());  // A question costs a call.
   time.AdvanceBy(seconds(60));
   CHECK_TRUE(health.IsExcluded("a"));
-  CHECK_EQUAL(1U, health.TakeSuspectsToAsk().size());
-  health.OnAnswered("a");
+  CHECK_EQUAL(1U, health.TakeSuspectsToProbe().size());
+  health.OnProbeAnswered("a");
   time.AdvanceBy(seconds(2));
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());
+  CHECK_TRUE(health.TakeSuspectsToProbe().empty());
   CHECK_FALSE(health.IsExcluded("a"));
-  health.Suspect("a", seconds(3));  // It was silent again.
+  health.MarkSuspect("a", seconds(3));  // It was silent again.
   time.AdvanceBy(seconds(4));
   CHECK_TRUE(health.IsExcluded("a"));
 }
@@ -271,31 +271,31 @@
 // Symptom: for nine seconds every answer is late by its pauses. Sequence: one server of each chain
 // becomes eight times slower, and all requests go on through them. Cause: nobody asked.
 TEST(ServerChoice, ASlowServersWordCountsForAWhileAndIsAskedForSeldom) {
-  CHECK_TRUE(health.TakePaceQuestion("a"));
-  CHECK_FALSE(health.TakePaceQuestion("a"));
-  health.NotePace({"a", 8.0, {}});
-  DOUBLES_EQUAL(8.0, health.Pace("a"), 1e-9);
+  CHECK_TRUE(health.TryBeginSlowdownQuery("a"));
+  CHECK_FALSE(health.TryBeginSlowdownQuery("a"));
+  health.OnSlowdownReport({"a", 8.0, {}});
+  DOUBLES_EQUAL(8.0, health.SlowdownFactor("a"), 1e-9);
   CHECK_EQUAL(1U, health.SlowServers().size());
-  health.NotePace({"a", 2.0, seconds(1)});
-  DOUBLES_EQUAL(8.0, health.Pace("a"), 1e-9);
+  health.OnSlowdownReport({"a", 2.0, seconds(1)});
+  DOUBLES_EQUAL(8.0, health.SlowdownFactor("a"), 1e-9);
   time.AdvanceBy(milliseconds(600));
-  CHECK_TRUE(health.TakePaceQuestion("a"));
+  CHECK_TRUE(health.TryBeginSlowdownQuery("a"));
   time.AdvanceBy(seconds(3));
-  DOUBLES_EQUAL(1.0, health.Pace("a"), 1e-9);
+  DOUBLES_EQUAL(1.0, health.SlowdownFactor("a"), 1e-9);
   CHECK_TRUE(health.SlowServers().empty());
 }
 
 TEST(ServerChoice, AServerThatKeepsRefusingIsLeftForLonger) {
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_FALSE(health.IsExcluded("a"));
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(250));
-  health.OnReached("a");
-  health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
+  health.OnProgress("a");
+  health.ExcludeWithBackoff("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
   CHECK_FALSE(health.IsExcluded("a"));
 }
@@ -303,7 +303,7 @@
 TEST(ServerChoice, AServerThatIsNotSuspectIsTriedByAll) {
   health.Exclude("a", milliseconds(200));
   time.AdvanceBy(milliseconds(300));
-  health.OnTried("a");
+  health.OnAttempt("a");
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
