--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -69,7 +69,7 @@
   VirtualTime time;
   LoadBook loads(time);
   ServerHealth health(time);
-  const HolderDivision division;
+  const RendezvousLimitDivision division;
   const ServerLimits limits(time, division, "self");
   PipeMeter pipe(time);
   RandomSource random(1);
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -86,7 +86,7 @@
   RandomSource m_random;
   LoadBook m_loads;
   ServerHealth m_health;
-  HolderDivision m_limit_division;
+  RendezvousLimitDivision m_limit_division;
   ServerLimits m_limits;
   PipeMeter m_pipe;
   ServerConnectionPool m_connections;
--- a/packages/zinnia_decisions/forwarding/limits/holder_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/holder_division.h
@@ -12,7 +12,7 @@
     requests a second, chosen by rendezvous hashing, those of the server's failure domain first: all
    instances choose alike, and one that goes moves only its own parts.
 */
-class HolderDivision final : public LimitDivision {
+class RendezvousLimitDivision final : public LimitDivision {
  public:
   LimitPart PartOf(const InstanceName& self,
                    const std::vector<Instance>& instances,
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -48,7 +48,7 @@
     }
     LoadBook loads;
     ServerHealth health;
-    HolderDivision division;
+    RendezvousLimitDivision division;
     ServerLimits limits;
     PipeMeter pipe;
     RandomSource random;
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -150,7 +150,7 @@
 };
 
 TEST_GROUP(Limits) {
-  HolderDivision division;
+  RendezvousLimitDivision division;
 
   static std::shared_ptr<ForwardingView> ViewOf(const std::vector<std::string>& servers) {
     auto view = std::make_shared<ForwardingView>();
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -19,7 +19,7 @@
   VirtualTime time;
   LoadBook loads{time};
   ServerHealth health{time};
-  HolderDivision division;
+  RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
   PipeMeter pipe{time};
   RandomSource random{1};
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -22,7 +22,7 @@
   VirtualTime time;
   LoadBook loads{time};
   ServerHealth health{time};
-  HolderDivision division;
+  RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
   PipeMeter pipe{time};
   RandomSource random{1};
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -202,7 +202,7 @@
   VirtualTime time;
   LoadBook loads{time};
   ServerHealth health{time};
-  HolderDivision division;
+  RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
   RandomSource random{1};
   PlainServerChooser chooser{loads, health, limits, random};
