--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -16,7 +16,7 @@
 #include "zinnia_decisions/forwarding/beliefs/news_report.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/plain_server_chooser.h"
--- a/packages/zinnia_decisions/forwarding/limits/limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/limits.h
@@ -2,9 +2,9 @@
 
 /** Limits that servers name for all instances together, and this instance's part of them. */
 
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
 #include "zinnia_decisions/forwarding/limits/limit_division.h"
 #include "zinnia_decisions/forwarding/limits/limit_outlook.h"
 #include "zinnia_decisions/forwarding/limits/recent_instances.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limit_news.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
--- a/packages/zinnia_decisions/forwarding/limits/holder_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 
 #include <algorithm>
 #include <chrono>
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -2,7 +2,7 @@
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -4,7 +4,7 @@
 #include "zinnia_decisions/forwarding/beliefs/probe_round.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
