--- a/packages/zinnia_decisions/forwarding/limits/limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_division.h
@@ -9,7 +9,7 @@
 struct Instance;
 
 /** What one instance may send of the requests that a server takes from all instances together. */
-struct LimitPart {
+struct LimitShare {
   double requests_per_second = 0.0;
 
   /** What it may send at once after it has sent none for a while. */
@@ -26,11 +26,11 @@
   virtual ~LimitDivision() = default;
 
   /** `self` is one of `instances`; the server is of `server_domain`. */
-  virtual LimitPart PartOf(const InstanceName& self,
-                           const std::vector<Instance>& instances,
-                           const BackendServerName& server,
-                           const FailureDomainName& server_domain,
-                           double requests_per_second) const = 0;
+  virtual LimitShare PartOf(const InstanceName& self,
+                            const std::vector<Instance>& instances,
+                            const BackendServerName& server,
+                            const FailureDomainName& server_domain,
+                            double requests_per_second) const = 0;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -86,7 +86,7 @@
 
     /** The own part. What may be sent now is `saved`, as of `counted_at`; below 0 after more was
         sent than the part. */
-    LimitPart part;
+    LimitShare part;
     double saved = 0.0;
     TimePoint counted_at{};
   };
