--- a/packages/zinnia_decisions/forwarding/limits/limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_division.h
@@ -26,11 +26,11 @@
   virtual ~LimitDivision() = default;
 
   /** `self` is one of `instances`; the server is of `server_domain`. */
-  virtual LimitShare PartOf(const InstanceName& self,
-                            const std::vector<Instance>& instances,
-                            const BackendServerName& server,
-                            const FailureDomainName& server_domain,
-                            double requests_per_second) const = 0;
+  virtual LimitShare ShareOf(const InstanceName& self,
+                             const std::vector<Instance>& instances,
+                             const BackendServerName& server,
+                             const FailureDomainName& server_domain,
+                             double requests_per_second) const = 0;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-LimitShare RendezvousLimitDivision::PartOf(const InstanceName& self,
-                                           const std::vector<Instance>& instances,
-                                           const BackendServerName& server,
-                                           const FailureDomainName& server_domain,
-                                           double requests_per_second) const {
+LimitShare RendezvousLimitDivision::ShareOf(const InstanceName& self,
+                                            const std::vector<Instance>& instances,
+                                            const BackendServerName& server,
+                                            const FailureDomainName& server_domain,
+                                            double requests_per_second) const {
   const auto own = std::find_if(instances.begin(), instances.end(),
                                 [&](const Instance& instance) { return instance.name == self; });
   if (own == instances.end()) {
--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.h
@@ -14,11 +14,11 @@
 */
 class RendezvousLimitDivision final : public LimitDivision {
  public:
-  LimitShare PartOf(const InstanceName& self,
-                    const std::vector<Instance>& instances,
-                    const BackendServerName& server,
-                    const FailureDomainName& server_domain,
-                    double requests_per_second) const override;
+  LimitShare ShareOf(const InstanceName& self,
+                     const std::vector<Instance>& instances,
+                     const BackendServerName& server,
+                     const FailureDomainName& server_domain,
+                     double requests_per_second) const override;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -124,7 +124,7 @@
     return;
   }
   const double limit = std::max(*belief.requests_per_second, kLeastLimit);
-  const LimitShare part = m_division.PartOf(m_self, *m_instances, server, DomainOf(server), limit);
+  const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
   belief.saved = SavedNow(belief);
   belief.counted_at = m_clock.Now();
   if (belief.part.requests_per_second <= 0.0) {
