--- a/packages/zinnia_decisions/forwarding/limits/limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_division.h
@@ -13,7 +13,7 @@
   double requests_per_second = 0.0;
 
   /** What it may send at once after it has sent none for a while. */
-  double most_saved = 0.0;
+  double burst = 0.0;
 
   /** How many instances there are for each that may send. */
   double instances_per_holder = 1.0;
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -153,7 +153,7 @@
 
 double ServerLimits::SavedNow(const Belief& belief) const {
   const Seconds passed = m_clock.Now() - belief.counted_at;
-  return std::min(belief.part.most_saved,
+  return std::min(belief.part.burst,
                   belief.saved + belief.part.requests_per_second * passed.count());
 }
 
