--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -14,7 +14,7 @@
 /** Holders for each request a second of the limit, and some more that share small limits. What all
    of them may send at once, `kLeastSaved` each, must stay well below one and a half times what the
     server takes in a second, and some. */
-constexpr double kHoldersPerRequest = 0.75;
+constexpr double kHoldersPerRequestPerSecond = 0.75;
 constexpr double kMoreHolders = 2.0;
 
 /** In requests. With less, a holder whose requests do not come evenly would miss turns. */
@@ -43,8 +43,8 @@
   const auto before = std::count_if(instances.begin(), instances.end(),
                                     [&](const auto& other) { return rank(other) > own_rank; });
   const auto count = static_cast<double>(instances.size());
-  const double holders =
-      std::clamp(std::floor(requests_per_second * kHoldersPerRequest + kMoreHolders), 1.0, count);
+  const double holders = std::clamp(
+      std::floor(requests_per_second * kHoldersPerRequestPerSecond + kMoreHolders), 1.0, count);
   if (static_cast<double>(before) >= holders) {
     return {};
   }
