--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -12,13 +12,13 @@
 namespace {
 
 /** Holders for each request a second of the limit, and some more that share small limits. What all
-   of them may send at once, `kLeastSaved` each, must stay well below one and a half times what the
-    server takes in a second, and some. */
+   of them may send at once, `kMinBurstRequests` each, must stay well below one and a half times
+   what the server takes in a second, and some. */
 constexpr double kHoldersPerRequestPerSecond = 0.75;
 constexpr double kExtraHolders = 2.0;
 
 /** In requests. With less, a holder whose requests do not come evenly would miss turns. */
-constexpr double kLeastSaved = 2.0;
+constexpr double kMinBurstRequests = 2.0;
 
 /** Of a large part, so much as comes together in this time. */
 constexpr std::chrono::duration<double> kMostSaved{0.5};
@@ -49,7 +49,7 @@
     return {};
   }
   const double part = requests_per_second / holders;
-  return {part, std::max(kLeastSaved, part * kMostSaved.count()), count / holders};
+  return {part, std::max(kMinBurstRequests, part * kMostSaved.count()), count / holders};
 }
 
 }  // namespace zinnia
