--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -21,7 +21,7 @@
 constexpr double kMinBurstRequests = 2.0;
 
 /** Of a large part, so much as comes together in this time. */
-constexpr std::chrono::duration<double> kMostSaved{0.5};
+constexpr std::chrono::duration<double> kBurstDuration{0.5};
 
 }  // namespace
 
@@ -49,7 +49,7 @@
     return {};
   }
   const double part = requests_per_second / holders;
-  return {part, std::max(kMinBurstRequests, part * kMostSaved.count()), count / holders};
+  return {part, std::max(kMinBurstRequests, part * kBurstDuration.count()), count / holders};
 }
 
 }  // namespace zinnia
