--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -24,7 +24,7 @@
 namespace zinnia {
 
 class ServerConnection;
-struct LimitOutlook;
+struct LimitAvailability;
 
 /** One request on its way to a server and its answer back.
 
@@ -87,7 +87,7 @@
   void Begin();
   void WaitForRoom();
   void RefuseForWantOfRoom();
-  LimitOutlook OutlookOfLimits() const;
+  LimitAvailability OutlookOfLimits() const;
   void LogServersAtLimit();
   std::optional<Error> FindRoute();
   ServiceName ChooseService();
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -45,7 +45,7 @@
                          : "no server of " + m_service + " has room"));
 }
 
-LimitOutlook ForwardExchange::OutlookOfLimits() const {
+LimitAvailability ForwardExchange::OutlookOfLimits() const {
   return LookAtLimits(*m_parts.view(), m_service, m_avoided, m_parts.limits);
 }
 
--- a/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
@@ -17,11 +17,11 @@
 
 }  // namespace
 
-LimitOutlook LookAtLimits(const ForwardingView& view,
-                          const ServiceName& service,
-                          const std::set<BackendServerName>& avoided,
-                          const ServerLimits& limits) {
-  LimitOutlook outlook;
+LimitAvailability LookAtLimits(const ForwardingView& view,
+                               const ServiceName& service,
+                               const std::set<BackendServerName>& avoided,
+                               const ServerLimits& limits) {
+  LimitAvailability outlook;
   if (limits.CountInForce() == 0) {
     return outlook;
   }
@@ -46,7 +46,7 @@
   return outlook;
 }
 
-bool MayWait(const LimitOutlook& outlook, bool queues, Duration latency_objective) {
+bool MayWait(const LimitAvailability& outlook, bool queues, Duration latency_objective) {
   if (!outlook.all_closed) {
     return queues;
   }
--- a/packages/zinnia_decisions/forwarding/limits/limit_outlook.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_outlook.h
@@ -13,7 +13,7 @@
 struct ForwardingView;
 
 /** What servers' limits leave a request of one service. */
-struct LimitOutlook {
+struct LimitAvailability {
   /** Servers where requests begin that take none from this instance now. */
   std::vector<BackendServerName> closed;
 
@@ -25,13 +25,13 @@
 };
 
 /** Looks at the servers of `service` that requests may be sent to, but for `avoided`. */
-LimitOutlook LookAtLimits(const ForwardingView& view,
-                          const ServiceName& service,
-                          const std::set<BackendServerName>& avoided,
-                          const ServerLimits& limits);
+LimitAvailability LookAtLimits(const ForwardingView& view,
+                               const ServiceName& service,
+                               const std::set<BackendServerName>& avoided,
+                               const ServerLimits& limits);
 
 /** Whether a request that found no server waits. `queues`: its kind waits for room. For a server's
     turn every kind waits, unless it would come too late: then it is refused at once. */
-bool MayWait(const LimitOutlook& outlook, bool queues, Duration latency_objective);
+bool MayWait(const LimitAvailability& outlook, bool queues, Duration latency_objective);
 
 }  // namespace zinnia
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -402,7 +402,7 @@
   limits.SetView(view);
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("a", 2.0, time.Now());
-  LimitOutlook outlook = LookAtLimits(*view, "pool", {}, limits);
+  LimitAvailability outlook = LookAtLimits(*view, "pool", {}, limits);
   CHECK_FALSE(outlook.all_closed);
   CHECK_EQUAL(1U, outlook.closed.size());
   limits.OnAnswer("b", 4.0, time.Now());
@@ -418,7 +418,7 @@
 
 // Guards against callers who wait for a turn that comes too late for them.
 TEST(Limits, NobodyWaitsForATurnThatComesTooLate) {
-  LimitOutlook outlook;
+  LimitAvailability outlook;
   CHECK_TRUE(MayWait(outlook, true, milliseconds(500)));
   CHECK_FALSE(MayWait(outlook, false, milliseconds(150)));
   outlook.all_closed = true;
