--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -46,7 +46,7 @@
 }
 
 LimitAvailability ForwardExchange::OutlookOfLimits() const {
-  return LookAtLimits(*m_parts.view(), m_service, m_avoided, m_parts.limits);
+  return FindLimitAvailability(*m_parts.view(), m_service, m_avoided, m_parts.limits);
 }
 
 bool ForwardExchange::TryToBegin() {
--- a/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
@@ -17,10 +17,10 @@
 
 }  // namespace
 
-LimitAvailability LookAtLimits(const ForwardingView& view,
-                               const ServiceName& service,
-                               const std::set<BackendServerName>& avoided,
-                               const ServerLimits& limits) {
+LimitAvailability FindLimitAvailability(const ForwardingView& view,
+                                        const ServiceName& service,
+                                        const std::set<BackendServerName>& avoided,
+                                        const ServerLimits& limits) {
   LimitAvailability outlook;
   if (limits.CountInForce() == 0) {
     return outlook;
--- a/packages/zinnia_decisions/forwarding/limits/limit_outlook.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_outlook.h
@@ -25,10 +25,10 @@
 };
 
 /** Looks at the servers of `service` that requests may be sent to, but for `avoided`. */
-LimitAvailability LookAtLimits(const ForwardingView& view,
-                               const ServiceName& service,
-                               const std::set<BackendServerName>& avoided,
-                               const ServerLimits& limits);
+LimitAvailability FindLimitAvailability(const ForwardingView& view,
+                                        const ServiceName& service,
+                                        const std::set<BackendServerName>& avoided,
+                                        const ServerLimits& limits);
 
 /** Whether a request that found no server waits. `queues`: its kind waits for room. For a server's
     turn every kind waits, unless it would come too late: then it is refused at once. */
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -402,18 +402,18 @@
   limits.SetView(view);
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("a", 2.0, time.Now());
-  LimitAvailability outlook = LookAtLimits(*view, "pool", {}, limits);
+  LimitAvailability outlook = FindLimitAvailability(*view, "pool", {}, limits);
   CHECK_FALSE(outlook.all_closed);
   CHECK_EQUAL(1U, outlook.closed.size());
   limits.OnAnswer("b", 4.0, time.Now());
   limits.OnAnswer("c", 1.0, time.Now());
-  outlook = LookAtLimits(*view, "pool", {}, limits);
+  outlook = FindLimitAvailability(*view, "pool", {}, limits);
   CHECK_TRUE(outlook.all_closed);
   CHECK_TRUE(outlook.next_turn == milliseconds(250));
-  outlook = LookAtLimits(*view, "pool", {"b"}, limits);
+  outlook = FindLimitAvailability(*view, "pool", {"b"}, limits);
   CHECK_TRUE(outlook.next_turn == milliseconds(500));
   time.AdvanceBy(milliseconds(300));
-  CHECK_FALSE(LookAtLimits(*view, "pool", {}, limits).all_closed);
+  CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_closed);
 }
 
 // Guards against callers who wait for a turn that comes too late for them.
