--- a/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /** Plain servers, and engines that hold the first layers. */
-bool MayBeginAt(const ServerEntry& server) {
+bool CanBeFirstServer(const ServerEntry& server) {
   const bool is_engine = !server.accelerator.empty();
   return !is_engine || (server.layers.Count() > 0 && server.layers.first == 0);
 }
@@ -28,7 +28,7 @@
   outlook.all_closed = true;
   for (const auto& [name, server] : view.servers) {
     const bool is_choice = server.service == service && !server.draining &&
-                           !avoided.contains(name) && MayBeginAt(server);
+                           !avoided.contains(name) && CanBeFirstServer(server);
     if (!is_choice) {
       continue;
     }
