--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -13,7 +13,7 @@
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/room_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/limits/limit_outlook.h"
+#include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 // The part of ForwardExchange that ends a request: what its caller gets, and when to come back.
--- a/packages/zinnia_decisions/forwarding/limits/limit_outlook.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/limits/limit_outlook.h"
+#include "zinnia_decisions/forwarding/limits/limit_availability.h"
 
 #include <algorithm>
 
--- a/packages/zinnia_decisions/forwarding/limits/limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/limits.h
@@ -2,8 +2,8 @@
 
 /** Limits that servers name for all instances together, and this instance's part of them. */
 
+#include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/forwarding/limits/limit_division.h"
-#include "zinnia_decisions/forwarding/limits/limit_outlook.h"
 #include "zinnia_decisions/forwarding/limits/recent_instances.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limit_news.h"
