--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -92,7 +92,7 @@
     Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefWant;
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoRules;
-    } else if (limits.all_closed) {
+    } else if (limits.all_at_limit) {
       soonest = std::max(kRetryAfterBriefWant, limits.next_turn.value_or(kRetryAfterNoTurn));
     }
     const double spread = 1.0 + kRetryAfterSpread * RandomUnit(m_parts.random);
@@ -106,7 +106,7 @@
                       {"reason", error.message},
                       {"was_run", std::string(NameOf(error.was_run))},
                       {"status", std::to_string(response.result_int())},
-                      {"at_limit", limits.all_closed ? "yes" : "no"},
+                      {"at_limit", limits.all_at_limit ? "yes" : "no"},
                       {"revision", std::to_string(m_parts.view()->revision)}});
   m_responder->SendWhole(std::move(response));
   End("refused");
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -39,7 +39,7 @@
 }
 
 void ForwardExchange::RefuseForWantOfRoom() {
-  const bool is_limit = OutlookOfLimits().all_closed;
+  const bool is_limit = OutlookOfLimits().all_at_limit;
   Answer(NotRun(ErrorKind::kOverloaded,
                 is_limit ? "every server of " + m_service + " has as many requests as it takes"
                          : "no server of " + m_service + " has room"));
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -25,7 +25,7 @@
   if (limits.CountInForce() == 0) {
     return outlook;
   }
-  outlook.all_closed = true;
+  outlook.all_at_limit = true;
   for (const auto& [name, server] : view.servers) {
     const bool is_choice = server.service == service && !server.draining &&
                            !avoided.contains(name) && CanBeFirstServer(server);
@@ -34,7 +34,7 @@
     }
     const std::optional<Duration> turn = limits.UntilTurn(name);
     if (turn == Duration::zero()) {
-      outlook.all_closed = false;
+      outlook.all_at_limit = false;
       continue;
     }
     outlook.closed.push_back(name);
@@ -42,12 +42,12 @@
       outlook.next_turn = std::min(*turn, outlook.next_turn.value_or(*turn));
     }
   }
-  outlook.all_closed = outlook.all_closed && !outlook.closed.empty();
+  outlook.all_at_limit = outlook.all_at_limit && !outlook.closed.empty();
   return outlook;
 }
 
 bool MayWait(const LimitAvailability& outlook, bool queues, Duration latency_objective) {
-  if (!outlook.all_closed) {
+  if (!outlook.all_at_limit) {
     return queues;
   }
   const Duration longest = std::min(latency_objective / 2, RoomQueue::kLongestWait);
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.h
@@ -18,7 +18,7 @@
   std::vector<BackendServerName> closed;
 
   /** Whether there is no other server where a request could begin. */
-  bool all_closed = false;
+  bool all_at_limit = false;
 
   /** Until the first of them takes one from this instance; nothing if none will. */
   std::optional<Duration> next_turn;
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -403,17 +403,17 @@
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("a", 2.0, time.Now());
   LimitAvailability outlook = FindLimitAvailability(*view, "pool", {}, limits);
-  CHECK_FALSE(outlook.all_closed);
+  CHECK_FALSE(outlook.all_at_limit);
   CHECK_EQUAL(1U, outlook.closed.size());
   limits.OnAnswer("b", 4.0, time.Now());
   limits.OnAnswer("c", 1.0, time.Now());
   outlook = FindLimitAvailability(*view, "pool", {}, limits);
-  CHECK_TRUE(outlook.all_closed);
+  CHECK_TRUE(outlook.all_at_limit);
   CHECK_TRUE(outlook.next_turn == milliseconds(250));
   outlook = FindLimitAvailability(*view, "pool", {"b"}, limits);
   CHECK_TRUE(outlook.next_turn == milliseconds(500));
   time.AdvanceBy(milliseconds(300));
-  CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_closed);
+  CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_at_limit);
 }
 
 // Guards against callers who wait for a turn that comes too late for them.
@@ -421,7 +421,7 @@
   LimitAvailability outlook;
   CHECK_TRUE(MayWait(outlook, true, milliseconds(500)));
   CHECK_FALSE(MayWait(outlook, false, milliseconds(150)));
-  outlook.all_closed = true;
+  outlook.all_at_limit = true;
   CHECK_FALSE(MayWait(outlook, true, milliseconds(500)));
   outlook.next_turn = milliseconds(60);
   CHECK_TRUE(MayWait(outlook, false, milliseconds(150)));
