--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -93,7 +93,7 @@
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoRules;
     } else if (limits.all_at_limit) {
-      soonest = std::max(kRetryAfterBriefWant, limits.next_turn.value_or(kRetryAfterNoTurn));
+      soonest = std::max(kRetryAfterBriefWant, limits.next_permit_in.value_or(kRetryAfterNoTurn));
     }
     const double spread = 1.0 + kRetryAfterSpread * RandomUnit(m_parts.random);
     response.set(http::field::retry_after,
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -39,7 +39,7 @@
     }
     outlook.closed.push_back(name);
     if (turn) {
-      outlook.next_turn = std::min(*turn, outlook.next_turn.value_or(*turn));
+      outlook.next_permit_in = std::min(*turn, outlook.next_permit_in.value_or(*turn));
     }
   }
   outlook.all_at_limit = outlook.all_at_limit && !outlook.closed.empty();
@@ -51,7 +51,7 @@
     return queues;
   }
   const Duration longest = std::min(latency_objective / 2, RoomQueue::kLongestWait);
-  return outlook.next_turn && *outlook.next_turn <= longest;
+  return outlook.next_permit_in && *outlook.next_permit_in <= longest;
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.h
@@ -21,7 +21,7 @@
   bool all_at_limit = false;
 
   /** Until the first of them takes one from this instance; nothing if none will. */
-  std::optional<Duration> next_turn;
+  std::optional<Duration> next_permit_in;
 };
 
 /** Looks at the servers of `service` that requests may be sent to, but for `avoided`. */
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -409,9 +409,9 @@
   limits.OnAnswer("c", 1.0, time.Now());
   outlook = FindLimitAvailability(*view, "pool", {}, limits);
   CHECK_TRUE(outlook.all_at_limit);
-  CHECK_TRUE(outlook.next_turn == milliseconds(250));
+  CHECK_TRUE(outlook.next_permit_in == milliseconds(250));
   outlook = FindLimitAvailability(*view, "pool", {"b"}, limits);
-  CHECK_TRUE(outlook.next_turn == milliseconds(500));
+  CHECK_TRUE(outlook.next_permit_in == milliseconds(500));
   time.AdvanceBy(milliseconds(300));
   CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_at_limit);
 }
@@ -423,10 +423,10 @@
   CHECK_FALSE(MayWait(outlook, false, milliseconds(150)));
   outlook.all_at_limit = true;
   CHECK_FALSE(MayWait(outlook, true, milliseconds(500)));
-  outlook.next_turn = milliseconds(60);
+  outlook.next_permit_in = milliseconds(60);
   CHECK_TRUE(MayWait(outlook, false, milliseconds(150)));
   CHECK_FALSE(MayWait(outlook, false, milliseconds(100)));
-  outlook.next_turn = milliseconds(310);
+  outlook.next_permit_in = milliseconds(310);
   CHECK_FALSE(MayWait(outlook, true, milliseconds(1'000)));
 }
 
