--- a/packages/zinnia_decisions/forwarding/limits/recent_instances.cc
+++ b/packages/zinnia_decisions/forwarding/limits/recent_instances.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /** Longer than a planned stop and the start after it take. */
-constexpr Duration kCountsAfterLastSeen = std::chrono::seconds(10);
+constexpr Duration kRetentionAfterLastSeen = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -14,8 +14,8 @@
   for (const Instance& instance : live) {
     m_seen[instance.name] = {instance, now};
   }
-  std::erase_if(m_seen,
-                [now](const auto& entry) { return now - entry.second.at > kCountsAfterLastSeen; });
+  std::erase_if(
+      m_seen, [now](const auto& entry) { return now - entry.second.at > kRetentionAfterLastSeen; });
   std::vector<Instance> instances;
   instances.reserve(m_seen.size());
   for (const auto& [name, seen] : m_seen) {
