--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -96,7 +96,7 @@
   }
   auto limits = to.initServerLimits(static_cast<unsigned>(report.server_limits.size()));
   for (unsigned index = 0; index < report.server_limits.size(); ++index) {
-    const ServerLimitNews& news = report.server_limits[index];
+    const ServerLimitReport& news = report.server_limits[index];
     limits[index].setServer(news.server);
     limits[index].setRequestsPerSecond(news.requests_per_second.value_or(0.0));
     limits[index].setEnded(!news.requests_per_second);
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -85,8 +85,8 @@
   }
 }
 
-void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) {
-  for (const ServerLimitNews& news : limits) {
+void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
+  for (const ServerLimitReport& news : limits) {
     if (m_view->servers.contains(news.server) && m_limits.OnNews(news)) {
       OnLimitHeard(news.server, kPeer);
     }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -51,7 +51,7 @@
 
   /** Called on the traffic thread when a server's limit has changed; `heard_here` from the server
       itself, and not from a peer. */
-  std::function<void(std::vector<ServerLimitNews>, bool heard_here)> tell_server_limits;
+  std::function<void(std::vector<ServerLimitReport>, bool heard_here)> tell_server_limits;
   InstanceName own_name;
 };
 
@@ -66,7 +66,7 @@
   void SetView(std::shared_ptr<const ForwardingView> view);
   void SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses);
   void OnPeerStalls(const std::vector<StallNews>& stalls);
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
+  void OnPeerServerLimits(const std::vector<ServerLimitReport>& limits);
   void OnPeerPaces(const std::vector<PaceNews>& slow_servers);
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
@@ -74,7 +74,7 @@
   /** What this instance has in flight, for its peers. */
   const LoadBook::Uses& OwnUses() const { return m_loads.Own(); }
   std::vector<PaceNews> SlowServers() const { return m_health.SlowServers(); }
-  std::vector<ServerLimitNews> TakeServerLimits() { return m_limits.TakeNews(); }
+  std::vector<ServerLimitReport> TakeServerLimits() { return m_limits.TakeNews(); }
 
  private:
   ForwardingParts MakeParts();
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -172,7 +172,7 @@
           [this](const ServerNews& news) {
             m_control_thread->Post([this, news] { m_control->NoteServerNews(news); });
           },
-          [this](std::vector<ServerLimitNews> limits, bool heard_here) {
+          [this](std::vector<ServerLimitReport> limits, bool heard_here) {
             m_control_thread->Post([this, limits = std::move(limits), heard_here]() mutable {
               m_control->News().TellServerLimits(std::move(limits), heard_here);
             });
@@ -232,7 +232,7 @@
   m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerPaces(slow_servers); });
 }
 
-void ForwardingDaemon::OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) {
+void ForwardingDaemon::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
   m_traffic_thread->Post([this, limits] { m_traffic->OnPeerServerLimits(limits); });
 }
 
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -63,7 +63,7 @@
   void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) override;
   void OnPeerStalls(const std::vector<StallNews>& stalls) override;
   void OnPeerServerNews(const ServerNews& news) override;
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) override;
+  void OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) override;
   void OnPeerPaces(const std::vector<PaceNews>& slow_servers) override;
 
   struct PlatformParts;
--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
@@ -280,7 +280,7 @@
   TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
 }
 
-void NewsExchange::TellServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
+void NewsExchange::TellServerLimits(std::vector<ServerLimitReport> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
     TellOwnDomain();
--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_exchange.h
@@ -29,7 +29,7 @@
   virtual void OnPeerStalls(const std::vector<StallNews>& stalls) = 0;
   virtual void OnPeerServerNews(const ServerNews& news) = 0;
   virtual void OnPeerPaces(const std::vector<PaceNews>& slow_servers) = 0;
-  virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
+  virtual void OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) = 0;
 };
 
 /** Intervals of NewsExchange. */
@@ -89,12 +89,14 @@
   void SetSlowServers(std::vector<PaceNews> servers) { m_slow_servers = std::move(servers); }
 
   /** What servers said of the requests that they take, for the reports from now on. */
-  void SetServerLimits(std::vector<ServerLimitNews> limits) { m_server_limits = std::move(limits); }
+  void SetServerLimits(std::vector<ServerLimitReport> limits) {
+    m_server_limits = std::move(limits);
+  }
 
   /** The same, told at once: the relays of all domains if it was heard here, who tell their
    * members.
    */
-  void TellServerLimits(std::vector<ServerLimitNews> limits, bool heard_here);
+  void TellServerLimits(std::vector<ServerLimitReport> limits, bool heard_here);
 
   /** Tells the relays of all domains at once, who tell their members: each millisecond later costs
       callers a pause, and a small instance would take long to tell two hundred peers itself. */
@@ -161,7 +163,7 @@
   /** The sum over the own domain with this instance; a relay's. */
   LoadBook::Uses m_domain_sum;
   std::vector<PaceNews> m_slow_servers;
-  std::vector<ServerLimitNews> m_server_limits;
+  std::vector<ServerLimitReport> m_server_limits;
   std::map<BackendServerName, std::pair<TimePoint, ServerNews>> m_server_news;
 
   /** A relay's: what the relays of other domains said of theirs, and when. */
--- a/packages/zinnia_decisions/forwarding/beliefs/news_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_report.h
@@ -36,7 +36,7 @@
   std::map<FailureDomainName, LoadBook::Uses> domain_uses;
   std::vector<StallNews> stalls;
   std::vector<PaceNews> slow_servers;
-  std::vector<ServerLimitNews> server_limits;
+  std::vector<ServerLimitReport> server_limits;
 
   /** Heard from servers lately, not from the store. */
   std::vector<ServerNews> server_news;
--- a/packages/zinnia_decisions/forwarding/limits/server_limit_news.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limit_news.h
@@ -8,7 +8,7 @@
 namespace zinnia {
 
 /** What a server said of the requests that it takes, and how old its word is. */
-struct ServerLimitNews {
+struct ServerLimitReport {
   BackendServerName server;
 
   /** Of all instances together; nothing if it names no limit any more. */
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -88,7 +88,7 @@
   return Believe(server, requests_per_second, m_clock.Now());
 }
 
-bool ServerLimits::OnNews(const ServerLimitNews& news) {
+bool ServerLimits::OnNews(const ServerLimitReport& news) {
   const auto found = m_beliefs.find(news.server);
   const TimePoint known_at = m_clock.Now() - news.age;
   if (found != m_beliefs.end() && found->second.known_at >= known_at) {
@@ -216,14 +216,15 @@
       [](const auto& entry) { return entry.second.requests_per_second.has_value(); }));
 }
 
-ServerLimitNews ServerLimits::NewsOf(const BackendServerName& server, const Belief& belief) const {
+ServerLimitReport ServerLimits::NewsOf(const BackendServerName& server,
+                                       const Belief& belief) const {
   return {server, belief.requests_per_second,
           std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - belief.known_at)};
 }
 
-std::vector<ServerLimitNews> ServerLimits::TakeNews() {
+std::vector<ServerLimitReport> ServerLimits::TakeNews() {
   const TimePoint now = m_clock.Now();
-  std::vector<ServerLimitNews> news;
+  std::vector<ServerLimitReport> news;
   std::vector<BackendServerName> in_force;
   std::vector<BackendServerName> ended;
   for (const auto& [name, belief] : m_beliefs) {
@@ -245,7 +246,7 @@
 void ServerLimits::AddInTurn(std::vector<BackendServerName> servers,
                              std::size_t most,
                              BackendServerName& last,
-                             std::vector<ServerLimitNews>& news) const {
+                             std::vector<ServerLimitReport>& news) const {
   const auto next = std::upper_bound(servers.begin(), servers.end(), last);
   std::rotate(servers.begin(), next, servers.end());
   for (const BackendServerName& name : servers) {
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -49,10 +49,10 @@
                 TimePoint sent_at);
 
   /** A peer's word. Returns the same. */
-  bool OnNews(const ServerLimitNews& news);
+  bool OnNews(const ServerLimitReport& news);
 
   /** What to tell peers: what changed lately, and the others in turn. */
-  std::vector<ServerLimitNews> TakeNews();
+  std::vector<ServerLimitReport> TakeNews();
 
   /** A request leaves for the server. */
   void OnSent(const BackendServerName& server);
@@ -102,8 +102,8 @@
   void AddInTurn(std::vector<BackendServerName> servers,
                  std::size_t most,
                  BackendServerName& last,
-                 std::vector<ServerLimitNews>& news) const;
-  ServerLimitNews NewsOf(const BackendServerName& server, const Belief& belief) const;
+                 std::vector<ServerLimitReport>& news) const;
+  ServerLimitReport NewsOf(const BackendServerName& server, const Belief& belief) const;
 
   const Clock& m_clock;
   const LimitDivision& m_division;
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -44,9 +44,11 @@
     void OnDomainUses(const FailureDomainName&, LoadBook::Uses) override {}
     void OnPeerStalls(const std::vector<StallNews>&) override {}
     void OnPeerServerNews(const ServerNews&) override {}
-    void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
+    void OnPeerServerLimits(const std::vector<ServerLimitReport>& heard) override {
+      limits = heard;
+    }
     void OnPeerPaces(const std::vector<PaceNews>&) override {}
-    std::vector<ServerLimitNews> limits;
+    std::vector<ServerLimitReport> limits;
   };
   struct Recorder final : DecisionRecorder {
     void Record(DecisionRecord) override {}
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -40,7 +40,7 @@
   };
   struct News {
     TimePoint due{};
-    ServerLimitNews news;
+    ServerLimitReport news;
   };
 
   LimitedFleet(const LimitDivision& chosen_division, std::size_t count, double demand)
@@ -365,7 +365,7 @@
   for (int report = 0; report < 3; ++report) {
     const auto news = limits.TakeNews();
     CHECK_TRUE(news.size() <= ServerLimits::kMostNews);
-    for (const ServerLimitNews& row : news) {
+    for (const ServerLimitReport& row : news) {
       told.insert(row.server);
     }
   }
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -36,9 +36,11 @@
         stalls.push_back(stall.server);
       }
     }
-    void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
+    void OnPeerServerLimits(const std::vector<ServerLimitReport>& heard) override {
+      limits = heard;
+    }
     void OnPeerPaces(const std::vector<PaceNews>& slow_servers) override { slow = slow_servers; }
-    std::vector<ServerLimitNews> limits;
+    std::vector<ServerLimitReport> limits;
     void OnPeerServerNews(const ServerNews& heard) override { layers.push_back(heard); }
     std::map<InstanceName, LoadBook::Uses> uses;
     std::vector<std::string> stalls;
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -47,7 +47,7 @@
     }
   }
   void OnPeerServerNews(const ServerNews&) override {}
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override {
+  void OnPeerServerLimits(const std::vector<ServerLimitReport>& heard) override {
     const bool is_new = limits.empty();
     limits = heard;
     if (is_new) {
@@ -55,7 +55,7 @@
     }
   }
   void OnPeerPaces(const std::vector<PaceNews>&) override {}
-  std::vector<ServerLimitNews> limits;
+  std::vector<ServerLimitReport> limits;
 
   HeldStore store;
   SilentLogger logger;
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -194,7 +194,7 @@
                                        1,
                                        [](const BackendServerName&) {},
                                        [this](const ServerNews& news) { told.push_back(news); },
-                                       [this](const std::vector<ServerLimitNews>& limits, bool) {
+                                       [this](const std::vector<ServerLimitReport>& limits, bool) {
                                          told_limits = limits;
                                        },
                                        "self"});
@@ -260,7 +260,7 @@
 
   /** What control, and with it peers, were told of servers. */
   std::vector<ServerNews> told;
-  std::vector<ServerLimitNews> told_limits;
+  std::vector<ServerLimitReport> told_limits;
   std::unique_ptr<ForwardingTraffic> traffic;
   std::vector<std::unique_ptr<TestCaller>> callers;
 };
