--- a/packages/zinnia_decisions/forwarding/beliefs/news_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_report.h
@@ -10,7 +10,7 @@
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
 #include "zinnia_decisions/forwarding/beliefs/pace_news.h"
 #include "zinnia_decisions/forwarding/beliefs/server_news.h"
-#include "zinnia_decisions/forwarding/limits/server_limit_news.h"
+#include "zinnia_decisions/forwarding/limits/server_limit_report.h"
 #include "zinnia_world/fleet/instance.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/limits/limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/limits.h
@@ -6,5 +6,5 @@
 #include "zinnia_decisions/forwarding/limits/limit_division.h"
 #include "zinnia_decisions/forwarding/limits/recent_instances.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
-#include "zinnia_decisions/forwarding/limits/server_limit_news.h"
+#include "zinnia_decisions/forwarding/limits/server_limit_report.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -9,7 +9,7 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_decisions/forwarding/limits/limit_division.h"
-#include "zinnia_decisions/forwarding/limits/server_limit_news.h"
+#include "zinnia_decisions/forwarding/limits/server_limit_report.h"
 #include "zinnia_world/fleet/instance.h"
 #include "zinnia_world/names/names.h"
 
