--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -74,7 +74,7 @@
   /** What this instance has in flight, for its peers. */
   const LoadBook::Uses& OwnUses() const { return m_loads.Own(); }
   std::vector<PaceNews> SlowServers() const { return m_health.SlowServers(); }
-  std::vector<ServerLimitReport> TakeServerLimits() { return m_limits.TakeNews(); }
+  std::vector<ServerLimitReport> TakeServerLimits() { return m_limits.TakeReports(); }
 
  private:
   ForwardingParts MakeParts();
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -222,7 +222,7 @@
           std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - belief.known_at)};
 }
 
-std::vector<ServerLimitReport> ServerLimits::TakeNews() {
+std::vector<ServerLimitReport> ServerLimits::TakeReports() {
   const TimePoint now = m_clock.Now();
   std::vector<ServerLimitReport> news;
   std::vector<BackendServerName> in_force;
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -52,7 +52,7 @@
   bool OnNews(const ServerLimitReport& news);
 
   /** What to tell peers: what changed lately, and the others in turn. */
-  std::vector<ServerLimitReport> TakeNews();
+  std::vector<ServerLimitReport> TakeReports();
 
   /** A request leaves for the server. */
   void OnSent(const BackendServerName& server);
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -106,7 +106,7 @@
       const Answer answer = answers.front();
       answers.pop_front();
       if (answer.member->limits->OnAnswer("server", limit, answer.sent_at)) {
-        told.push_back({time.Now() + kNewsAfter, answer.member->limits->TakeNews().front()});
+        told.push_back({time.Now() + kNewsAfter, answer.member->limits->TakeReports().front()});
       }
     }
     while (!told.empty() && told.front().due <= time.Now()) {
@@ -363,7 +363,7 @@
   time.AdvanceBy(seconds(5));
   std::set<std::string> told;
   for (int report = 0; report < 3; ++report) {
-    const auto news = limits.TakeNews();
+    const auto news = limits.TakeReports();
     CHECK_TRUE(news.size() <= ServerLimits::kMostNews);
     for (const ServerLimitReport& row : news) {
       told.insert(row.server);
@@ -386,7 +386,7 @@
   time.AdvanceBy(std::chrono::minutes(5));
   std::set<std::string> told;
   for (int report = 0; report < 3; ++report) {
-    const auto news = limits.TakeNews();
+    const auto news = limits.TakeReports();
     CHECK_EQUAL(1U, news.size());
     CHECK_FALSE(news.front().requests_per_second.has_value());
     told.insert(news.front().server);
