--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -229,7 +229,7 @@
   std::vector<BackendServerName> ended;
   for (const auto& [name, belief] : m_beliefs) {
     const Duration unchanged = now - belief.changed_at;
-    if (unchanged < kToldFirst && news.size() < kMostNews) {
+    if (unchanged < kToldFirst && news.size() < kMaxReports) {
       news.push_back(NewsOf(name, belief));
     } else if (belief.requests_per_second) {
       in_force.push_back(name);
@@ -237,8 +237,8 @@
       ended.push_back(name);
     }
   }
-  AddInTurn(in_force, kMostNews, m_last_told, news);
-  AddInTurn(ended, std::min(kMostNews, news.size() + kMostEndedInNews), m_last_end_told, news);
+  AddInTurn(in_force, kMaxReports, m_last_told, news);
+  AddInTurn(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_told, news);
   return news;
 }
 
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -34,7 +34,7 @@
 class ServerLimits {
  public:
   /** Most rows of one report to a peer; more take turns. */
-  static constexpr std::size_t kMostNews = 16;
+  static constexpr std::size_t kMaxReports = 16;
 
   /** `division` must outlive it. */
   ServerLimits(const Clock& clock, const LimitDivision& division, InstanceName self);
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -364,7 +364,7 @@
   std::set<std::string> told;
   for (int report = 0; report < 3; ++report) {
     const auto news = limits.TakeReports();
-    CHECK_TRUE(news.size() <= ServerLimits::kMostNews);
+    CHECK_TRUE(news.size() <= ServerLimits::kMaxReports);
     for (const ServerLimitReport& row : news) {
       told.insert(row.server);
     }
