--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -32,7 +32,7 @@
     if (!is_choice) {
       continue;
     }
-    const std::optional<Duration> turn = limits.UntilTurn(name);
+    const std::optional<Duration> turn = limits.TimeUntilPermit(name);
     if (turn == Duration::zero()) {
       outlook.all_at_limit = false;
       continue;
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -180,7 +180,7 @@
   }
 }
 
-std::optional<Duration> ServerLimits::UntilTurn(const BackendServerName& server) const {
+std::optional<Duration> ServerLimits::TimeUntilPermit(const BackendServerName& server) const {
   const auto found = m_beliefs.find(server);
   if (found == m_beliefs.end() || !found->second.requests_per_second) {
     return Duration::zero();
@@ -197,7 +197,7 @@
 }
 
 bool ServerLimits::MaySend(const BackendServerName& server) const {
-  return UntilTurn(server) == Duration::zero();
+  return TimeUntilPermit(server) == Duration::zero();
 }
 
 ServerLimits::Limit ServerLimits::LimitOf(const BackendServerName& server) const {
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -61,7 +61,7 @@
   bool MaySend(const BackendServerName& server) const;
 
   /** Until one more may; nothing if that is not for this instance. */
-  std::optional<Duration> UntilTurn(const BackendServerName& server) const;
+  std::optional<Duration> TimeUntilPermit(const BackendServerName& server) const;
 
   /** What is believed of a server. */
   struct Limit {
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -255,7 +255,7 @@
     limits.SetView(view_of(instances));
     time.AdvanceBy(seconds(10));
     limits.OnNews({"server", 1.0, milliseconds(0)});
-    if (limits.UntilTurn("server")) {
+    if (limits.TimeUntilPermit("server")) {
       continue;  // It holds a part from the beginning.
     }
     time.AdvanceBy(seconds(10));
