--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -87,7 +87,7 @@
 
 void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
   for (const ServerLimitReport& news : limits) {
-    if (m_view->servers.contains(news.server) && m_limits.OnNews(news)) {
+    if (m_view->servers.contains(news.server) && m_limits.OnReport(news)) {
       OnLimitHeard(news.server, kPeer);
     }
   }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -88,7 +88,7 @@
   return Believe(server, requests_per_second, m_clock.Now());
 }
 
-bool ServerLimits::OnNews(const ServerLimitReport& news) {
+bool ServerLimits::OnReport(const ServerLimitReport& news) {
   const auto found = m_beliefs.find(news.server);
   const TimePoint known_at = m_clock.Now() - news.age;
   if (found != m_beliefs.end() && found->second.known_at >= known_at) {
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -49,7 +49,7 @@
                 TimePoint sent_at);
 
   /** A peer's word. Returns the same. */
-  bool OnNews(const ServerLimitReport& news);
+  bool OnReport(const ServerLimitReport& news);
 
   /** What to tell peers: what changed lately, and the others in turn. */
   std::vector<ServerLimitReport> TakeReports();
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -112,7 +112,7 @@
     while (!told.empty() && told.front().due <= time.Now()) {
       for (const auto& member : members) {
         if (!member->is_cut) {
-          member->limits->OnNews(told.front().news);
+          member->limits->OnReport(told.front().news);
         }
       }
       told.pop_front();
@@ -201,7 +201,7 @@
       LimitedFleet fleet(division, instances, limit);
       fleet.limit = limit;
       for (const auto& member : fleet.members) {
-        member->limits->OnNews({"server", limit, milliseconds(0)});
+        member->limits->OnReport({"server", limit, milliseconds(0)});
       }
       fleet.Run(seconds(20));
       for (const auto& member : fleet.members) {
@@ -230,7 +230,7 @@
   const auto view = fleet.ViewOf(instances);
   for (std::size_t index = 9; index < fleet.members.size(); ++index) {
     fleet.members[index]->limits->SetView(view);
-    fleet.members[index]->limits->OnNews({"server", fleet.limit, milliseconds(100)});
+    fleet.members[index]->limits->OnReport({"server", fleet.limit, milliseconds(100)});
   }
   fleet.Run(seconds(1));  // The old ones hear of them later.
   fleet.ShareView();
@@ -254,7 +254,7 @@
     ServerLimits limits(time, division, instance.name);
     limits.SetView(view_of(instances));
     time.AdvanceBy(seconds(10));
-    limits.OnNews({"server", 1.0, milliseconds(0)});
+    limits.OnReport({"server", 1.0, milliseconds(0)});
     if (limits.TimeUntilPermit("server")) {
       continue;  // It holds a part from the beginning.
     }
@@ -270,7 +270,7 @@
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
-  limits.OnNews({"server", 20.0, milliseconds(0)});
+  limits.OnReport({"server", 20.0, milliseconds(0)});
   CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'900)));
   CHECK_TRUE(SendAll(limits, time, seconds(4)) >= 60);
 }
@@ -317,12 +317,12 @@
   CHECK_EQUAL(1U, limits.CountInForce());
   time.AdvanceBy(milliseconds(50));
   CHECK_FALSE(
-      limits.OnNews({"server", std::nullopt, milliseconds(60)}));  // Older than what it knows.
+      limits.OnReport({"server", std::nullopt, milliseconds(60)}));  // Older than what it knows.
   CHECK_EQUAL(1U, limits.CountInForce());
   CHECK_TRUE(limits.OnAnswer("server", std::nullopt, time.Now()));
   CHECK_EQUAL(0U, limits.CountInForce());
   CHECK_TRUE(limits.MaySend("server"));
-  CHECK_FALSE(limits.OnNews({"server", 2.0, milliseconds(50)}));
+  CHECK_FALSE(limits.OnReport({"server", 2.0, milliseconds(50)}));
   CHECK_TRUE(limits.MaySend("server"));
 }
 
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -144,9 +144,9 @@
 // through it does not count.
 TEST(Paths, BeginsElsewhereWhereAServerIsAtItsLimit) {
   time.AdvanceBy(seconds(10));
-  limits.OnNews({"x2", 2.0, {}});
+  limits.OnReport({"x2", 2.0, {}});
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
-  limits.OnNews({"x1", 2.0, {}});
+  limits.OnReport({"x1", 2.0, {}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   time.AdvanceBy(seconds(1));
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
