--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -102,7 +102,7 @@
        {"heard_from", std::string(heard_from)},
        {"age_ms", Milliseconds(limit.age)},
        {"requests_per_second", fmt::format("{:.2f}", limit.requests_per_second.value_or(0.0))},
-       {"own_part", fmt::format("{:.2f}", limit.own_part)},
+       {"own_part", fmt::format("{:.2f}", limit.own_share)},
        {"live_instances", std::to_string(m_view->live_instances)}});
   m_parts.tell_server_limits(m_limits.TakeReports(), heard_from == kServerItself);
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -68,7 +68,7 @@
     std::optional<double> requests_per_second;
 
     /** What this instance may send there, in requests a second. */
-    double own_part = 0.0;
+    double own_share = 0.0;
 
     /** Of the server's word. */
     Duration age{};
