--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -100,7 +100,7 @@
 bool ServerLimits::Believe(const BackendServerName& server,
                            std::optional<double> requests_per_second,
                            TimePoint known_at) {
-  Belief& belief = m_beliefs[server];
+  ObservedLimit& belief = m_beliefs[server];
   const std::optional<double> before = belief.requests_per_second;
   belief.known_at = known_at;
   if (before == requests_per_second) {
@@ -118,7 +118,7 @@
   return is_notable;
 }
 
-void ServerLimits::Divide(const BackendServerName& server, Belief& belief) {
+void ServerLimits::Divide(const BackendServerName& server, ObservedLimit& belief) {
   if (!belief.requests_per_second) {
     belief.part = {};
     return;
@@ -142,7 +142,7 @@
 }
 
 /** The server was given this much already. The other instances are taken to have sent as often. */
-void ServerLimits::ChargeSendsBefore(const BackendServerName& server, Belief& belief) {
+void ServerLimits::ChargeSendsBefore(const BackendServerName& server, ObservedLimit& belief) {
   const double sent =
       static_cast<double>(CountRecentSends(server)) * belief.part.instances_per_holder;
   const double due = belief.part.requests_per_second * Seconds(kSendsThatCount).count();
@@ -151,7 +151,7 @@
   belief.counted_at = m_clock.Now();
 }
 
-double ServerLimits::SavedNow(const Belief& belief) const {
+double ServerLimits::SavedNow(const ObservedLimit& belief) const {
   const Seconds passed = m_clock.Now() - belief.counted_at;
   return std::min(belief.part.burst,
                   belief.saved + belief.part.requests_per_second * passed.count());
@@ -174,7 +174,7 @@
   CountRecentSends(server);
   const auto found = m_beliefs.find(server);
   if (found != m_beliefs.end() && found->second.requests_per_second) {
-    Belief& belief = found->second;
+    ObservedLimit& belief = found->second;
     belief.saved = SavedNow(belief) - 1.0;
     belief.counted_at = m_clock.Now();
   }
@@ -185,7 +185,7 @@
   if (found == m_beliefs.end() || !found->second.requests_per_second) {
     return Duration::zero();
   }
-  const Belief& belief = found->second;
+  const ObservedLimit& belief = found->second;
   if (belief.part.requests_per_second <= 0.0) {
     return std::nullopt;
   }
@@ -205,7 +205,7 @@
   if (found == m_beliefs.end()) {
     return {};
   }
-  const Belief& belief = found->second;
+  const ObservedLimit& belief = found->second;
   return {belief.requests_per_second, belief.part.requests_per_second,
           m_clock.Now() - belief.known_at};
 }
@@ -217,7 +217,7 @@
 }
 
 ServerLimitReport ServerLimits::NewsOf(const BackendServerName& server,
-                                       const Belief& belief) const {
+                                       const ObservedLimit& belief) const {
   return {server, belief.requests_per_second,
           std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - belief.known_at)};
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -79,7 +79,7 @@
   std::size_t CountInForce() const;
 
  private:
-  struct Belief {
+  struct ObservedLimit {
     std::optional<double> requests_per_second;
     TimePoint known_at{};
     TimePoint changed_at{};
@@ -94,22 +94,22 @@
   bool Believe(const BackendServerName& server,
                std::optional<double> requests_per_second,
                TimePoint known_at);
-  void Divide(const BackendServerName& server, Belief& belief);
-  void ChargeSendsBefore(const BackendServerName& server, Belief& belief);
-  double SavedNow(const Belief& belief) const;
+  void Divide(const BackendServerName& server, ObservedLimit& belief);
+  void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& belief);
+  double SavedNow(const ObservedLimit& belief) const;
   std::size_t CountRecentSends(const BackendServerName& server);
   FailureDomainName DomainOf(const BackendServerName& server) const;
   void AddInTurn(std::vector<BackendServerName> servers,
                  std::size_t most,
                  BackendServerName& last,
                  std::vector<ServerLimitReport>& news) const;
-  ServerLimitReport NewsOf(const BackendServerName& server, const Belief& belief) const;
+  ServerLimitReport NewsOf(const BackendServerName& server, const ObservedLimit& belief) const;
 
   const Clock& m_clock;
   const LimitDivision& m_division;
   const InstanceName m_self;
   const TimePoint m_started_at;
-  std::map<BackendServerName, Belief> m_beliefs;
+  std::map<BackendServerName, ObservedLimit> m_beliefs;
   std::map<BackendServerName, std::deque<TimePoint>> m_recent_sends;
   std::shared_ptr<const ForwardingView> m_view;
   std::shared_ptr<const std::vector<Instance>> m_instances;
