--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -64,13 +64,13 @@
 void ServerLimits::SetView(std::shared_ptr<const ForwardingView> view) {
   m_view = std::move(view);
   const auto is_gone = [&](const auto& entry) { return !m_view->servers.contains(entry.first); };
-  std::erase_if(m_beliefs, is_gone);
+  std::erase_if(m_observed_limits, is_gone);
   std::erase_if(m_recent_sends, is_gone);
   if (!m_view->instances || m_view->instances == m_instances) {
     return;
   }
   m_instances = m_view->instances;
-  for (auto& [name, belief] : m_beliefs) {
+  for (auto& [name, belief] : m_observed_limits) {
     Divide(name, belief);
   }
 }
@@ -79,9 +79,9 @@
                             std::optional<double> requests_per_second,
                             TimePoint sent_at) {
   if (!requests_per_second) {
-    const auto found = m_beliefs.find(server);
+    const auto found = m_observed_limits.find(server);
     // An answer to a request from before the limit was heard may have left before it was named.
-    const bool ends_it = found != m_beliefs.end() && found->second.requests_per_second &&
+    const bool ends_it = found != m_observed_limits.end() && found->second.requests_per_second &&
                          sent_at > found->second.known_at;
     return ends_it && Believe(server, std::nullopt, m_clock.Now());
   }
@@ -89,9 +89,9 @@
 }
 
 bool ServerLimits::OnReport(const ServerLimitReport& news) {
-  const auto found = m_beliefs.find(news.server);
+  const auto found = m_observed_limits.find(news.server);
   const TimePoint known_at = m_clock.Now() - news.age;
-  if (found != m_beliefs.end() && found->second.known_at >= known_at) {
+  if (found != m_observed_limits.end() && found->second.known_at >= known_at) {
     return false;
   }
   return Believe(news.server, news.requests_per_second, known_at);
@@ -100,7 +100,7 @@
 bool ServerLimits::Believe(const BackendServerName& server,
                            std::optional<double> requests_per_second,
                            TimePoint known_at) {
-  ObservedLimit& belief = m_beliefs[server];
+  ObservedLimit& belief = m_observed_limits[server];
   const std::optional<double> before = belief.requests_per_second;
   belief.known_at = known_at;
   if (before == requests_per_second) {
@@ -172,8 +172,8 @@
 void ServerLimits::OnSent(const BackendServerName& server) {
   m_recent_sends[server].push_back(m_clock.Now());
   CountRecentSends(server);
-  const auto found = m_beliefs.find(server);
-  if (found != m_beliefs.end() && found->second.requests_per_second) {
+  const auto found = m_observed_limits.find(server);
+  if (found != m_observed_limits.end() && found->second.requests_per_second) {
     ObservedLimit& belief = found->second;
     belief.saved = SavedNow(belief) - 1.0;
     belief.counted_at = m_clock.Now();
@@ -181,8 +181,8 @@
 }
 
 std::optional<Duration> ServerLimits::TimeUntilPermit(const BackendServerName& server) const {
-  const auto found = m_beliefs.find(server);
-  if (found == m_beliefs.end() || !found->second.requests_per_second) {
+  const auto found = m_observed_limits.find(server);
+  if (found == m_observed_limits.end() || !found->second.requests_per_second) {
     return Duration::zero();
   }
   const ObservedLimit& belief = found->second;
@@ -201,8 +201,8 @@
 }
 
 ServerLimits::Limit ServerLimits::LimitOf(const BackendServerName& server) const {
-  const auto found = m_beliefs.find(server);
-  if (found == m_beliefs.end()) {
+  const auto found = m_observed_limits.find(server);
+  if (found == m_observed_limits.end()) {
     return {};
   }
   const ObservedLimit& belief = found->second;
@@ -212,7 +212,7 @@
 
 std::size_t ServerLimits::CountInForce() const {
   return static_cast<std::size_t>(std::count_if(
-      m_beliefs.begin(), m_beliefs.end(),
+      m_observed_limits.begin(), m_observed_limits.end(),
       [](const auto& entry) { return entry.second.requests_per_second.has_value(); }));
 }
 
@@ -227,7 +227,7 @@
   std::vector<ServerLimitReport> news;
   std::vector<BackendServerName> in_force;
   std::vector<BackendServerName> ended;
-  for (const auto& [name, belief] : m_beliefs) {
+  for (const auto& [name, belief] : m_observed_limits) {
     const Duration unchanged = now - belief.changed_at;
     if (unchanged < kToldFirst && news.size() < kMaxReports) {
       news.push_back(NewsOf(name, belief));
@@ -253,7 +253,7 @@
     if (news.size() >= most) {
       return;
     }
-    news.push_back(NewsOf(name, m_beliefs.at(name)));
+    news.push_back(NewsOf(name, m_observed_limits.at(name)));
     last = name;
   }
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -109,7 +109,7 @@
   const LimitDivision& m_division;
   const InstanceName m_self;
   const TimePoint m_started_at;
-  std::map<BackendServerName, ObservedLimit> m_beliefs;
+  std::map<BackendServerName, ObservedLimit> m_observed_limits;
   std::map<BackendServerName, std::deque<TimePoint>> m_recent_sends;
   std::shared_ptr<const ForwardingView> m_view;
   std::shared_ptr<const std::vector<Instance>> m_instances;
