--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -70,8 +70,8 @@
     return;
   }
   m_instances = m_view->instances;
-  for (auto& [name, belief] : m_observed_limits) {
-    Divide(name, belief);
+  for (auto& [name, observed] : m_observed_limits) {
+    Divide(name, observed);
   }
 }
 
@@ -100,37 +100,37 @@
 bool ServerLimits::Believe(const BackendServerName& server,
                            std::optional<double> requests_per_second,
                            TimePoint known_at) {
-  ObservedLimit& belief = m_observed_limits[server];
-  const std::optional<double> before = belief.requests_per_second;
-  belief.known_at = known_at;
+  ObservedLimit& observed = m_observed_limits[server];
+  const std::optional<double> before = observed.requests_per_second;
+  observed.known_at = known_at;
   if (before == requests_per_second) {
     return false;
   }
   const bool is_notable = IsNotable(before, requests_per_second);
-  belief.requests_per_second = requests_per_second;
+  observed.requests_per_second = requests_per_second;
   if (is_notable) {
-    belief.changed_at = m_clock.Now();
+    observed.changed_at = m_clock.Now();
   }
-  Divide(server, belief);
+  Divide(server, observed);
   if (requests_per_second && is_notable && requests_per_second < before.value_or(kNoLimit)) {
-    ChargeSendsBefore(server, belief);
+    ChargeSendsBefore(server, observed);
   }
   return is_notable;
 }
 
-void ServerLimits::Divide(const BackendServerName& server, ObservedLimit& belief) {
-  if (!belief.requests_per_second) {
-    belief.part = {};
+void ServerLimits::Divide(const BackendServerName& server, ObservedLimit& observed) {
+  if (!observed.requests_per_second) {
+    observed.part = {};
     return;
   }
-  const double limit = std::max(*belief.requests_per_second, kLeastLimit);
+  const double limit = std::max(*observed.requests_per_second, kLeastLimit);
   const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
-  belief.saved = SavedNow(belief);
-  belief.counted_at = m_clock.Now();
-  if (belief.part.requests_per_second <= 0.0) {
-    belief.saved = -part.requests_per_second * Seconds(kHandOver).count();
+  observed.saved = SavedNow(observed);
+  observed.counted_at = m_clock.Now();
+  if (observed.part.requests_per_second <= 0.0) {
+    observed.saved = -part.requests_per_second * Seconds(kHandOver).count();
   }
-  belief.part = part;
+  observed.part = part;
 }
 
 FailureDomainName ServerLimits::DomainOf(const BackendServerName& server) const {
@@ -142,19 +142,19 @@
 }
 
 /** The server was given this much already. The other instances are taken to have sent as often. */
-void ServerLimits::ChargeSendsBefore(const BackendServerName& server, ObservedLimit& belief) {
+void ServerLimits::ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed) {
   const double sent =
-      static_cast<double>(CountRecentSends(server)) * belief.part.instances_per_holder;
-  const double due = belief.part.requests_per_second * Seconds(kSendsThatCount).count();
-  const double longest_pause = belief.part.requests_per_second * Seconds(kLongestPause).count();
-  belief.saved = std::clamp(due - sent, -longest_pause, 0.0);
-  belief.counted_at = m_clock.Now();
+      static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
+  const double due = observed.part.requests_per_second * Seconds(kSendsThatCount).count();
+  const double longest_pause = observed.part.requests_per_second * Seconds(kLongestPause).count();
+  observed.saved = std::clamp(due - sent, -longest_pause, 0.0);
+  observed.counted_at = m_clock.Now();
 }
 
-double ServerLimits::SavedNow(const ObservedLimit& belief) const {
-  const Seconds passed = m_clock.Now() - belief.counted_at;
-  return std::min(belief.part.burst,
-                  belief.saved + belief.part.requests_per_second * passed.count());
+double ServerLimits::SavedNow(const ObservedLimit& observed) const {
+  const Seconds passed = m_clock.Now() - observed.counted_at;
+  return std::min(observed.part.burst,
+                  observed.saved + observed.part.requests_per_second * passed.count());
 }
 
 std::size_t ServerLimits::CountRecentSends(const BackendServerName& server) {
@@ -174,9 +174,9 @@
   CountRecentSends(server);
   const auto found = m_observed_limits.find(server);
   if (found != m_observed_limits.end() && found->second.requests_per_second) {
-    ObservedLimit& belief = found->second;
-    belief.saved = SavedNow(belief) - 1.0;
-    belief.counted_at = m_clock.Now();
+    ObservedLimit& observed = found->second;
+    observed.saved = SavedNow(observed) - 1.0;
+    observed.counted_at = m_clock.Now();
   }
 }
 
@@ -185,14 +185,14 @@
   if (found == m_observed_limits.end() || !found->second.requests_per_second) {
     return Duration::zero();
   }
-  const ObservedLimit& belief = found->second;
-  if (belief.part.requests_per_second <= 0.0) {
+  const ObservedLimit& observed = found->second;
+  if (observed.part.requests_per_second <= 0.0) {
     return std::nullopt;
   }
   const Duration until_fleet_is_known = m_started_at + kLearnsFleetIn - m_clock.Now();
-  const double missing = std::max(0.0, 1.0 - SavedNow(belief));
+  const double missing = std::max(0.0, 1.0 - SavedNow(observed));
   const auto until_saved =
-      std::chrono::duration_cast<Duration>(Seconds(missing / belief.part.requests_per_second));
+      std::chrono::duration_cast<Duration>(Seconds(missing / observed.part.requests_per_second));
   return std::max({Duration::zero(), until_fleet_is_known, until_saved});
 }
 
@@ -205,9 +205,9 @@
   if (found == m_observed_limits.end()) {
     return {};
   }
-  const ObservedLimit& belief = found->second;
-  return {belief.requests_per_second, belief.part.requests_per_second,
-          m_clock.Now() - belief.known_at};
+  const ObservedLimit& observed = found->second;
+  return {observed.requests_per_second, observed.part.requests_per_second,
+          m_clock.Now() - observed.known_at};
 }
 
 std::size_t ServerLimits::CountInForce() const {
@@ -217,9 +217,9 @@
 }
 
 ServerLimitReport ServerLimits::NewsOf(const BackendServerName& server,
-                                       const ObservedLimit& belief) const {
-  return {server, belief.requests_per_second,
-          std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - belief.known_at)};
+                                       const ObservedLimit& observed) const {
+  return {server, observed.requests_per_second,
+          std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - observed.known_at)};
 }
 
 std::vector<ServerLimitReport> ServerLimits::TakeReports() {
@@ -227,11 +227,11 @@
   std::vector<ServerLimitReport> news;
   std::vector<BackendServerName> in_force;
   std::vector<BackendServerName> ended;
-  for (const auto& [name, belief] : m_observed_limits) {
-    const Duration unchanged = now - belief.changed_at;
+  for (const auto& [name, observed] : m_observed_limits) {
+    const Duration unchanged = now - observed.changed_at;
     if (unchanged < kToldFirst && news.size() < kMaxReports) {
-      news.push_back(NewsOf(name, belief));
-    } else if (belief.requests_per_second) {
+      news.push_back(NewsOf(name, observed));
+    } else if (observed.requests_per_second) {
       in_force.push_back(name);
     } else if (unchanged < kEndIsTold) {
       ended.push_back(name);
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -94,16 +94,16 @@
   bool Believe(const BackendServerName& server,
                std::optional<double> requests_per_second,
                TimePoint known_at);
-  void Divide(const BackendServerName& server, ObservedLimit& belief);
-  void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& belief);
-  double SavedNow(const ObservedLimit& belief) const;
+  void Divide(const BackendServerName& server, ObservedLimit& observed);
+  void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed);
+  double SavedNow(const ObservedLimit& observed) const;
   std::size_t CountRecentSends(const BackendServerName& server);
   FailureDomainName DomainOf(const BackendServerName& server) const;
   void AddInTurn(std::vector<BackendServerName> servers,
                  std::size_t most,
                  BackendServerName& last,
                  std::vector<ServerLimitReport>& news) const;
-  ServerLimitReport NewsOf(const BackendServerName& server, const ObservedLimit& belief) const;
+  ServerLimitReport NewsOf(const BackendServerName& server, const ObservedLimit& observed) const;
 
   const Clock& m_clock;
   const LimitDivision& m_division;
