--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -83,9 +83,9 @@
     // An answer to a request from before the limit was heard may have left before it was named.
     const bool ends_it = found != m_observed_limits.end() && found->second.requests_per_second &&
                          sent_at > found->second.known_at;
-    return ends_it && Believe(server, std::nullopt, m_clock.Now());
+    return ends_it && UpdateLimit(server, std::nullopt, m_clock.Now());
   }
-  return Believe(server, requests_per_second, m_clock.Now());
+  return UpdateLimit(server, requests_per_second, m_clock.Now());
 }
 
 bool ServerLimits::OnReport(const ServerLimitReport& news) {
@@ -94,12 +94,12 @@
   if (found != m_observed_limits.end() && found->second.known_at >= known_at) {
     return false;
   }
-  return Believe(news.server, news.requests_per_second, known_at);
+  return UpdateLimit(news.server, news.requests_per_second, known_at);
 }
 
-bool ServerLimits::Believe(const BackendServerName& server,
-                           std::optional<double> requests_per_second,
-                           TimePoint known_at) {
+bool ServerLimits::UpdateLimit(const BackendServerName& server,
+                               std::optional<double> requests_per_second,
+                               TimePoint known_at) {
   ObservedLimit& observed = m_observed_limits[server];
   const std::optional<double> before = observed.requests_per_second;
   observed.known_at = known_at;
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -91,9 +91,9 @@
     TimePoint counted_at{};
   };
 
-  bool Believe(const BackendServerName& server,
-               std::optional<double> requests_per_second,
-               TimePoint known_at);
+  bool UpdateLimit(const BackendServerName& server,
+                   std::optional<double> requests_per_second,
+                   TimePoint known_at);
   void Divide(const BackendServerName& server, ObservedLimit& observed);
   void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed);
   double SavedNow(const ObservedLimit& observed) const;
