--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -216,8 +216,8 @@
       [](const auto& entry) { return entry.second.requests_per_second.has_value(); }));
 }
 
-ServerLimitReport ServerLimits::NewsOf(const BackendServerName& server,
-                                       const ObservedLimit& observed) const {
+ServerLimitReport ServerLimits::ReportFor(const BackendServerName& server,
+                                          const ObservedLimit& observed) const {
   return {server, observed.requests_per_second,
           std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - observed.known_at)};
 }
@@ -230,7 +230,7 @@
   for (const auto& [name, observed] : m_observed_limits) {
     const Duration unchanged = now - observed.changed_at;
     if (unchanged < kToldFirst && news.size() < kMaxReports) {
-      news.push_back(NewsOf(name, observed));
+      news.push_back(ReportFor(name, observed));
     } else if (observed.requests_per_second) {
       in_force.push_back(name);
     } else if (unchanged < kEndIsTold) {
@@ -253,7 +253,7 @@
     if (news.size() >= most) {
       return;
     }
-    news.push_back(NewsOf(name, m_observed_limits.at(name)));
+    news.push_back(ReportFor(name, m_observed_limits.at(name)));
     last = name;
   }
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -103,7 +103,7 @@
                  std::size_t most,
                  BackendServerName& last,
                  std::vector<ServerLimitReport>& news) const;
-  ServerLimitReport NewsOf(const BackendServerName& server, const ObservedLimit& observed) const;
+  ServerLimitReport ReportFor(const BackendServerName& server, const ObservedLimit& observed) const;
 
   const Clock& m_clock;
   const LimitDivision& m_division;
