--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -125,10 +125,10 @@
   }
   const double limit = std::max(*observed.requests_per_second, kLeastLimit);
   const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
-  observed.saved = SavedNow(observed);
+  observed.permits = SavedNow(observed);
   observed.counted_at = m_clock.Now();
   if (observed.part.requests_per_second <= 0.0) {
-    observed.saved = -part.requests_per_second * Seconds(kHandOver).count();
+    observed.permits = -part.requests_per_second * Seconds(kHandOver).count();
   }
   observed.part = part;
 }
@@ -147,14 +147,14 @@
       static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
   const double due = observed.part.requests_per_second * Seconds(kSendsThatCount).count();
   const double longest_pause = observed.part.requests_per_second * Seconds(kLongestPause).count();
-  observed.saved = std::clamp(due - sent, -longest_pause, 0.0);
+  observed.permits = std::clamp(due - sent, -longest_pause, 0.0);
   observed.counted_at = m_clock.Now();
 }
 
 double ServerLimits::SavedNow(const ObservedLimit& observed) const {
   const Seconds passed = m_clock.Now() - observed.counted_at;
   return std::min(observed.part.burst,
-                  observed.saved + observed.part.requests_per_second * passed.count());
+                  observed.permits + observed.part.requests_per_second * passed.count());
 }
 
 std::size_t ServerLimits::CountRecentSends(const BackendServerName& server) {
@@ -175,7 +175,7 @@
   const auto found = m_observed_limits.find(server);
   if (found != m_observed_limits.end() && found->second.requests_per_second) {
     ObservedLimit& observed = found->second;
-    observed.saved = SavedNow(observed) - 1.0;
+    observed.permits = SavedNow(observed) - 1.0;
     observed.counted_at = m_clock.Now();
   }
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -84,10 +84,10 @@
     TimePoint known_at{};
     TimePoint changed_at{};
 
-    /** The own part. What may be sent now is `saved`, as of `counted_at`; below 0 after more was
+    /** The own part. What may be sent now is `permits`, as of `counted_at`; below 0 after more was
         sent than the part. */
     LimitShare part;
-    double saved = 0.0;
+    double permits = 0.0;
     TimePoint counted_at{};
   };
 
