--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -125,7 +125,7 @@
   }
   const double limit = std::max(*observed.requests_per_second, kLeastLimit);
   const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
-  observed.permits = SavedNow(observed);
+  observed.permits = AvailablePermits(observed);
   observed.counted_at = m_clock.Now();
   if (observed.part.requests_per_second <= 0.0) {
     observed.permits = -part.requests_per_second * Seconds(kHandOver).count();
@@ -151,7 +151,7 @@
   observed.counted_at = m_clock.Now();
 }
 
-double ServerLimits::SavedNow(const ObservedLimit& observed) const {
+double ServerLimits::AvailablePermits(const ObservedLimit& observed) const {
   const Seconds passed = m_clock.Now() - observed.counted_at;
   return std::min(observed.part.burst,
                   observed.permits + observed.part.requests_per_second * passed.count());
@@ -175,7 +175,7 @@
   const auto found = m_observed_limits.find(server);
   if (found != m_observed_limits.end() && found->second.requests_per_second) {
     ObservedLimit& observed = found->second;
-    observed.permits = SavedNow(observed) - 1.0;
+    observed.permits = AvailablePermits(observed) - 1.0;
     observed.counted_at = m_clock.Now();
   }
 }
@@ -190,7 +190,7 @@
     return std::nullopt;
   }
   const Duration until_fleet_is_known = m_started_at + kLearnsFleetIn - m_clock.Now();
-  const double missing = std::max(0.0, 1.0 - SavedNow(observed));
+  const double missing = std::max(0.0, 1.0 - AvailablePermits(observed));
   const auto until_saved =
       std::chrono::duration_cast<Duration>(Seconds(missing / observed.part.requests_per_second));
   return std::max({Duration::zero(), until_fleet_is_known, until_saved});
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -96,7 +96,7 @@
                    TimePoint known_at);
   void Divide(const BackendServerName& server, ObservedLimit& observed);
   void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed);
-  double SavedNow(const ObservedLimit& observed) const;
+  double AvailablePermits(const ObservedLimit& observed) const;
   std::size_t CountRecentSends(const BackendServerName& server);
   FailureDomainName DomainOf(const BackendServerName& server) const;
   void AddInTurn(std::vector<BackendServerName> servers,
