--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -126,7 +126,7 @@
   const double limit = std::max(*observed.requests_per_second, kLeastLimit);
   const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
   observed.permits = AvailablePermits(observed);
-  observed.counted_at = m_clock.Now();
+  observed.permits_updated_at = m_clock.Now();
   if (observed.part.requests_per_second <= 0.0) {
     observed.permits = -part.requests_per_second * Seconds(kHandOver).count();
   }
@@ -148,11 +148,11 @@
   const double due = observed.part.requests_per_second * Seconds(kSendsThatCount).count();
   const double longest_pause = observed.part.requests_per_second * Seconds(kLongestPause).count();
   observed.permits = std::clamp(due - sent, -longest_pause, 0.0);
-  observed.counted_at = m_clock.Now();
+  observed.permits_updated_at = m_clock.Now();
 }
 
 double ServerLimits::AvailablePermits(const ObservedLimit& observed) const {
-  const Seconds passed = m_clock.Now() - observed.counted_at;
+  const Seconds passed = m_clock.Now() - observed.permits_updated_at;
   return std::min(observed.part.burst,
                   observed.permits + observed.part.requests_per_second * passed.count());
 }
@@ -176,7 +176,7 @@
   if (found != m_observed_limits.end() && found->second.requests_per_second) {
     ObservedLimit& observed = found->second;
     observed.permits = AvailablePermits(observed) - 1.0;
-    observed.counted_at = m_clock.Now();
+    observed.permits_updated_at = m_clock.Now();
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -84,11 +84,11 @@
     TimePoint known_at{};
     TimePoint changed_at{};
 
-    /** The own part. What may be sent now is `permits`, as of `counted_at`; below 0 after more was
-        sent than the part. */
+    /** The own part. What may be sent now is `permits`, as of `permits_updated_at`; below 0 after
+       more was sent than the part. */
     LimitShare part;
     double permits = 0.0;
-    TimePoint counted_at{};
+    TimePoint permits_updated_at{};
   };
 
   bool UpdateLimit(const BackendServerName& server,
