--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -82,7 +82,7 @@
     const auto found = m_observed_limits.find(server);
     // An answer to a request from before the limit was heard may have left before it was named.
     const bool ends_it = found != m_observed_limits.end() && found->second.requests_per_second &&
-                         sent_at > found->second.known_at;
+                         sent_at > found->second.observed_at;
     return ends_it && UpdateLimit(server, std::nullopt, m_clock.Now());
   }
   return UpdateLimit(server, requests_per_second, m_clock.Now());
@@ -90,19 +90,19 @@
 
 bool ServerLimits::OnReport(const ServerLimitReport& news) {
   const auto found = m_observed_limits.find(news.server);
-  const TimePoint known_at = m_clock.Now() - news.age;
-  if (found != m_observed_limits.end() && found->second.known_at >= known_at) {
+  const TimePoint observed_at = m_clock.Now() - news.age;
+  if (found != m_observed_limits.end() && found->second.observed_at >= observed_at) {
     return false;
   }
-  return UpdateLimit(news.server, news.requests_per_second, known_at);
+  return UpdateLimit(news.server, news.requests_per_second, observed_at);
 }
 
 bool ServerLimits::UpdateLimit(const BackendServerName& server,
                                std::optional<double> requests_per_second,
-                               TimePoint known_at) {
+                               TimePoint observed_at) {
   ObservedLimit& observed = m_observed_limits[server];
   const std::optional<double> before = observed.requests_per_second;
-  observed.known_at = known_at;
+  observed.observed_at = observed_at;
   if (before == requests_per_second) {
     return false;
   }
@@ -207,7 +207,7 @@
   }
   const ObservedLimit& observed = found->second;
   return {observed.requests_per_second, observed.part.requests_per_second,
-          m_clock.Now() - observed.known_at};
+          m_clock.Now() - observed.observed_at};
 }
 
 std::size_t ServerLimits::CountInForce() const {
@@ -218,8 +218,9 @@
 
 ServerLimitReport ServerLimits::ReportFor(const BackendServerName& server,
                                           const ObservedLimit& observed) const {
-  return {server, observed.requests_per_second,
-          std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - observed.known_at)};
+  return {
+      server, observed.requests_per_second,
+      std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - observed.observed_at)};
 }
 
 std::vector<ServerLimitReport> ServerLimits::TakeReports() {
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -81,7 +81,7 @@
  private:
   struct ObservedLimit {
     std::optional<double> requests_per_second;
-    TimePoint known_at{};
+    TimePoint observed_at{};
     TimePoint changed_at{};
 
     /** The own part. What may be sent now is `permits`, as of `permits_updated_at`; below 0 after
@@ -93,7 +93,7 @@
 
   bool UpdateLimit(const BackendServerName& server,
                    std::optional<double> requests_per_second,
-                   TimePoint known_at);
+                   TimePoint observed_at);
   void Divide(const BackendServerName& server, ObservedLimit& observed);
   void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed);
   double AvailablePermits(const ObservedLimit& observed) const;
