--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -191,9 +191,9 @@
   }
   const Duration until_fleet_is_known = m_started_at + kLearnsFleetIn - m_clock.Now();
   const double missing = std::max(0.0, 1.0 - AvailablePermits(observed));
-  const auto until_saved =
+  const auto until_permit =
       std::chrono::duration_cast<Duration>(Seconds(missing / observed.part.requests_per_second));
-  return std::max({Duration::zero(), until_fleet_is_known, until_saved});
+  return std::max({Duration::zero(), until_fleet_is_known, until_permit});
 }
 
 bool ServerLimits::MaySend(const BackendServerName& server) const {
