--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -71,7 +71,7 @@
   }
   m_instances = m_view->instances;
   for (auto& [name, observed] : m_observed_limits) {
-    Divide(name, observed);
+    UpdateShare(name, observed);
   }
 }
 
@@ -111,14 +111,14 @@
   if (is_notable) {
     observed.changed_at = m_clock.Now();
   }
-  Divide(server, observed);
+  UpdateShare(server, observed);
   if (requests_per_second && is_notable && requests_per_second < before.value_or(kNoLimit)) {
     ChargeSendsBefore(server, observed);
   }
   return is_notable;
 }
 
-void ServerLimits::Divide(const BackendServerName& server, ObservedLimit& observed) {
+void ServerLimits::UpdateShare(const BackendServerName& server, ObservedLimit& observed) {
   if (!observed.requests_per_second) {
     observed.part = {};
     return;
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -94,7 +94,7 @@
   bool UpdateLimit(const BackendServerName& server,
                    std::optional<double> requests_per_second,
                    TimePoint observed_at);
-  void Divide(const BackendServerName& server, ObservedLimit& observed);
+  void UpdateShare(const BackendServerName& server, ObservedLimit& observed);
   void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed);
   double AvailablePermits(const ObservedLimit& observed) const;
   std::size_t CountRecentSends(const BackendServerName& server);
