--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -113,7 +113,7 @@
   }
   UpdateShare(server, observed);
   if (requests_per_second && is_notable && requests_per_second < before.value_or(kNoLimit)) {
-    ChargeSendsBefore(server, observed);
+    ChargeRecentSends(server, observed);
   }
   return is_notable;
 }
@@ -142,7 +142,7 @@
 }
 
 /** The server was given this much already. The other instances are taken to have sent as often. */
-void ServerLimits::ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed) {
+void ServerLimits::ChargeRecentSends(const BackendServerName& server, ObservedLimit& observed) {
   const double sent =
       static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
   const double due = observed.part.requests_per_second * Seconds(kSendsThatCount).count();
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -95,7 +95,7 @@
                    std::optional<double> requests_per_second,
                    TimePoint observed_at);
   void UpdateShare(const BackendServerName& server, ObservedLimit& observed);
-  void ChargeSendsBefore(const BackendServerName& server, ObservedLimit& observed);
+  void ChargeRecentSends(const BackendServerName& server, ObservedLimit& observed);
   double AvailablePermits(const ObservedLimit& observed) const;
   std::size_t CountRecentSends(const BackendServerName& server);
   FailureDomainName DomainOf(const BackendServerName& server) const;
