--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -238,16 +238,17 @@
       ended.push_back(name);
     }
   }
-  AddInTurn(in_force, kMaxReports, m_last_told, news);
-  AddInTurn(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_told, news);
+  AddRoundRobin(in_force, kMaxReports, m_last_told, news);
+  AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_told,
+                news);
   return news;
 }
 
 /** Until there are `most`, going on after `last`. */
-void ServerLimits::AddInTurn(std::vector<BackendServerName> servers,
-                             std::size_t most,
-                             BackendServerName& last,
-                             std::vector<ServerLimitReport>& news) const {
+void ServerLimits::AddRoundRobin(std::vector<BackendServerName> servers,
+                                 std::size_t most,
+                                 BackendServerName& last,
+                                 std::vector<ServerLimitReport>& news) const {
   const auto next = std::upper_bound(servers.begin(), servers.end(), last);
   std::rotate(servers.begin(), next, servers.end());
   for (const BackendServerName& name : servers) {
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -99,10 +99,10 @@
   double AvailablePermits(const ObservedLimit& observed) const;
   std::size_t CountRecentSends(const BackendServerName& server);
   FailureDomainName DomainOf(const BackendServerName& server) const;
-  void AddInTurn(std::vector<BackendServerName> servers,
-                 std::size_t most,
-                 BackendServerName& last,
-                 std::vector<ServerLimitReport>& news) const;
+  void AddRoundRobin(std::vector<BackendServerName> servers,
+                     std::size_t most,
+                     BackendServerName& last,
+                     std::vector<ServerLimitReport>& news) const;
   ServerLimitReport ReportFor(const BackendServerName& server, const ObservedLimit& observed) const;
 
   const Clock& m_clock;
