--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -238,7 +238,7 @@
       ended.push_back(name);
     }
   }
-  AddRoundRobin(in_force, kMaxReports, m_last_told, news);
+  AddRoundRobin(in_force, kMaxReports, m_last_reported, news);
   AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_told,
                 news);
   return news;
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -115,7 +115,7 @@
   std::shared_ptr<const std::vector<Instance>> m_instances;
 
   /** After whom the others go on taking turns in news: those with a limit, and those without. */
-  BackendServerName m_last_told;
+  BackendServerName m_last_reported;
   BackendServerName m_last_end_told;
 };
 
