--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -239,7 +239,7 @@
     }
   }
   AddRoundRobin(in_force, kMaxReports, m_last_reported, news);
-  AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_told,
+  AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_reported,
                 news);
   return news;
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -116,7 +116,7 @@
 
   /** After whom the others go on taking turns in news: those with a limit, and those without. */
   BackendServerName m_last_reported;
-  BackendServerName m_last_end_told;
+  BackendServerName m_last_end_reported;
 };
 
 }  // namespace zinnia
