--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -15,7 +15,7 @@
 using Seconds = std::chrono::duration<double>;
 
 /** What was sent this long before a limit was heard counts against it. */
-constexpr Duration kSendsThatCount = std::chrono::milliseconds(1'500);
+constexpr Duration kChargedSendWindow = std::chrono::milliseconds(1'500);
 
 /** After this they no longer burden the server, however many they were. */
 constexpr Duration kLongestPause = std::chrono::seconds(4);
@@ -145,7 +145,7 @@
 void ServerLimits::ChargeRecentSends(const BackendServerName& server, ObservedLimit& observed) {
   const double sent =
       static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
-  const double due = observed.part.requests_per_second * Seconds(kSendsThatCount).count();
+  const double due = observed.part.requests_per_second * Seconds(kChargedSendWindow).count();
   const double longest_pause = observed.part.requests_per_second * Seconds(kLongestPause).count();
   observed.permits = std::clamp(due - sent, -longest_pause, 0.0);
   observed.permits_updated_at = m_clock.Now();
@@ -163,7 +163,7 @@
     return 0;
   }
   std::deque<TimePoint>& sends = found->second;
-  while (!sends.empty() && m_clock.Now() - sends.front() > kSendsThatCount) {
+  while (!sends.empty() && m_clock.Now() - sends.front() > kChargedSendWindow) {
     sends.pop_front();
   }
   return sends.size();
