--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -18,7 +18,7 @@
 constexpr Duration kChargedSendWindow = std::chrono::milliseconds(1'500);
 
 /** After this they no longer burden the server, however many they were. */
-constexpr Duration kLongestPause = std::chrono::seconds(4);
+constexpr Duration kMaxPause = std::chrono::seconds(4);
 
 /** An instance that has just started knows few peers, and would take too large a part. */
 constexpr Duration kLearnsFleetIn = std::chrono::seconds(2);
@@ -146,7 +146,7 @@
   const double sent =
       static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
   const double due = observed.part.requests_per_second * Seconds(kChargedSendWindow).count();
-  const double longest_pause = observed.part.requests_per_second * Seconds(kLongestPause).count();
+  const double longest_pause = observed.part.requests_per_second * Seconds(kMaxPause).count();
   observed.permits = std::clamp(due - sent, -longest_pause, 0.0);
   observed.permits_updated_at = m_clock.Now();
 }
