--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -146,8 +146,8 @@
   const double sent =
       static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
   const double due = observed.part.requests_per_second * Seconds(kChargedSendWindow).count();
-  const double longest_pause = observed.part.requests_per_second * Seconds(kMaxPause).count();
-  observed.permits = std::clamp(due - sent, -longest_pause, 0.0);
+  const double max_pause = observed.part.requests_per_second * Seconds(kMaxPause).count();
+  observed.permits = std::clamp(due - sent, -max_pause, 0.0);
   observed.permits_updated_at = m_clock.Now();
 }
 
