--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -21,7 +21,7 @@
 constexpr Duration kMaxPause = std::chrono::seconds(4);
 
 /** An instance that has just started knows few peers, and would take too large a part. */
-constexpr Duration kLearnsFleetIn = std::chrono::seconds(2);
+constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(2);
 
 /** Whoever held the part before hears within this time that another instance does now. */
 constexpr Duration kHandOver = std::chrono::seconds(2);
@@ -189,7 +189,7 @@
   if (observed.part.requests_per_second <= 0.0) {
     return std::nullopt;
   }
-  const Duration until_fleet_is_known = m_started_at + kLearnsFleetIn - m_clock.Now();
+  const Duration until_fleet_is_known = m_started_at + kFleetDiscoveryTime - m_clock.Now();
   const double missing = std::max(0.0, 1.0 - AvailablePermits(observed));
   const auto until_permit =
       std::chrono::duration_cast<Duration>(Seconds(missing / observed.part.requests_per_second));
