--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -24,7 +24,7 @@
 constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(2);
 
 /** Whoever held the part before hears within this time that another instance does now. */
-constexpr Duration kHandOver = std::chrono::seconds(2);
+constexpr Duration kHandoverDelay = std::chrono::seconds(2);
 
 /** In requests a second of all instances. A server that takes none must still be asked now and
    then, or nobody would hear that it takes some again. */
@@ -128,7 +128,7 @@
   observed.permits = AvailablePermits(observed);
   observed.permits_updated_at = m_clock.Now();
   if (observed.part.requests_per_second <= 0.0) {
-    observed.permits = -part.requests_per_second * Seconds(kHandOver).count();
+    observed.permits = -part.requests_per_second * Seconds(kHandoverDelay).count();
   }
   observed.part = part;
 }
