--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -28,7 +28,7 @@
 
 /** In requests a second of all instances. A server that takes none must still be asked now and
    then, or nobody would hear that it takes some again. */
-constexpr double kLeastLimit = 0.2;
+constexpr double kMinRequestsPerSecond = 0.2;
 
 /** A change by this part is told at once, a smaller one with the next reports. */
 constexpr double kNotableChange = 0.2;
@@ -123,7 +123,7 @@
     observed.part = {};
     return;
   }
-  const double limit = std::max(*observed.requests_per_second, kLeastLimit);
+  const double limit = std::max(*observed.requests_per_second, kMinRequestsPerSecond);
   const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
   observed.permits = AvailablePermits(observed);
   observed.permits_updated_at = m_clock.Now();
