--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -31,7 +31,7 @@
 constexpr double kMinRequestsPerSecond = 0.2;
 
 /** A change by this part is told at once, a smaller one with the next reports. */
-constexpr double kNotableChange = 0.2;
+constexpr double kNotableRelativeChange = 0.2;
 
 /** How long a change goes before other rows of a report. */
 constexpr Duration kToldFirst = std::chrono::seconds(2);
@@ -49,7 +49,7 @@
   if (!before || !after) {
     return before.has_value() != after.has_value();
   }
-  return std::abs(*after - *before) > kNotableChange * std::max(*before, *after);
+  return std::abs(*after - *before) > kNotableRelativeChange * std::max(*before, *after);
 }
 
 }  // namespace
