--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -34,7 +34,7 @@
 constexpr double kNotableRelativeChange = 0.2;
 
 /** How long a change goes before other rows of a report. */
-constexpr Duration kToldFirst = std::chrono::seconds(2);
+constexpr Duration kPriorityReportTime = std::chrono::seconds(2);
 
 /** How long the end of a limit is told. An instance that was out of reach meanwhile, and holds no
     part, would leave the server alone for good: it sends nothing there that could be answered. */
@@ -230,7 +230,7 @@
   std::vector<BackendServerName> ended;
   for (const auto& [name, observed] : m_observed_limits) {
     const Duration unchanged = now - observed.changed_at;
-    if (unchanged < kToldFirst && news.size() < kMaxReports) {
+    if (unchanged < kPriorityReportTime && news.size() < kMaxReports) {
       news.push_back(ReportFor(name, observed));
     } else if (observed.requests_per_second) {
       in_force.push_back(name);
