--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -38,7 +38,7 @@
 
 /** How long the end of a limit is told. An instance that was out of reach meanwhile, and holds no
     part, would leave the server alone for good: it sends nothing there that could be answered. */
-constexpr Duration kEndIsTold = std::chrono::minutes(10);
+constexpr Duration kEndReportRetention = std::chrono::minutes(10);
 
 /** Rows of a report for limits that ended some time ago. */
 constexpr std::size_t kMostEndedInNews = 1;
@@ -234,7 +234,7 @@
       news.push_back(ReportFor(name, observed));
     } else if (observed.requests_per_second) {
       in_force.push_back(name);
-    } else if (unchanged < kEndIsTold) {
+    } else if (unchanged < kEndReportRetention) {
       ended.push_back(name);
     }
   }
