--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -41,7 +41,7 @@
 constexpr Duration kEndReportRetention = std::chrono::minutes(10);
 
 /** Rows of a report for limits that ended some time ago. */
-constexpr std::size_t kMostEndedInNews = 1;
+constexpr std::size_t kMaxEndedLimitReports = 1;
 
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
@@ -239,8 +239,8 @@
     }
   }
   AddRoundRobin(in_force, kMaxReports, m_last_reported, news);
-  AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMostEndedInNews), m_last_end_reported,
-                news);
+  AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMaxEndedLimitReports),
+                m_last_end_reported, news);
   return news;
 }
 
