--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -48,8 +48,8 @@
   if (static_cast<double>(before) >= holders) {
     return {};
   }
-  const double part = requests_per_second / holders;
-  return {part, std::max(kMinBurstRequests, part * kBurstDuration.count()), count / holders};
+  const double share = requests_per_second / holders;
+  return {share, std::max(kMinBurstRequests, share * kBurstDuration.count()), count / holders};
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -37,7 +37,7 @@
 constexpr Duration kPriorityReportTime = std::chrono::seconds(2);
 
 /** How long the end of a limit is told. An instance that was out of reach meanwhile, and holds no
-    part, would leave the server alone for good: it sends nothing there that could be answered. */
+    share, would leave the server alone for good: it sends nothing there that could be answered. */
 constexpr Duration kEndReportRetention = std::chrono::minutes(10);
 
 /** Rows of a report for limits that ended some time ago. */
@@ -120,17 +120,18 @@
 
 void ServerLimits::UpdateShare(const BackendServerName& server, ObservedLimit& observed) {
   if (!observed.requests_per_second) {
-    observed.part = {};
+    observed.share = {};
     return;
   }
   const double limit = std::max(*observed.requests_per_second, kMinRequestsPerSecond);
-  const LimitShare part = m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
+  const LimitShare share =
+      m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
   observed.permits = AvailablePermits(observed);
   observed.permits_updated_at = m_clock.Now();
-  if (observed.part.requests_per_second <= 0.0) {
-    observed.permits = -part.requests_per_second * Seconds(kHandoverDelay).count();
+  if (observed.share.requests_per_second <= 0.0) {
+    observed.permits = -share.requests_per_second * Seconds(kHandoverDelay).count();
   }
-  observed.part = part;
+  observed.share = share;
 }
 
 FailureDomainName ServerLimits::DomainOf(const BackendServerName& server) const {
@@ -144,17 +145,17 @@
 /** The server was given this much already. The other instances are taken to have sent as often. */
 void ServerLimits::ChargeRecentSends(const BackendServerName& server, ObservedLimit& observed) {
   const double sent =
-      static_cast<double>(CountRecentSends(server)) * observed.part.instances_per_holder;
-  const double due = observed.part.requests_per_second * Seconds(kChargedSendWindow).count();
-  const double max_pause = observed.part.requests_per_second * Seconds(kMaxPause).count();
+      static_cast<double>(CountRecentSends(server)) * observed.share.instances_per_holder;
+  const double due = observed.share.requests_per_second * Seconds(kChargedSendWindow).count();
+  const double max_pause = observed.share.requests_per_second * Seconds(kMaxPause).count();
   observed.permits = std::clamp(due - sent, -max_pause, 0.0);
   observed.permits_updated_at = m_clock.Now();
 }
 
 double ServerLimits::AvailablePermits(const ObservedLimit& observed) const {
   const Seconds passed = m_clock.Now() - observed.permits_updated_at;
-  return std::min(observed.part.burst,
-                  observed.permits + observed.part.requests_per_second * passed.count());
+  return std::min(observed.share.burst,
+                  observed.permits + observed.share.requests_per_second * passed.count());
 }
 
 std::size_t ServerLimits::CountRecentSends(const BackendServerName& server) {
@@ -186,13 +187,13 @@
     return Duration::zero();
   }
   const ObservedLimit& observed = found->second;
-  if (observed.part.requests_per_second <= 0.0) {
+  if (observed.share.requests_per_second <= 0.0) {
     return std::nullopt;
   }
   const Duration until_fleet_is_known = m_started_at + kFleetDiscoveryTime - m_clock.Now();
   const double missing = std::max(0.0, 1.0 - AvailablePermits(observed));
   const auto until_permit =
-      std::chrono::duration_cast<Duration>(Seconds(missing / observed.part.requests_per_second));
+      std::chrono::duration_cast<Duration>(Seconds(missing / observed.share.requests_per_second));
   return std::max({Duration::zero(), until_fleet_is_known, until_permit});
 }
 
@@ -206,7 +207,7 @@
     return {};
   }
   const ObservedLimit& observed = found->second;
-  return {observed.requests_per_second, observed.part.requests_per_second,
+  return {observed.requests_per_second, observed.share.requests_per_second,
           m_clock.Now() - observed.observed_at};
 }
 
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -85,8 +85,8 @@
     TimePoint changed_at{};
 
     /** The own part. What may be sent now is `permits`, as of `permits_updated_at`; below 0 after
-       more was sent than the part. */
-    LimitShare part;
+       more was sent than the share. */
+    LimitShare share;
     double permits = 0.0;
     TimePoint permits_updated_at{};
   };
