--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -88,13 +88,13 @@
   return UpdateLimit(server, requests_per_second, m_clock.Now());
 }
 
-bool ServerLimits::OnReport(const ServerLimitReport& news) {
-  const auto found = m_observed_limits.find(news.server);
-  const TimePoint observed_at = m_clock.Now() - news.age;
+bool ServerLimits::OnReport(const ServerLimitReport& report) {
+  const auto found = m_observed_limits.find(report.server);
+  const TimePoint observed_at = m_clock.Now() - report.age;
   if (found != m_observed_limits.end() && found->second.observed_at >= observed_at) {
     return false;
   }
-  return UpdateLimit(news.server, news.requests_per_second, observed_at);
+  return UpdateLimit(report.server, report.requests_per_second, observed_at);
 }
 
 bool ServerLimits::UpdateLimit(const BackendServerName& server,
@@ -226,37 +226,37 @@
 
 std::vector<ServerLimitReport> ServerLimits::TakeReports() {
   const TimePoint now = m_clock.Now();
-  std::vector<ServerLimitReport> news;
+  std::vector<ServerLimitReport> reports;
   std::vector<BackendServerName> in_force;
   std::vector<BackendServerName> ended;
   for (const auto& [name, observed] : m_observed_limits) {
     const Duration unchanged = now - observed.changed_at;
-    if (unchanged < kPriorityReportTime && news.size() < kMaxReports) {
-      news.push_back(ReportFor(name, observed));
+    if (unchanged < kPriorityReportTime && reports.size() < kMaxReports) {
+      reports.push_back(ReportFor(name, observed));
     } else if (observed.requests_per_second) {
       in_force.push_back(name);
     } else if (unchanged < kEndReportRetention) {
       ended.push_back(name);
     }
   }
-  AddRoundRobin(in_force, kMaxReports, m_last_reported, news);
-  AddRoundRobin(ended, std::min(kMaxReports, news.size() + kMaxEndedLimitReports),
-                m_last_end_reported, news);
-  return news;
+  AddRoundRobin(in_force, kMaxReports, m_last_reported, reports);
+  AddRoundRobin(ended, std::min(kMaxReports, reports.size() + kMaxEndedLimitReports),
+                m_last_end_reported, reports);
+  return reports;
 }
 
 /** Until there are `most`, going on after `last`. */
 void ServerLimits::AddRoundRobin(std::vector<BackendServerName> servers,
                                  std::size_t most,
                                  BackendServerName& last,
-                                 std::vector<ServerLimitReport>& news) const {
+                                 std::vector<ServerLimitReport>& reports) const {
   const auto next = std::upper_bound(servers.begin(), servers.end(), last);
   std::rotate(servers.begin(), next, servers.end());
   for (const BackendServerName& name : servers) {
-    if (news.size() >= most) {
+    if (reports.size() >= most) {
       return;
     }
-    news.push_back(ReportFor(name, m_observed_limits.at(name)));
+    reports.push_back(ReportFor(name, m_observed_limits.at(name)));
     last = name;
   }
 }
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -49,7 +49,7 @@
                 TimePoint sent_at);
 
   /** A peer's word. Returns the same. */
-  bool OnReport(const ServerLimitReport& news);
+  bool OnReport(const ServerLimitReport& report);
 
   /** What to tell peers: what changed lately, and the others in turn. */
   std::vector<ServerLimitReport> TakeReports();
@@ -102,7 +102,7 @@
   void AddRoundRobin(std::vector<BackendServerName> servers,
                      std::size_t most,
                      BackendServerName& last,
-                     std::vector<ServerLimitReport>& news) const;
+                     std::vector<ServerLimitReport>& reports) const;
   ServerLimitReport ReportFor(const BackendServerName& server, const ObservedLimit& observed) const;
 
   const Clock& m_clock;
