--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -63,7 +63,7 @@
 
 /** Who asks why a request went elsewhere finds the servers that it was kept from. */
 void ForwardExchange::LogServersAtLimit() {
-  const std::vector<BackendServerName> closed = OutlookOfLimits().closed;
+  const std::vector<BackendServerName> closed = OutlookOfLimits().at_limit;
   if (closed.empty()) {
     return;
   }
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -37,12 +37,12 @@
       outlook.all_at_limit = false;
       continue;
     }
-    outlook.closed.push_back(name);
+    outlook.at_limit.push_back(name);
     if (turn) {
       outlook.next_permit_in = std::min(*turn, outlook.next_permit_in.value_or(*turn));
     }
   }
-  outlook.all_at_limit = outlook.all_at_limit && !outlook.closed.empty();
+  outlook.all_at_limit = outlook.all_at_limit && !outlook.at_limit.empty();
   return outlook;
 }
 
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.h
@@ -15,7 +15,7 @@
 /** What servers' limits leave a request of one service. */
 struct LimitAvailability {
   /** Servers where requests begin that take none from this instance now. */
-  std::vector<BackendServerName> closed;
+  std::vector<BackendServerName> at_limit;
 
   /** Whether there is no other server where a request could begin. */
   bool all_at_limit = false;
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -404,7 +404,7 @@
   limits.OnAnswer("a", 2.0, time.Now());
   LimitAvailability outlook = FindLimitAvailability(*view, "pool", {}, limits);
   CHECK_FALSE(outlook.all_at_limit);
-  CHECK_EQUAL(1U, outlook.closed.size());
+  CHECK_EQUAL(1U, outlook.at_limit.size());
   limits.OnAnswer("b", 4.0, time.Now());
   limits.OnAnswer("c", 1.0, time.Now());
   outlook = FindLimitAvailability(*view, "pool", {}, limits);
