--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -21,37 +21,37 @@
                                         const ServiceName& service,
                                         const std::set<BackendServerName>& avoided,
                                         const ServerLimits& limits) {
-  LimitAvailability outlook;
+  LimitAvailability availability;
   if (limits.CountInForce() == 0) {
-    return outlook;
+    return availability;
   }
-  outlook.all_at_limit = true;
+  availability.all_at_limit = true;
   for (const auto& [name, server] : view.servers) {
     const bool is_choice = server.service == service && !server.draining &&
                            !avoided.contains(name) && CanBeFirstServer(server);
     if (!is_choice) {
       continue;
     }
-    const std::optional<Duration> turn = limits.TimeUntilPermit(name);
-    if (turn == Duration::zero()) {
-      outlook.all_at_limit = false;
+    const std::optional<Duration> wait = limits.TimeUntilPermit(name);
+    if (wait == Duration::zero()) {
+      availability.all_at_limit = false;
       continue;
     }
-    outlook.at_limit.push_back(name);
-    if (turn) {
-      outlook.next_permit_in = std::min(*turn, outlook.next_permit_in.value_or(*turn));
+    availability.at_limit.push_back(name);
+    if (wait) {
+      availability.next_permit_in = std::min(*wait, availability.next_permit_in.value_or(*wait));
     }
   }
-  outlook.all_at_limit = outlook.all_at_limit && !outlook.at_limit.empty();
-  return outlook;
+  availability.all_at_limit = availability.all_at_limit && !availability.at_limit.empty();
+  return availability;
 }
 
-bool MayWait(const LimitAvailability& outlook, bool queues, Duration latency_objective) {
-  if (!outlook.all_at_limit) {
+bool MayWait(const LimitAvailability& availability, bool queues, Duration latency_objective) {
+  if (!availability.all_at_limit) {
     return queues;
   }
   const Duration longest = std::min(latency_objective / 2, RoomQueue::kLongestWait);
-  return outlook.next_permit_in && *outlook.next_permit_in <= longest;
+  return availability.next_permit_in && *availability.next_permit_in <= longest;
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.h
@@ -31,7 +31,7 @@
                                         const ServerLimits& limits);
 
 /** Whether a request that found no server waits. `queues`: its kind waits for room. For a server's
-    turn every kind waits, unless it would come too late: then it is refused at once. */
-bool MayWait(const LimitAvailability& outlook, bool queues, Duration latency_objective);
+    wait every kind waits, unless it would come too late: then it is refused at once. */
+bool MayWait(const LimitAvailability& availability, bool queues, Duration latency_objective);
 
 }  // namespace zinnia
