--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -402,32 +402,32 @@
   limits.SetView(view);
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("a", 2.0, time.Now());
-  LimitAvailability outlook = FindLimitAvailability(*view, "pool", {}, limits);
-  CHECK_FALSE(outlook.all_at_limit);
-  CHECK_EQUAL(1U, outlook.at_limit.size());
+  LimitAvailability availability = FindLimitAvailability(*view, "pool", {}, limits);
+  CHECK_FALSE(availability.all_at_limit);
+  CHECK_EQUAL(1U, availability.at_limit.size());
   limits.OnAnswer("b", 4.0, time.Now());
   limits.OnAnswer("c", 1.0, time.Now());
-  outlook = FindLimitAvailability(*view, "pool", {}, limits);
-  CHECK_TRUE(outlook.all_at_limit);
-  CHECK_TRUE(outlook.next_permit_in == milliseconds(250));
-  outlook = FindLimitAvailability(*view, "pool", {"b"}, limits);
-  CHECK_TRUE(outlook.next_permit_in == milliseconds(500));
+  availability = FindLimitAvailability(*view, "pool", {}, limits);
+  CHECK_TRUE(availability.all_at_limit);
+  CHECK_TRUE(availability.next_permit_in == milliseconds(250));
+  availability = FindLimitAvailability(*view, "pool", {"b"}, limits);
+  CHECK_TRUE(availability.next_permit_in == milliseconds(500));
   time.AdvanceBy(milliseconds(300));
   CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_at_limit);
 }
 
 // Guards against callers who wait for a turn that comes too late for them.
 TEST(Limits, NobodyWaitsForATurnThatComesTooLate) {
-  LimitAvailability outlook;
-  CHECK_TRUE(MayWait(outlook, true, milliseconds(500)));
-  CHECK_FALSE(MayWait(outlook, false, milliseconds(150)));
-  outlook.all_at_limit = true;
-  CHECK_FALSE(MayWait(outlook, true, milliseconds(500)));
-  outlook.next_permit_in = milliseconds(60);
-  CHECK_TRUE(MayWait(outlook, false, milliseconds(150)));
-  CHECK_FALSE(MayWait(outlook, false, milliseconds(100)));
-  outlook.next_permit_in = milliseconds(310);
-  CHECK_FALSE(MayWait(outlook, true, milliseconds(1'000)));
+  LimitAvailability availability;
+  CHECK_TRUE(MayWait(availability, true, milliseconds(500)));
+  CHECK_FALSE(MayWait(availability, false, milliseconds(150)));
+  availability.all_at_limit = true;
+  CHECK_FALSE(MayWait(availability, true, milliseconds(500)));
+  availability.next_permit_in = milliseconds(60);
+  CHECK_TRUE(MayWait(availability, false, milliseconds(150)));
+  CHECK_FALSE(MayWait(availability, false, milliseconds(100)));
+  availability.next_permit_in = milliseconds(310);
+  CHECK_FALSE(MayWait(availability, true, milliseconds(1'000)));
 }
 
 // Guards against parts that grow while an instance restarts or is out of sight.
