--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.cc
@@ -11,16 +11,15 @@
 namespace zinnia {
 namespace {
 
-/** Holders for each request a second of the limit, and some more that share small limits. What all
-   of them may send at once, `kMinBurstRequests` each, must stay well below one and a half times
-   what the server takes in a second, and some. */
+// The number of holders is linear in the limit, plus a few so that small limits are shared too. It
+// also bounds the combined burst of all holders, which must stay well below 1.5 times the limit.
 constexpr double kHoldersPerRequestRate = 0.75;
 constexpr double kExtraHolders = 2.0;
 
-/** In requests. With less, a holder whose requests do not come evenly would miss turns. */
+// With a smaller burst, a holder with uneven traffic would not use its share.
 constexpr double kMinBurstRequests = 2.0;
 
-/** Of a large part, so much as comes together in this time. */
+// The burst of a large share, as the time in which its permits accrue.
 constexpr std::chrono::duration<double> kBurstDuration{0.5};
 
 }  // namespace
