--- a/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/rendezvous_limit_division.h
@@ -4,13 +4,12 @@
 
 namespace zinnia {
 
-/** A few instances share the limit equally, the others leave the server alone.
+/** Divides a limit equally between a few instances; the others do not use the server.
 
-    Divided between all, each part of a large fleet would be a small fraction of a request a second:
-    one request of each at the same time is many times the limit, and whoever has no requests just
-    then lets its part go to waste. So about as many instances hold parts as the server takes
-    requests a second, chosen by rendezvous hashing, those of the server's failure domain first: all
-   instances choose alike, and one that goes moves only its own parts.
+    The number of holders grows with the limit, because shares of a small fraction of a request per
+    second are easily exceeded by concurrent requests and often left unused. Holders are chosen by
+    rendezvous hashing, instances in the server's failure domain first, so that all instances agree
+    and a departing instance affects only its own shares.
 */
 class RendezvousLimitDivision final : public LimitDivision {
  public:
