--- a/packages/zinnia_decisions/forwarding/limits/limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_division.h
@@ -8,24 +8,24 @@
 
 struct Instance;
 
-/** What one instance may send of the requests that a server takes from all instances together. */
+/** One instance's share of a server's request rate limit. */
 struct LimitShare {
   double requests_per_second = 0.0;
 
-  /** What it may send at once after it has sent none for a while. */
+  /** Number of requests that may be sent at once after an idle period. */
   double burst = 0.0;
 
-  /** How many instances there are for each that may send. */
+  /** Number of instances in the fleet per instance that holds a share. */
   double instances_per_holder = 1.0;
 };
 
-/** Divides a server's limit between instances that do not ask each other. Instances that know the
-    same fleet must come to parts whose sum is no more than the limit. */
+/** Divides a server's limit between instances without coordination. For instances that see the same
+    fleet, the sum of the shares must not exceed the limit. */
 class LimitDivision {
  public:
   virtual ~LimitDivision() = default;
 
-  /** `self` is one of `instances`; the server is of `server_domain`. */
+  /** Returns the share of `self`, or an empty share if `self` is not in `instances`. */
   virtual LimitShare ShareOf(const InstanceName& self,
                              const std::vector<Instance>& instances,
                              const BackendServerName& server,
