--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -9,7 +9,7 @@
 namespace zinnia {
 namespace {
 
-/** Plain servers, and engines that hold the first layers. */
+/** Whether the server is a plain server or an engine that holds the first layers. */
 bool CanBeFirstServer(const ServerEntry& server) {
   const bool is_engine = !server.accelerator.empty();
   return !is_engine || (server.layers.Count() > 0 && server.layers.first == 0);
