--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.h
@@ -12,26 +12,28 @@
 class ServerLimits;
 struct ForwardingView;
 
-/** What servers' limits leave a request of one service. */
+/** Which servers of a service are currently closed to this instance by their limits. */
 struct LimitAvailability {
-  /** Servers where requests begin that take none from this instance now. */
+  /** First servers to which this instance may not send now. */
   std::vector<BackendServerName> at_limit;
 
-  /** Whether there is no other server where a request could begin. */
+  /** Whether every candidate for the first server is at its limit. */
   bool all_at_limit = false;
 
-  /** Until the first of them takes one from this instance; nothing if none will. */
+  /** Time until the first of these servers accepts a request; nullopt if this instance has no share
+      of any of their limits. */
   std::optional<Duration> next_permit_in;
 };
 
-/** Looks at the servers of `service` that requests may be sent to, but for `avoided`. */
+/** Considers the servers of `service` that are not draining and not in `avoided`. */
 LimitAvailability FindLimitAvailability(const ForwardingView& view,
                                         const ServiceName& service,
                                         const std::set<BackendServerName>& avoided,
                                         const ServerLimits& limits);
 
-/** Whether a request that found no server waits. `queues`: its kind waits for room. For a server's
-    wait every kind waits, unless it would come too late: then it is refused at once. */
+/** Whether a request for which no server was found should wait. `queues` tells whether its route
+    waits for capacity. If all servers are at their limits, every request waits, unless the next
+    permit would come too late. */
 bool MayWait(const LimitAvailability& availability, bool queues, Duration latency_objective);
 
 }  // namespace zinnia
