--- a/packages/zinnia_decisions/forwarding/limits/limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/limits.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Limits that servers name for all instances together, and this instance's part of them. */
+/** Rate limits that servers set for all instances together, and this instance's share of them. */
 
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/forwarding/limits/limit_division.h"
