--- a/packages/zinnia_decisions/forwarding/limits/recent_instances.cc
+++ b/packages/zinnia_decisions/forwarding/limits/recent_instances.cc
@@ -3,7 +3,7 @@
 namespace zinnia {
 namespace {
 
-/** Longer than a planned stop and the start after it take. */
+// Longer than a planned restart takes.
 constexpr Duration kRetentionAfterLastSeen = std::chrono::seconds(10);
 
 }  // namespace
