--- a/packages/zinnia_decisions/forwarding/limits/recent_instances.h
+++ b/packages/zinnia_decisions/forwarding/limits/recent_instances.h
@@ -9,18 +9,17 @@
 
 namespace zinnia {
 
-/** The instances that live, and those that did some seconds ago: who takes part when a bound is
-    divided.
+/** Tracks the instances that are live or were live within the last seconds.
 
-    Divided between those alive now, each part would grow as soon as an instance is out of sight.
-   One that restarts is back within seconds, and one that is only cut off goes on with its part: the
-    parts of both sides together would be more than the whole.
+    Fleet-wide limits are divided between these instances. If only live ones were counted, an
+    instance that restarts or is partitioned would enlarge the others' shares while it still uses
+    its own, and the sum would exceed the limit.
 */
 class RecentInstances {
  public:
   explicit RecentInstances(const Clock& clock) : m_clock(clock) {}
 
-  /** The same object as before while nothing has changed. */
+  /** Returns the same object as the previous call if the set of instances is unchanged. */
   std::shared_ptr<const std::vector<Instance>> Update(const std::vector<Instance>& live);
 
  private:
