--- a/packages/zinnia_decisions/forwarding/limits/server_limit_report.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limit_report.h
@@ -7,11 +7,11 @@
 
 namespace zinnia {
 
-/** What a server said of the requests that it takes, and how old its word is. */
+/** A server's request rate limit as observed by one instance, with the age of the observation. */
 struct ServerLimitReport {
   BackendServerName server;
 
-  /** Of all instances together; nothing if it names no limit any more. */
+  /** Limit for all instances together; nullopt if the server no longer sets one. */
   std::optional<double> requests_per_second;
   std::chrono::milliseconds age{0};
 };
