--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -14,33 +14,32 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** What was sent this long before a limit was heard counts against it. */
+// Requests sent within this time before a limit was received are charged to it.
 constexpr Duration kChargedSendWindow = std::chrono::milliseconds(1'500);
 
-/** After this they no longer burden the server, however many they were. */
+// Upper bound of the pause that such requests cause.
 constexpr Duration kMaxPause = std::chrono::seconds(4);
 
-/** An instance that has just started knows few peers, and would take too large a part. */
+// A new instance knows only few peers, and would compute too large a share.
 constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(2);
 
-/** Whoever held the part before hears within this time that another instance does now. */
+// A new holder waits this long, so that the previous one learns of the change first.
 constexpr Duration kHandoverDelay = std::chrono::seconds(2);
 
-/** In requests a second of all instances. A server that takes none must still be asked now and
-   then, or nobody would hear that it takes some again. */
+// Applies to all instances together. A server with a limit of 0 still gets occasional requests,
+// since only its answers show that the limit has been raised.
 constexpr double kMinRequestsPerSecond = 0.2;
 
-/** A change by this part is told at once, a smaller one with the next reports. */
+// Larger changes are reported at once, smaller ones with the next periodic report.
 constexpr double kNotableRelativeChange = 0.2;
 
-/** How long a change goes before other rows of a report. */
+// How long a change takes precedence over other rows of a report.
 constexpr Duration kPriorityReportTime = std::chrono::seconds(2);
 
-/** How long the end of a limit is told. An instance that was out of reach meanwhile, and holds no
-    share, would leave the server alone for good: it sends nothing there that could be answered. */
+// How long the end of a limit is reported. An instance without a share sends nothing to the server,
+// so if it was unreachable when the limit ended, it learns of that only from reports.
 constexpr Duration kEndReportRetention = std::chrono::minutes(10);
 
-/** Rows of a report for limits that ended some time ago. */
 constexpr std::size_t kMaxEndedLimitReports = 1;
 
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
@@ -80,7 +79,7 @@
                             TimePoint sent_at) {
   if (!requests_per_second) {
     const auto found = m_observed_limits.find(server);
-    // An answer to a request from before the limit was heard may have left before it was named.
+    // An answer to a request sent before the limit was observed may predate the limit.
     const bool ends_it = found != m_observed_limits.end() && found->second.requests_per_second &&
                          sent_at > found->second.observed_at;
     return ends_it && UpdateLimit(server, std::nullopt, m_clock.Now());
@@ -142,7 +141,8 @@
   return entry == m_view->servers.end() ? FailureDomainName() : entry->second.failure_domain;
 }
 
-/** The server was given this much already. The other instances are taken to have sent as often. */
+/** Deducts requests sent just before the limit was received. Assumes that other instances sent at
+    the same rate. */
 void ServerLimits::ChargeRecentSends(const BackendServerName& server, ObservedLimit& observed) {
   const double sent =
       static_cast<double>(CountRecentSends(server)) * observed.share.instances_per_holder;
@@ -245,7 +245,7 @@
   return reports;
 }
 
-/** Until there are `most`, going on after `last`. */
+/** Adds reports in name order, starting after `last`, until there are `most`. */
 void ServerLimits::AddRoundRobin(std::vector<BackendServerName> servers,
                                  std::size_t most,
                                  BackendServerName& last,
