--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -17,65 +17,61 @@
 
 struct ForwardingView;
 
-/** Which servers have said that they take only so many requests a second, and this instance's part
-    of each such limit.
+/** Enforces this instance's shares of the request rate limits that servers set.
 
-    A server names one limit for all instances together. Were it kept by each instance alone, or by
-    none, a server in need would get many times what it can take. So each instance works out its own
-    part from the fleet that it knows, see LimitDivision, and spends it evenly.
+    A server sets one limit for all instances together. Each instance computes its share from the
+    fleet as it knows it, see LimitDivision, and enforces it with a token bucket. Requests sent
+    shortly before a limit was received are charged to it.
 
-    The newest word of a server counts, heard here or by a peer, until it says otherwise: a limit
-    does not lapse, for with nobody sending there is nobody who would hear that it still holds.
-    What the server got shortly before it named its limit counts against the limit.
+    The most recent limit applies, whether received from the server or from a peer. Limits do not
+    expire: an instance that sends nothing to a server would not learn that its limit still holds.
 
-    Belongs to one traffic thread. Tell it of every request that is sent, also to servers without a
-    limit.
+    Not thread-safe; belongs to one traffic thread. OnSent must be called for every request, also
+    to servers without a limit.
 */
 class ServerLimits {
  public:
-  /** Most rows of one report to a peer; more take turns. */
+  /** Maximum rows in one report to a peer. Further servers are reported in turn. */
   static constexpr std::size_t kMaxReports = 16;
 
-  /** `division` must outlive it. */
+  /** `clock` and `division` must outlive this object. */
   ServerLimits(const Clock& clock, const LimitDivision& division, InstanceName self);
 
-  /** Forgets servers that are not in the view, and divides anew if the instances have changed. */
+  /** Forgets servers that are not in the view, and recomputes shares if the instances changed. */
   void SetView(std::shared_ptr<const ForwardingView> view);
 
-  /** A server's answer to a request that was sent at `sent_at` names a limit, in requests a second
-      from all instances together, or none. Returns whether peers should hear of it at once. */
+  /** Handles the limit in a server's answer to a request sent at `sent_at`; nullopt if the answer
+      sets none. Returns whether the change should be reported to peers at once. */
   bool OnAnswer(const BackendServerName& server,
                 std::optional<double> requests_per_second,
                 TimePoint sent_at);
 
-  /** A peer's word. Returns the same. */
+  /** Handles a peer's report. Returns whether the change should be reported to peers at once. */
   bool OnReport(const ServerLimitReport& report);
 
-  /** What to tell peers: what changed lately, and the others in turn. */
+  /** Returns rows for the next report to peers: recent changes first, then other servers in turn.
+   */
   std::vector<ServerLimitReport> TakeReports();
 
-  /** A request leaves for the server. */
   void OnSent(const BackendServerName& server);
 
-  /** Whether one more request may go there now. */
   bool MaySend(const BackendServerName& server) const;
 
-  /** Until one more may; nothing if that is not for this instance. */
+  /** Time until a request may be sent; nullopt if this instance has no share of the limit. */
   std::optional<Duration> TimeUntilPermit(const BackendServerName& server) const;
 
-  /** What is believed of a server. */
+  /** The last known limit of a server. */
   struct Limit {
     std::optional<double> requests_per_second;
 
-    /** What this instance may send there, in requests a second. */
+    /** This instance's share, in requests per second. */
     double own_share = 0.0;
 
-    /** Of the server's word. */
     Duration age{};
   };
   Limit LimitOf(const BackendServerName& server) const;
 
-  /** How many servers have a limit now. */
+  /** Number of servers that currently have a limit. */
   std::size_t CountInForce() const;
 
  private:
@@ -84,9 +80,9 @@
     TimePoint observed_at{};
     TimePoint changed_at{};
 
-    /** The own part. What may be sent now is `permits`, as of `permits_updated_at`; below 0 after
-       more was sent than the share. */
     LimitShare share;
+
+    /** Token bucket level at `permits_updated_at`; negative if more was sent than the share. */
     double permits = 0.0;
     TimePoint permits_updated_at{};
   };
@@ -114,7 +110,7 @@
   std::shared_ptr<const ForwardingView> m_view;
   std::shared_ptr<const std::vector<Instance>> m_instances;
 
-  /** After whom the others go on taking turns in news: those with a limit, and those without. */
+  /** Round-robin positions in reports: servers with a limit, and servers whose limit ended. */
   BackendServerName m_last_reported;
   BackendServerName m_last_end_reported;
 };
