--- a/packages/zinnia_decisions/forwarding/limits/limit_division.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_division.h
@@ -25,7 +25,7 @@
  public:
   virtual ~LimitDivision() = default;
 
-  /** Returns the share of `self`, or an empty share if `self` is not in `instances`. */
+  /** `self` must be one of `instances`. `server_domain` is the server's failure domain. */
   virtual LimitShare ShareOf(const InstanceName& self,
                              const std::vector<Instance>& instances,
                              const BackendServerName& server,
