--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.h
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.h
@@ -25,7 +25,7 @@
   std::optional<Duration> next_permit_in;
 };
 
-/** Considers the servers of `service` that are not draining and not in `avoided`. */
+/** Considers the possible first servers of `service` that are not draining and not in `avoided`. */
 LimitAvailability FindLimitAvailability(const ForwardingView& view,
                                         const ServiceName& service,
                                         const std::set<BackendServerName>& avoided,
@@ -33,7 +33,7 @@
 
 /** Whether a request for which no server was found should wait. `queues` tells whether its route
     waits for capacity. If all servers are at their limits, every request waits, unless the next
-    permit would come too late. */
+    permit would come too late or never. */
 bool MayWait(const LimitAvailability& availability, bool queues, Duration latency_objective);
 
 }  // namespace zinnia
