--- a/packages/zinnia_decisions/forwarding/admission/room_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/room_queue.cc
@@ -42,7 +42,7 @@
 }
 
 bool RoomQueue::IsOverdue(std::uint64_t ticket) const {
-  return m_clock.Now() - m_waiting.at(ticket).arrived_at >= kLongestWait;
+  return m_clock.Now() - m_waiting.at(ticket).arrived_at >= kMaxWait;
 }
 
 Duration RoomQueue::OnRefused() {
--- a/packages/zinnia_decisions/forwarding/admission/room_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/room_queue.h
@@ -32,7 +32,7 @@
 class RoomQueue {
  public:
   /** Longer, and a first event is late when it begins. */
-  static constexpr Duration kLongestWait = std::chrono::milliseconds(300);
+  static constexpr Duration kMaxWait = std::chrono::milliseconds(300);
 
   /** As many as some instances of a small fleet begin together in a second. */
   static constexpr std::size_t kMostWaiting = 96;
--- a/tests/forwarding/room_queue_test.cc
+++ b/tests/forwarding/room_queue_test.cc
@@ -40,7 +40,7 @@
 TEST(Room, NobodyWaitsForLongAndTheQueueIsBounded) {
   const auto ticket = Enter(milliseconds(250));
   CHECK_FALSE(queue.IsOverdue(ticket));
-  time.AdvanceBy(RoomQueue::kLongestWait);
+  time.AdvanceBy(RoomQueue::kMaxWait);
   CHECK_TRUE(queue.IsOverdue(ticket));
   for (std::size_t waiting = 1; waiting < RoomQueue::kMostWaiting; ++waiting) {
     CHECK_TRUE(Enter(milliseconds(250)) != RoomQueue::kNoTicket);
