--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -51,7 +51,7 @@
 
   void Tick();
 
-  /** The ticket with which it waits for room; RoomQueue::kNoTicket if it does not. */
+  /** The ticket with which it waits for room; CapacityQueue::kNoTicket if it does not. */
   std::uint64_t RoomTicket() const { return m_room_ticket; }
 
   /** Begins if there is room now. Only for requests that wait for it. */
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -139,7 +139,7 @@
 void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
-    if (exchange->RoomTicket() != RoomQueue::kNoTicket) {
+    if (exchange->RoomTicket() != CapacityQueue::kNoTicket) {
       waiting[exchange->RoomTicket()] = exchange.get();
     }
   }
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -21,7 +21,7 @@
 class PipeMeter;
 class PlainServerChooser;
 class RecoveryChooser;
-class RoomQueue;
+class CapacityQueue;
 class ServerConnectionPool;
 class ServerHealth;
 class ServerLimits;
@@ -41,7 +41,7 @@
   ServerLimits& limits;
   const PathFinder& paths;
   RecoveryChooser& recovery;
-  RoomQueue& room;
+  CapacityQueue& room;
   const DepartureSchedule& departures;
   PipeMeter& pipe;
   const PlainServerChooser& plain_servers;
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -92,7 +92,7 @@
   ServerConnectionPool m_connections;
   PathFinder m_paths;
   RecoveryChooser m_recovery;
-  RoomQueue m_room;
+  CapacityQueue m_room;
   DepartureSchedule m_departures;
   PlainServerChooser m_plain_servers;
   SharedRetryBudget m_retries;
--- a/packages/zinnia_decisions/forwarding/admission/room_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/room_queue.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::uint64_t RoomQueue::Enter(const WaitingRequest& request) {
+std::uint64_t CapacityQueue::Enter(const WaitingRequest& request) {
   if (m_waiting.size() >= kMostWaiting) {
     return kNoTicket;
   }
@@ -24,7 +24,7 @@
   return m_last_ticket;
 }
 
-std::vector<std::uint64_t> RoomQueue::InOrder() const {
+std::vector<std::uint64_t> CapacityQueue::InOrder() const {
   const TimePoint now = m_clock.Now();
   const auto rank = [&](std::uint64_t ticket) {
     const WaitingRequest& request = m_waiting.at(ticket);
@@ -41,11 +41,11 @@
   return tickets;
 }
 
-bool RoomQueue::IsOverdue(std::uint64_t ticket) const {
+bool CapacityQueue::IsOverdue(std::uint64_t ticket) const {
   return m_clock.Now() - m_waiting.at(ticket).arrived_at >= kMaxWait;
 }
 
-Duration RoomQueue::OnRefused() {
+Duration CapacityQueue::OnRefused() {
   const TimePoint now = m_clock.Now();
   if (!m_short_since || now - m_last_refused_at > kShortnessEndsAfter) {
     m_short_since = now;
--- a/packages/zinnia_decisions/forwarding/admission/room_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/room_queue.h
@@ -29,7 +29,7 @@
 
     Belongs to one traffic thread. A pure decision: callers try whether there is room.
 */
-class RoomQueue {
+class CapacityQueue {
  public:
   /** Longer, and a first event is late when it begins. */
   static constexpr Duration kMaxWait = std::chrono::milliseconds(300);
@@ -37,7 +37,7 @@
   /** As many as some instances of a small fleet begin together in a second. */
   static constexpr std::size_t kMostWaiting = 96;
 
-  explicit RoomQueue(const Clock& clock) : m_clock(clock) {}
+  explicit CapacityQueue(const Clock& clock) : m_clock(clock) {}
 
   /** Nothing if the queue is full. Give the ticket back with Leave. */
   std::uint64_t Enter(const WaitingRequest& request);
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -50,7 +50,7 @@
   if (!availability.all_at_limit) {
     return queues;
   }
-  const Duration longest = std::min(latency_objective / 2, RoomQueue::kMaxWait);
+  const Duration longest = std::min(latency_objective / 2, CapacityQueue::kMaxWait);
   return availability.next_permit_in && *availability.next_permit_in <= longest;
 }
 
--- a/tests/forwarding/room_queue_test.cc
+++ b/tests/forwarding/room_queue_test.cc
@@ -11,7 +11,7 @@
 
 TEST_GROUP(Room) {
   VirtualTime time;
-  RoomQueue queue{time};
+  CapacityQueue queue{time};
 
   std::uint64_t Enter(milliseconds on_time_for, std::uint32_t priority = 1) {
     return queue.Enter({priority, time.Now(), time.Now() + on_time_for});
@@ -40,14 +40,14 @@
 TEST(Room, NobodyWaitsForLongAndTheQueueIsBounded) {
   const auto ticket = Enter(milliseconds(250));
   CHECK_FALSE(queue.IsOverdue(ticket));
-  time.AdvanceBy(RoomQueue::kMaxWait);
+  time.AdvanceBy(CapacityQueue::kMaxWait);
   CHECK_TRUE(queue.IsOverdue(ticket));
-  for (std::size_t waiting = 1; waiting < RoomQueue::kMostWaiting; ++waiting) {
-    CHECK_TRUE(Enter(milliseconds(250)) != RoomQueue::kNoTicket);
+  for (std::size_t waiting = 1; waiting < CapacityQueue::kMostWaiting; ++waiting) {
+    CHECK_TRUE(Enter(milliseconds(250)) != CapacityQueue::kNoTicket);
   }
-  CHECK_TRUE(Enter(milliseconds(250)) == RoomQueue::kNoTicket);
+  CHECK_TRUE(Enter(milliseconds(250)) == CapacityQueue::kNoTicket);
   queue.Leave(ticket);
-  CHECK_TRUE(Enter(milliseconds(250)) != RoomQueue::kNoTicket);
+  CHECK_TRUE(Enter(milliseconds(250)) != CapacityQueue::kNoTicket);
 }
 
 // Symptom: callers come back into the same want of room and have no try left. Sequence: engines are
@@ -76,7 +76,8 @@
     const bool is_pause = passed % 1'000 < 200;  // Clumps: nobody comes, room stays free.
     if (!is_pause) {
       const auto ticket = Enter(milliseconds(250));
-      ticket == RoomQueue::kNoTicket ? ++refused : static_cast<int>(waiting.insert(ticket).second);
+      ticket == CapacityQueue::kNoTicket ? ++refused
+                                         : static_cast<int>(waiting.insert(ticket).second);
     }
     if (passed % 50 != 0) {  // Four of five steps free a place.
       const auto order = queue.InOrder();
