--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -13,7 +13,7 @@
 #include "zinnia_adapters/forwarding/server_connection_pool.h"
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -11,7 +11,7 @@
 #include "zinnia_adapters/forwarding/server_connection.h"
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/ports/metrics.h"
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -9,7 +9,7 @@
 #include "zinnia_adapters/forwarding/forward_outcomes.h"
 #include "zinnia_adapters/forwarding/log_text.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -6,7 +6,7 @@
 #include "zinnia_adapters/forwarding/stall_inquiry.h"
 #include "zinnia_adapters/http/listening_socket.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/ports/metrics.h"
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -10,7 +10,7 @@
 #include "zinnia_adapters/forwarding/server_connection_pool.h"
 #include "zinnia_adapters/forwarding/stall_inquiry.h"
 #include "zinnia_base/errors/result.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
 #include "zinnia_decisions/forwarding/beliefs/news_report.h"
--- a/packages/zinnia_decisions/forwarding/admission/admission.h
+++ b/packages/zinnia_decisions/forwarding/admission/admission.h
@@ -2,4 +2,4 @@
 
 /** Who waits for room, in which order, and what those who are refused are told. */
 
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
--- a/packages/zinnia_decisions/forwarding/admission/room_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 
 #include <algorithm>
 #include <tuple>
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 
