--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 std::uint64_t CapacityQueue::Enter(const WaitingRequest& request) {
-  if (m_waiting.size() >= kMostWaiting) {
+  if (m_waiting.size() >= kMaxWaiting) {
     return kNoTicket;
   }
   m_waiting[++m_last_ticket] = request;
--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
@@ -35,7 +35,7 @@
   static constexpr Duration kMaxWait = std::chrono::milliseconds(300);
 
   /** As many as some instances of a small fleet begin together in a second. */
-  static constexpr std::size_t kMostWaiting = 96;
+  static constexpr std::size_t kMaxWaiting = 96;
 
   explicit CapacityQueue(const Clock& clock) : m_clock(clock) {}
 
--- a/tests/forwarding/capacity_queue_test.cc
+++ b/tests/forwarding/capacity_queue_test.cc
@@ -42,7 +42,7 @@
   CHECK_FALSE(queue.IsOverdue(ticket));
   time.AdvanceBy(CapacityQueue::kMaxWait);
   CHECK_TRUE(queue.IsOverdue(ticket));
-  for (std::size_t waiting = 1; waiting < CapacityQueue::kMostWaiting; ++waiting) {
+  for (std::size_t waiting = 1; waiting < CapacityQueue::kMaxWaiting; ++waiting) {
     CHECK_TRUE(Enter(milliseconds(250)) != CapacityQueue::kNoTicket);
   }
   CHECK_TRUE(Enter(milliseconds(250)) == CapacityQueue::kNoTicket);
