--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -28,9 +28,9 @@
   const TimePoint now = m_clock.Now();
   const auto rank = [&](std::uint64_t ticket) {
     const WaitingRequest& request = m_waiting.at(ticket);
-    const bool is_late = request.on_time_until < now;
+    const bool is_late = request.start_deadline < now;
     return std::make_tuple(request.priority, is_late,
-                           is_late ? request.arrived_at : request.on_time_until, ticket);
+                           is_late ? request.arrived_at : request.start_deadline, ticket);
   };
   std::vector<std::uint64_t> tickets;
   for (const auto& [ticket, request] : m_waiting) {
--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
@@ -16,7 +16,7 @@
   TimePoint arrived_at{};
 
   /** Beginning by then, it is still on time. */
-  TimePoint on_time_until{};
+  TimePoint start_deadline{};
 };
 
 /** Who waits for room at this instance, in which order they get it, and how long.
