--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -24,7 +24,7 @@
   return m_last_ticket;
 }
 
-std::vector<std::uint64_t> CapacityQueue::InOrder() const {
+std::vector<std::uint64_t> CapacityQueue::OrderedTickets() const {
   const TimePoint now = m_clock.Now();
   const auto rank = [&](std::uint64_t ticket) {
     const WaitingRequest& request = m_waiting.at(ticket);
--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
@@ -48,7 +48,7 @@
   void Leave(std::uint64_t ticket) { m_waiting.erase(ticket); }
 
   /** The order in which to try now. */
-  std::vector<std::uint64_t> InOrder() const;
+  std::vector<std::uint64_t> OrderedTickets() const;
 
   bool IsOverdue(std::uint64_t ticket) const;
 
--- a/tests/forwarding/capacity_queue_test.cc
+++ b/tests/forwarding/capacity_queue_test.cc
@@ -24,7 +24,8 @@
   const auto relaxed = Enter(milliseconds(250));
   const auto pressed = Enter(milliseconds(100));
   const auto urgent = Enter(milliseconds(400), 0);
-  CHECK_TRUE(queue.InOrder() == (std::vector<std::uint64_t>{urgent, pressed, relaxed, late}));
+  CHECK_TRUE(queue.OrderedTickets() ==
+             (std::vector<std::uint64_t>{urgent, pressed, relaxed, late}));
 }
 
 // Symptom: callers that were late once are never served while there is load. Sequence: each new one
@@ -34,7 +35,7 @@
   time.AdvanceBy(milliseconds(10));
   const auto second = Enter(milliseconds(20));
   time.AdvanceBy(milliseconds(100));
-  CHECK_TRUE(queue.InOrder() == (std::vector<std::uint64_t>{first, second}));
+  CHECK_TRUE(queue.OrderedTickets() == (std::vector<std::uint64_t>{first, second}));
 }
 
 TEST(Room, NobodyWaitsForLongAndTheQueueIsBounded) {
@@ -80,7 +81,7 @@
                                          : static_cast<int>(waiting.insert(ticket).second);
     }
     if (passed % 50 != 0) {  // Four of five steps free a place.
-      const auto order = queue.InOrder();
+      const auto order = queue.OrderedTickets();
       if (!order.empty()) {
         queue.Leave(order.front());
         waiting.erase(order.front());
