--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -12,7 +12,7 @@
 /** Bounds of what callers are told: sooner finds the same want of room, and later is no use to who
     waits at a counter. The mending of a loss, by loads of weights, takes up to three seconds. */
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(500);
-constexpr Duration kLatest = std::chrono::milliseconds(3'000);
+constexpr Duration kMaxRetryAfter = std::chrono::milliseconds(3'000);
 
 }  // namespace
 
@@ -51,7 +51,7 @@
     m_short_since = now;
   }
   m_last_refused_at = now;
-  return std::clamp(now - *m_short_since, kMinRetryAfter, kLatest);
+  return std::clamp(now - *m_short_since, kMinRetryAfter, kMaxRetryAfter);
 }
 
 }  // namespace zinnia
