--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /** Without a refusal for this long there is room again. */
-constexpr Duration kShortnessEndsAfter = std::chrono::milliseconds(1'000);
+constexpr Duration kShortageEndsAfter = std::chrono::milliseconds(1'000);
 
 /** Bounds of what callers are told: sooner finds the same want of room, and later is no use to who
     waits at a counter. The mending of a loss, by loads of weights, takes up to three seconds. */
@@ -47,7 +47,7 @@
 
 Duration CapacityQueue::OnRefused() {
   const TimePoint now = m_clock.Now();
-  if (!m_short_since || now - m_last_refused_at > kShortnessEndsAfter) {
+  if (!m_short_since || now - m_last_refused_at > kShortageEndsAfter) {
     m_short_since = now;
   }
   m_last_refused_at = now;
