--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -47,11 +47,11 @@
 
 Duration CapacityQueue::OnRefused() {
   const TimePoint now = m_clock.Now();
-  if (!m_short_since || now - m_last_refused_at > kShortageEndsAfter) {
-    m_short_since = now;
+  if (!m_shortage_since || now - m_last_refused_at > kShortageEndsAfter) {
+    m_shortage_since = now;
   }
   m_last_refused_at = now;
-  return std::clamp(now - *m_short_since, kMinRetryAfter, kMaxRetryAfter);
+  return std::clamp(now - *m_shortage_since, kMinRetryAfter, kMaxRetryAfter);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
@@ -61,7 +61,7 @@
   const Clock& m_clock;
   std::map<std::uint64_t, WaitingRequest> m_waiting;
   std::uint64_t m_last_ticket = kNoTicket;
-  std::optional<TimePoint> m_short_since;
+  std::optional<TimePoint> m_shortage_since;
   TimePoint m_last_refused_at{};
 };
 
