--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kTicksBetweenRenewals = 2;
 
 /** Twice the time in which a reader takes a free lease: a look of the role and three calls. */
-constexpr Duration kReadersSeekFirst = std::chrono::seconds(2);
+constexpr Duration kStoreWatcherPriorityTime = std::chrono::seconds(2);
 
 /** Longer than the outages of the store that were seen, 8 s, by a factor of two. */
 constexpr std::chrono::milliseconds kOutageGrace{16'000};
@@ -247,7 +247,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   const TimePoint since = m_orders_free_since.emplace(service, now).first->second;
-  return m_news.IsNamedReader() || now - since >= kReadersSeekFirst;
+  return m_news.IsNamedReader() || now - since >= kStoreWatcherPriorityTime;
 }
 
 void ForwardingControl::Tick() {
