--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -240,7 +240,7 @@
 /** Two hundred instances that look at a free lease together make six hundred calls, and all but one
     are in vain. The readers look first: they see the store's changes soonest, and have most to
     spend. The others help only if none of them does. */
-bool ForwardingControl::MaySeekOrders(const ServiceName& service) {
+bool ForwardingControl::MayAcquireOrderRole(const ServiceName& service) {
   if (m_mirror.Has(OrderRole::LeaseKeyOf(service))) {
     m_orders_free_since.erase(service);
     return false;
@@ -257,7 +257,7 @@
   for (auto& [service, placer] : m_placers) {
     placer->NoteStoreServesOthers(m_news.SomePeerIsSteady());
     if (renew) {
-      placer->TickRole(MaySeekOrders(service));
+      placer->TickRole(MayAcquireOrderRole(service));
     }
     placer->Tick(*m_view);
     is_placer = is_placer || placer->HoldsRole();
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -79,7 +79,7 @@
   void Tick();
   StoreReading ReadingFor(bool is_placer) const;
   void SetReading(StoreReading reading);
-  bool MaySeekOrders(const ServiceName& service);
+  bool MayAcquireOrderRole(const ServiceName& service);
   void UpdatePlacers();
 
   const ForwardingControlParts m_parts;
