--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -242,11 +242,11 @@
     spend. The others help only if none of them does. */
 bool ForwardingControl::MayAcquireOrderRole(const ServiceName& service) {
   if (m_mirror.Has(OrderRole::LeaseKeyOf(service))) {
-    m_orders_free_since.erase(service);
+    m_order_lease_free_since.erase(service);
     return false;
   }
   const TimePoint now = m_parts.clock.Now();
-  const TimePoint since = m_orders_free_since.emplace(service, now).first->second;
+  const TimePoint since = m_order_lease_free_since.emplace(service, now).first->second;
   return m_news.IsNamedReader() || now - since >= kStoreWatcherPriorityTime;
 }
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -93,7 +93,7 @@
   std::map<ServiceName, std::unique_ptr<LayerPlacer>> m_placers;
 
   /** Since when nobody holds the right to give a pool orders. */
-  std::map<ServiceName, TimePoint> m_orders_free_since;
+  std::map<ServiceName, TimePoint> m_order_lease_free_since;
   std::shared_ptr<const ForwardingRules> m_rules;
   std::shared_ptr<const RouteTable> m_routes;
   std::shared_ptr<const ForwardingView> m_view;
