--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -21,7 +21,7 @@
 constexpr Duration kStoreWatcherPriorityTime = std::chrono::seconds(2);
 
 /** Longer than the outages of the store that were seen, 8 s, by a factor of two. */
-constexpr std::chrono::milliseconds kOutageGrace{16'000};
+constexpr std::chrono::milliseconds kStoreOutageGrace{16'000};
 
 /** Orders are few and soon over, so the right to give them can pass on within seconds. */
 OrderSettings PlacementSettings(bool engines_check_fencing) {
@@ -32,7 +32,7 @@
   settings.transport_timeout = std::chrono::milliseconds(1'000);
   settings.valid_for = std::chrono::milliseconds(0);  // These orders carry no end of validity.
   settings.engines_check_fencing = engines_check_fencing;
-  settings.outage_grace = kOutageGrace;
+  settings.outage_grace = kStoreOutageGrace;
   return settings;
 }
 
