--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -159,7 +159,7 @@
 
 /** Whether the layers that it says it holds are layers of the service's model. One that claims
     others was registered by somebody who serves another model: no request can run there. */
-bool ForwardingControl::FitsItsService(const ServerEntry& server) const {
+bool ForwardingControl::LayersFitModel(const ServerEntry& server) const {
   if (!m_rules) {
     return true;
   }
@@ -190,7 +190,7 @@
   view->rules = m_rules;
   view->routes = m_routes;
   for (const auto& [name, server] : m_servers.All()) {
-    if (FitsItsService(server)) {
+    if (LayersFitModel(server)) {
       view->servers.emplace(name, server);
     }
   }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -72,7 +72,7 @@
   void OnMirrorAdvanced() override;
   void OnRules(const MirroredRecord& record);
   void OnServer(const std::string& registration, const MirroredRecord& record);
-  bool FitsItsService(const ServerEntry& server) const;
+  bool LayersFitModel(const ServerEntry& server) const;
   void OnInstance(const MirroredRecord& record);
   bool StoreIsSteady() const;
   void PublishView();
