--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -93,14 +93,14 @@
   }
 }
 
-bool ForwardingControl::StoreIsSteady() const {
+bool ForwardingControl::IsStoreSteady() const {
   return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_news.SomePeerIsSteady();
 }
 
 void ForwardingControl::NoteServerNews(const ServerNews& news) {
   // While the store answers its word on layers is newer than one that was some time on its way.
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
-  const bool is_believed = news.leaving || !StoreIsSteady();
+  const bool is_believed = news.leaving || !IsStoreSteady();
   if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
     m_news.TellServerNews(news);
     PublishView();
@@ -142,7 +142,7 @@
 void ForwardingControl::OnServer(const std::string& registration, const MirroredRecord& record) {
   if (!record.value) {
     // A store that serves some instance steadily had no outage: entries go only when servers do.
-    m_servers.Remove(registration, !StoreIsSteady(), [this] { PublishView(); });
+    m_servers.Remove(registration, !IsStoreSteady(), [this] { PublishView(); });
     return;
   }
   auto server = m_parts.reader.ReadServer(registration, *record.value);
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -74,7 +74,7 @@
   void OnServer(const std::string& registration, const MirroredRecord& record);
   bool LayersFitModel(const ServerEntry& server) const;
   void OnInstance(const MirroredRecord& record);
-  bool StoreIsSteady() const;
+  bool IsStoreSteady() const;
   void PublishView();
   void Tick();
   StoreReading ReadingFor(bool is_placer) const;
