--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -57,14 +57,14 @@
                MirrorSettings(m_parts.self.name)),
       m_servers(m_parts.scheduler, m_parts.logger),
       m_registration(m_parts.store, m_parts.scheduler, m_parts.logger, m_parts.self),
-      m_news(m_parts.news,
-             m_parts.scheduler,
-             m_parts.clock,
-             m_instances,
-             m_mirror,
-             m_parts.sink,
-             m_parts.seeds,
-             {}),
+      m_reports(m_parts.news,
+                m_parts.scheduler,
+                m_parts.clock,
+                m_instances,
+                m_mirror,
+                m_parts.sink,
+                m_parts.seeds,
+                {}),
       m_view(std::make_shared<const ForwardingView>()) {
   m_mirror.SetListener(this);
 }
@@ -74,13 +74,13 @@
 void ForwardingControl::Start() {
   m_mirror.Start();
   m_registration.Start();
-  m_news.Start();
+  m_reports.Start();
   Tick();
 }
 
 void ForwardingControl::Stop() {
   m_timer.reset();
-  m_news.TellLeaving();
+  m_reports.TellLeaving();
   for (auto& [service, placer] : m_placers) {
     placer->Stop();
   }
@@ -94,7 +94,7 @@
 }
 
 bool ForwardingControl::IsStoreSteady() const {
-  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_news.SomePeerIsSteady();
+  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_reports.SomePeerIsSteady();
 }
 
 void ForwardingControl::NoteServerNews(const ServerNews& news) {
@@ -102,7 +102,7 @@
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
   const bool is_believed = news.leaving || !IsStoreSteady();
   if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
-    m_news.TellServerNews(news);
+    m_reports.TellServerNews(news);
     PublishView();
   }
 }
@@ -182,7 +182,7 @@
 
 void ForwardingControl::OnMirrorAdvanced() {
   PublishView();
-  m_news.TellAdvance();
+  m_reports.TellAdvance();
 }
 
 void ForwardingControl::PublishView() {
@@ -220,10 +220,10 @@
 }
 
 StoreReading ForwardingControl::ReadingFor(bool is_placer) const {
-  if (is_placer || m_news.IsNamedReader()) {
+  if (is_placer || m_reports.IsNamedReader()) {
     return StoreReading::kReader;
   }
-  return m_news.ShouldRead() ? StoreReading::kSubstitute : StoreReading::kNone;
+  return m_reports.ShouldRead() ? StoreReading::kSubstitute : StoreReading::kNone;
 }
 
 void ForwardingControl::SetReading(StoreReading reading) {
@@ -232,7 +232,7 @@
     m_parts.logger.Log(LogLevel::kInfo, "store_reading",
                        {{"as", std::string(NameOf(reading))},
                         {"live_instances", std::to_string(m_instances.Live().size())},
-                        {"reader_heard_ms", m_news.DescribeReaderAge()}});
+                        {"reader_heard_ms", m_reports.DescribeReaderAge()}});
   }
   m_mirror.SetReading(reading, m_instances.Live().size());
 }
@@ -247,7 +247,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   const TimePoint since = m_order_lease_free_since.emplace(service, now).first->second;
-  return m_news.IsNamedReader() || now - since >= kStoreWatcherPriorityTime;
+  return m_reports.IsNamedReader() || now - since >= kStoreWatcherPriorityTime;
 }
 
 void ForwardingControl::Tick() {
@@ -255,7 +255,7 @@
   bool is_placer = false;
   const bool renew = m_ticks++ % kTicksBetweenRenewals == 0;
   for (auto& [service, placer] : m_placers) {
-    placer->NoteStoreServesOthers(m_news.SomePeerIsSteady());
+    placer->NoteStoreServesOthers(m_reports.SomePeerIsSteady());
     if (renew) {
       placer->TickRole(MayAcquireOrderRole(service));
     }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -58,7 +58,7 @@
   /** Gives up the roles and this instance's record. */
   void Stop();
 
-  NewsExchange& News() { return m_news; }
+  NewsExchange& News() { return m_reports; }
 
   /** Traffic, here or at a peer, found that a server does not go on. */
   void NoteStalled(const BackendServerName& server);
@@ -89,7 +89,7 @@
   StoreMirror m_mirror;
   ServerDirectory m_servers;
   InstanceRegistration m_registration;
-  NewsExchange m_news;
+  NewsExchange m_reports;
   std::map<ServiceName, std::unique_ptr<LayerPlacer>> m_placers;
 
   /** Since when nobody holds the right to give a pool orders. */
