--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -144,7 +144,7 @@
           m_traffic_thread->Post([this, view = std::move(view)] { m_traffic->SetView(view); });
         });
     auto server =
-        NewsServer::Listen(m_control_thread->Io(), m_settings.peer_address, m_control->News());
+        NewsServer::Listen(m_control_thread->Io(), m_settings.peer_address, m_control->Reports());
     if (!server) {
       listening.set_value(server.error());
       return;
@@ -165,7 +165,7 @@
           m_settings.departure_notice, Hash64(m_settings.instance, StartOf(m_clock)),
           [this](const BackendServerName& server) {
             m_control_thread->Post([this, server] {
-              m_control->News().TellStall(server);
+              m_control->Reports().TellStall(server);
               m_control->NoteStalled(server);
             });
           },
@@ -174,7 +174,7 @@
           },
           [this](std::vector<ServerLimitReport> limits, bool heard_here) {
             m_control_thread->Post([this, limits = std::move(limits), heard_here]() mutable {
-              m_control->News().TellServerLimits(std::move(limits), heard_here);
+              m_control->Reports().TellServerLimits(std::move(limits), heard_here);
             });
           },
           m_settings.instance});
@@ -203,9 +203,9 @@
   m_control_thread->Post([this, own = m_traffic->OwnUses(), slow = m_traffic->SlowServers(),
                           limits = m_traffic->TakeServerLimits()]() mutable {
     if (m_control) {
-      m_control->News().SetServerLimits(std::move(limits));
-      m_control->News().SetUses(std::move(own));
-      m_control->News().SetSlowServers(std::move(slow));
+      m_control->Reports().SetServerLimits(std::move(limits));
+      m_control->Reports().SetUses(std::move(own));
+      m_control->Reports().SetSlowServers(std::move(slow));
     }
   });
   ScheduleUpkeep();
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -58,7 +58,7 @@
   /** Gives up the roles and this instance's record. */
   void Stop();
 
-  NewsExchange& News() { return m_reports; }
+  NewsExchange& Reports() { return m_reports; }
 
   /** Traffic, here or at a peer, found that a server does not go on. */
   void NoteStalled(const BackendServerName& server);
