--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -57,7 +57,7 @@
                MirrorSettings(m_parts.self.name)),
       m_servers(m_parts.scheduler, m_parts.logger),
       m_registration(m_parts.store, m_parts.scheduler, m_parts.logger, m_parts.self),
-      m_reports(m_parts.news,
+      m_reports(m_parts.report_transport,
                 m_parts.scheduler,
                 m_parts.clock,
                 m_instances,
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -32,7 +32,7 @@
   Scheduler& scheduler;
   PlatformStore& store;
   const RecordReader& reader;
-  NewsTransport& news;
+  NewsTransport& report_transport;
   LayerOrders& layer_orders;
   DecisionRecorder& recorder;
   Logger& logger;
