--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -170,7 +170,7 @@
             });
           },
           [this](const ServerNews& news) {
-            m_control_thread->Post([this, news] { m_control->NoteServerNews(news); });
+            m_control_thread->Post([this, news] { m_control->OnServerStateReport(news); });
           },
           [this](std::vector<ServerLimitReport> limits, bool heard_here) {
             m_control_thread->Post([this, limits = std::move(limits), heard_here]() mutable {
@@ -225,7 +225,7 @@
 }
 
 void ForwardingDaemon::OnPeerServerNews(const ServerNews& news) {
-  m_control->NoteServerNews(news);
+  m_control->OnServerStateReport(news);
 }
 
 void ForwardingDaemon::OnPeerPaces(const std::vector<PaceNews>& slow_servers) {
