--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -166,7 +166,7 @@
           [this](const BackendServerName& server) {
             m_control_thread->Post([this, server] {
               m_control->Reports().TellStall(server);
-              m_control->NoteStalled(server);
+              m_control->OnServerStalled(server);
             });
           },
           [this](const ServerNews& news) {
@@ -219,7 +219,7 @@
 
 void ForwardingDaemon::OnPeerStalls(const std::vector<StallNews>& stalls) {
   for (const StallNews& stall : stalls) {
-    m_control->NoteStalled(stall.server);
+    m_control->OnServerStalled(stall.server);
   }
   m_traffic_thread->Post([this, stalls] { m_traffic->OnPeerStalls(stalls); });
 }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -87,7 +87,7 @@
   m_registration.Stop();
 }
 
-void ForwardingControl::NoteStalled(const BackendServerName& server) {
+void ForwardingControl::OnServerStalled(const BackendServerName& server) {
   for (auto& [service, placer] : m_placers) {
     placer->NoteStalled(server);
   }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -61,7 +61,7 @@
   NewsExchange& Reports() { return m_reports; }
 
   /** Traffic, here or at a peer, found that a server does not go on. */
-  void NoteStalled(const BackendServerName& server);
+  void OnServerStalled(const BackendServerName& server);
 
   /** A server said, here or to a peer, which layers it holds. Its entry may be old: the store may
      be away. */
