--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -97,12 +97,12 @@
   return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_reports.SomePeerIsSteady();
 }
 
-void ForwardingControl::OnServerStateReport(const ServerNews& news) {
+void ForwardingControl::OnServerStateReport(const ServerNews& report) {
   // While the store answers its word on layers is newer than one that was some time on its way.
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
-  const bool is_believed = news.leaving || !IsStoreSteady();
-  if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
-    m_reports.TellServerNews(news);
+  const bool is_believed = report.leaving || !IsStoreSteady();
+  if (is_believed && m_servers.NoteServerNews(report, [this] { PublishView(); })) {
+    m_reports.TellServerNews(report);
     PublishView();
   }
 }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -65,7 +65,7 @@
 
   /** A server said, here or to a peer, which layers it holds. Its entry may be old: the store may
      be away. */
-  void OnServerStateReport(const ServerNews& news);
+  void OnServerStateReport(const ServerNews& report);
 
  private:
   void OnMirroredRecord(const MirroredRecord& record) override;
