--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -133,7 +133,7 @@
   m_is_streaming = false;
   m_path_proved = false;
   m_body.clear();
-  m_events.DropPart();
+  m_events.DropPartialEvent();
   m_last_progress = m_parts.clock.Now();
   m_sent_at = m_last_progress;
   ++m_history.servers_reached;
--- a/packages/zinnia_decisions/forwarding/event_splitter.h
+++ b/packages/zinnia_decisions/forwarding/event_splitter.h
@@ -18,7 +18,7 @@
   std::string Take(std::string_view bytes);
 
   /** Forgets a part of an event, when another server goes on. */
-  void DropPart() { m_part.clear(); }
+  void DropPartialEvent() { m_part.clear(); }
 
   bool HasPart() const { return !m_part.empty(); }
 
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -67,7 +67,7 @@
 // 3, another goes on with event 3. Cause: the first half was kept and joined to the second.
 TEST(EventSplitting, ADroppedPartIsNotJoinedToTheNextServersEvent) {
   splitter.Take("id: 2\ndata: b\n\nid: 3\ndata: br");
-  splitter.DropPart();
+  splitter.DropPartialEvent();
   STRCMP_EQUAL("id: 3\ndata: whole\n\n", splitter.Take("id: 3\ndata: whole\n\n").c_str());
 }
 
