--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -229,7 +229,7 @@
     OnWholeAnswer();
     return;
   }
-  if (m_events.HasPart()) {
+  if (m_events.HasPartialEvent()) {
     OnSendEnded(SendOutcome::kUnknown, "the stream ended within an event");
     return;
   }
--- a/packages/zinnia_decisions/forwarding/event_splitter.h
+++ b/packages/zinnia_decisions/forwarding/event_splitter.h
@@ -20,7 +20,7 @@
   /** Forgets a part of an event, when another server goes on. */
   void DropPartialEvent() { m_part.clear(); }
 
-  bool HasPart() const { return !m_part.empty(); }
+  bool HasPartialEvent() const { return !m_part.empty(); }
 
   /** The id of the last whole event that had one. */
   std::optional<std::uint64_t> LastEventId() const { return m_last_event_id; }
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -56,11 +56,11 @@
 TEST(EventSplitting, GivesOnlyWholeEvents) {
   STRCMP_EQUAL("", splitter.Take("id: 1\nda").c_str());
   STRCMP_EQUAL("id: 1\ndata: a\n\n", splitter.Take("ta: a\n\nid: 2\n").c_str());
-  CHECK_TRUE(splitter.HasPart());
+  CHECK_TRUE(splitter.HasPartialEvent());
   CHECK_EQUAL(1, *splitter.LastEventId());
   STRCMP_EQUAL("id: 2\ndata: b\n\n", splitter.Take("data: b\n\n").c_str());
   CHECK_EQUAL(2, *splitter.LastEventId());
-  CHECK_FALSE(splitter.HasPart());
+  CHECK_FALSE(splitter.HasPartialEvent());
 }
 
 // Symptom: a caller gets one event made of two halves. Sequence: a server breaks off within event
