--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -10,7 +10,7 @@
 constexpr std::string_view kIdField = "id:";
 
 /** Behind the last whole event; 0 if there is none. */
-std::size_t EndOfWholeEvents(std::string_view bytes) {
+std::size_t EndOfLastEvent(std::string_view bytes) {
   std::size_t end = 0;
   for (const std::string_view mark : {kEventEnd, kEventEndWithReturns}) {
     const std::size_t found = bytes.rfind(mark);
@@ -25,7 +25,7 @@
 
 std::string EventSplitter::Take(std::string_view bytes) {
   m_part.append(bytes);
-  const std::size_t end = EndOfWholeEvents(m_part);
+  const std::size_t end = EndOfLastEvent(m_part);
   std::string events = m_part.substr(0, end);
   m_part.erase(0, end);
   ReadIds(events);
