--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -24,10 +24,10 @@
 }  // namespace
 
 std::string EventSplitter::Take(std::string_view bytes) {
-  m_part.append(bytes);
-  const std::size_t end = EndOfLastEvent(m_part);
-  std::string events = m_part.substr(0, end);
-  m_part.erase(0, end);
+  m_partial_event.append(bytes);
+  const std::size_t end = EndOfLastEvent(m_partial_event);
+  std::string events = m_partial_event.substr(0, end);
+  m_partial_event.erase(0, end);
   ReadIds(events);
   return events;
 }
--- a/packages/zinnia_decisions/forwarding/event_splitter.h
+++ b/packages/zinnia_decisions/forwarding/event_splitter.h
@@ -18,9 +18,9 @@
   std::string Take(std::string_view bytes);
 
   /** Forgets a part of an event, when another server goes on. */
-  void DropPartialEvent() { m_part.clear(); }
+  void DropPartialEvent() { m_partial_event.clear(); }
 
-  bool HasPartialEvent() const { return !m_part.empty(); }
+  bool HasPartialEvent() const { return !m_partial_event.empty(); }
 
   /** The id of the last whole event that had one. */
   std::optional<std::uint64_t> LastEventId() const { return m_last_event_id; }
@@ -28,7 +28,7 @@
  private:
   void ReadIds(std::string_view events);
 
-  std::string m_part;
+  std::string m_partial_event;
   std::optional<std::uint64_t> m_last_event_id;
 };
 
