--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -6,13 +6,13 @@
 namespace {
 
 constexpr std::string_view kEventEnd = "\n\n";
-constexpr std::string_view kEventEndWithReturns = "\r\n\r\n";
+constexpr std::string_view kEventEndCrLf = "\r\n\r\n";
 constexpr std::string_view kIdField = "id:";
 
 /** Behind the last whole event; 0 if there is none. */
 std::size_t EndOfLastEvent(std::string_view bytes) {
   std::size_t end = 0;
-  for (const std::string_view mark : {kEventEnd, kEventEndWithReturns}) {
+  for (const std::string_view mark : {kEventEnd, kEventEndCrLf}) {
     const std::size_t found = bytes.rfind(mark);
     if (found != std::string_view::npos) {
       end = std::max(end, found + mark.size());
