--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -12,10 +12,10 @@
 /** Behind the last whole event; 0 if there is none. */
 std::size_t EndOfLastEvent(std::string_view bytes) {
   std::size_t end = 0;
-  for (const std::string_view mark : {kEventEnd, kEventEndCrLf}) {
-    const std::size_t found = bytes.rfind(mark);
+  for (const std::string_view delimiter : {kEventEnd, kEventEndCrLf}) {
+    const std::size_t found = bytes.rfind(delimiter);
     if (found != std::string_view::npos) {
-      end = std::max(end, found + mark.size());
+      end = std::max(end, found + delimiter.size());
     }
   }
   return end;
