--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -28,11 +28,11 @@
   const std::size_t end = EndOfLastEvent(m_partial_event);
   std::string events = m_partial_event.substr(0, end);
   m_partial_event.erase(0, end);
-  ReadIds(events);
+  UpdateLastEventId(events);
   return events;
 }
 
-void EventSplitter::ReadIds(std::string_view events) {
+void EventSplitter::UpdateLastEventId(std::string_view events) {
   std::size_t line = 0;
   while (line < events.size()) {
     const std::size_t line_end = std::min(events.find('\n', line), events.size());
--- a/packages/zinnia_decisions/forwarding/event_splitter.h
+++ b/packages/zinnia_decisions/forwarding/event_splitter.h
@@ -26,7 +26,7 @@
   std::optional<std::uint64_t> LastEventId() const { return m_last_event_id; }
 
  private:
-  void ReadIds(std::string_view events);
+  void UpdateLastEventId(std::string_view events);
 
   std::string m_partial_event;
   std::optional<std::uint64_t> m_last_event_id;
