--- a/packages/zinnia_decisions/forwarding/admission/admission.h
+++ b/packages/zinnia_decisions/forwarding/admission/admission.h
@@ -1,5 +1,5 @@
 #pragma once
 
-/** Who waits for room, in which order, and what those who are refused are told. */
+/** Admission of requests that wait for capacity. */
 
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
