--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.cc
@@ -6,11 +6,10 @@
 namespace zinnia {
 namespace {
 
-/** Without a refusal for this long there is room again. */
+// A shortage is over after this time without a refusal.
 constexpr Duration kShortageEndsAfter = std::chrono::milliseconds(1'000);
 
-/** Bounds of what callers are told: sooner finds the same want of room, and later is no use to who
-    waits at a counter. The mending of a loss, by loads of weights, takes up to three seconds. */
+// The maximum covers the time in which lost layers are loaded elsewhere, up to three seconds.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(500);
 constexpr Duration kMaxRetryAfter = std::chrono::milliseconds(3'000);
 
