--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
@@ -10,51 +10,46 @@
 
 namespace zinnia {
 
-/** A request that found no server with room. */
+/** A request for which no server had capacity. */
 struct WaitingRequest {
   std::uint32_t priority = 0;  // 0 is the most urgent.
   TimePoint arrived_at{};
 
-  /** Beginning by then, it is still on time. */
+  /** Latest start at which the request can still meet its latency objective. */
   TimePoint start_deadline{};
 };
 
-/** Who waits for room at this instance, in which order they get it, and how long.
+/** Orders the requests that wait for capacity at this instance.
 
-    Room comes back with each answer that ends, and callers come back only once.
+    Within a priority, requests that can still start on time come first, by deadline. Late requests
+    follow in order of arrival, so that newer ones do not starve them. Requests are refused if the
+    queue is full or after waiting for `kMaxWait`.
 
-    Of one priority, who can still be on time goes first, the least time left first. Who cannot is
-    late anyway and takes what they leave, in the order of arrival, so that nobody is set behind new
-    ones for ever. Who has waited for `kLongestWait`, or would make the queue too long, is refused.
-
-    Belongs to one traffic thread. A pure decision: callers try whether there is room.
+    Not thread-safe; belongs to one traffic thread. The caller checks whether capacity is available.
 */
 class CapacityQueue {
  public:
-  /** Longer, and a first event is late when it begins. */
+  /** A request that waits longer would miss its latency objective. */
   static constexpr Duration kMaxWait = std::chrono::milliseconds(300);
 
-  /** As many as some instances of a small fleet begin together in a second. */
   static constexpr std::size_t kMaxWaiting = 96;
 
   explicit CapacityQueue(const Clock& clock) : m_clock(clock) {}
 
-  /** Nothing if the queue is full. Give the ticket back with Leave. */
+  /** Returns a ticket to be passed to Leave, or kNoTicket if the queue is full. */
   std::uint64_t Enter(const WaitingRequest& request);
 
-  /** Tickets are never 0. */
   static constexpr std::uint64_t kNoTicket = 0;
 
   void Leave(std::uint64_t ticket) { m_waiting.erase(ticket); }
 
-  /** The order in which to try now. */
+  /** Tickets in the order in which the requests should be tried now. */
   std::vector<std::uint64_t> OrderedTickets() const;
 
   bool IsOverdue(std::uint64_t ticket) const;
 
-  /** Somebody is refused for want of room. Returns when he should come back: a want of room that
-     has lasted for some time mostly lasts as long again. The loads that mend a loss take
-      up to three seconds. */
+  /** Records that a request was refused for lack of capacity. Returns when the caller should retry,
+      which is proportional to how long the shortage has lasted. */
   Duration OnRefused();
 
  private:
