--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -9,7 +9,7 @@
 constexpr std::string_view kEventEndCrLf = "\r\n\r\n";
 constexpr std::string_view kIdField = "id:";
 
-/** Behind the last whole event; 0 if there is none. */
+/** Returns the position after the last complete event, or 0 if there is none. */
 std::size_t EndOfLastEvent(std::string_view bytes) {
   std::size_t end = 0;
   for (const std::string_view delimiter : {kEventEnd, kEventEndCrLf}) {
