--- a/packages/zinnia_decisions/forwarding/event_splitter.h
+++ b/packages/zinnia_decisions/forwarding/event_splitter.h
@@ -7,22 +7,22 @@
 
 namespace zinnia {
 
-/** Cuts a stream of server-sent events into whole events.
+/** Splits a stream of server-sent events into complete events.
 
-    A server that breaks off in the middle of an event must not leave half of it with the caller:
-    the resumed stream would be glued to it, and the caller would take two halves for one event.
+    If a server fails in the middle of an event, the caller must not receive the partial event,
+   since a stream resumed by another server would be appended to it.
 */
 class EventSplitter {
  public:
-  /** Takes bytes as they arrive and returns the whole events that they complete, in one piece. */
+  /** Appends received bytes and returns all events completed by them, concatenated. */
   std::string Take(std::string_view bytes);
 
-  /** Forgets a part of an event, when another server goes on. */
+  /** Discards a partial event before another server resumes the stream. */
   void DropPartialEvent() { m_partial_event.clear(); }
 
   bool HasPartialEvent() const { return !m_partial_event.empty(); }
 
-  /** The id of the last whole event that had one. */
+  /** The id of the last complete event that had one. */
   std::optional<std::uint64_t> LastEventId() const { return m_last_event_id; }
 
  private:
