--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -14,23 +14,23 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 
-/** The right to give orders is renewed once in so many ticks. */
+// The order role's lease is renewed once in this many ticks.
 constexpr std::uint64_t kTicksBetweenRenewals = 2;
 
-/** Twice the time in which a reader takes a free lease: a look of the role and three calls. */
+// Store watchers have this long to acquire a free lease before other instances try.
 constexpr Duration kStoreWatcherPriorityTime = std::chrono::seconds(2);
 
-/** Longer than the outages of the store that were seen, 8 s, by a factor of two. */
+// Longer than usual outages of the store.
 constexpr std::chrono::milliseconds kStoreOutageGrace{16'000};
 
-/** Orders are few and soon over, so the right to give them can pass on within seconds. */
+/** Placement orders are rare and short, so the order role may change its holder within seconds. */
 OrderSettings PlacementSettings(bool engines_check_fencing) {
   OrderSettings settings;
   settings.lease = std::chrono::milliseconds(2'000);
   settings.lease_margin = std::chrono::milliseconds(500);
   settings.tick = std::chrono::milliseconds(500);
   settings.transport_timeout = std::chrono::milliseconds(1'000);
-  settings.valid_for = std::chrono::milliseconds(0);  // These orders carry no end of validity.
+  settings.valid_for = std::chrono::milliseconds(0);  // Placement orders do not expire.
   settings.engines_check_fencing = engines_check_fencing;
   settings.outage_grace = kStoreOutageGrace;
   return settings;
@@ -98,8 +98,8 @@
 }
 
 void ForwardingControl::OnServerStateReport(const ServerNews& report) {
-  // While the store answers its word on layers is newer than one that was some time on its way.
-  // That a server leaves is believed at once: it may take seconds to notice that the store is away.
+  // While the store is available, its records on layers are newer than reports from peers. A report
+  // that a server leaves is applied at once, as a store outage may take seconds to be detected.
   const bool is_believed = report.leaving || !IsStoreSteady();
   if (is_believed && m_servers.NoteServerNews(report, [this] { PublishView(); })) {
     m_reports.TellServerNews(report);
@@ -141,7 +141,7 @@
 
 void ForwardingControl::OnServer(const std::string& registration, const MirroredRecord& record) {
   if (!record.value) {
-    // A store that serves some instance steadily had no outage: entries go only when servers do.
+    // Without a store outage, an entry is removed only if the server is gone.
     m_servers.Remove(registration, !IsStoreSteady(), [this] { PublishView(); });
     return;
   }
@@ -157,8 +157,8 @@
   m_servers.Put(std::move(*server), [this] { PublishView(); });
 }
 
-/** Whether the layers that it says it holds are layers of the service's model. One that claims
-    others was registered by somebody who serves another model: no request can run there. */
+/** Whether the server's layers exist in the service's model. If not, the server was registered for
+    another model and cannot run requests. */
 bool ForwardingControl::LayersFitModel(const ServerEntry& server) const {
   if (!m_rules) {
     return true;
@@ -237,9 +237,8 @@
   m_mirror.SetReading(reading, m_instances.Live().size());
 }
 
-/** Two hundred instances that look at a free lease together make six hundred calls, and all but one
-    are in vain. The readers look first: they see the store's changes soonest, and have most to
-    spend. The others help only if none of them does. */
+/** Store watchers try to acquire a free lease first. Other instances try only if none of them does,
+    since the whole fleet trying at once would overload the store. */
 bool ForwardingControl::MayAcquireOrderRole(const ServiceName& service) {
   if (m_mirror.Has(OrderRole::LeaseKeyOf(service))) {
     m_order_lease_free_since.erase(service);
