--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -40,12 +40,13 @@
   Instance self;
   std::vector<NetworkAddress> seeds;
 
-  /** Whether engines refuse orders with an old fencing number. */
+  /** Whether engines refuse orders with an outdated fencing token. */
   bool engines_check_fencing = true;
 };
 
-/** The control state of a forwarding instance: what the store says, who lives, which layers are
-    placed where. Publishes a new ForwardingView at each change. Lives on the control thread. */
+/** The control state of a forwarding instance: records of the store, live instances and the
+    placement of layers. Publishes a new ForwardingView at each change. Belongs to the control
+    thread. */
 class ForwardingControl final : private MirrorListener {
  public:
   using Publish = std::function<void(std::shared_ptr<const ForwardingView>)>;
@@ -55,16 +56,16 @@
 
   void Start();
 
-  /** Gives up the roles and this instance's record. */
+  /** Releases the order roles and removes this instance's record. */
   void Stop();
 
   NewsExchange& Reports() { return m_reports; }
 
-  /** Traffic, here or at a peer, found that a server does not go on. */
+  /** Called when this instance or a peer finds that a server has stalled. */
   void OnServerStalled(const BackendServerName& server);
 
-  /** A server said, here or to a peer, which layers it holds. Its entry may be old: the store may
-     be away. */
+  /** Handles a server's state as reported to this instance or to a peer. It may be newer than the
+      server's entry while the store is unavailable. */
   void OnServerStateReport(const ServerNews& report);
 
  private:
@@ -92,7 +93,7 @@
   NewsExchange m_reports;
   std::map<ServiceName, std::unique_ptr<LayerPlacer>> m_placers;
 
-  /** Since when nobody holds the right to give a pool orders. */
+  /** Since when no instance holds the order role of a service. */
   std::map<ServiceName, TimePoint> m_order_lease_free_since;
   std::shared_ptr<const ForwardingRules> m_rules;
   std::shared_ptr<const RouteTable> m_routes;
