--- a/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
+++ b/packages/zinnia_decisions/forwarding/admission/capacity_queue.h
@@ -29,7 +29,7 @@
 */
 class CapacityQueue {
  public:
-  /** A request that waits longer would miss its latency objective. */
+  /** A request that waits longer usually starts too late for its latency objective. */
   static constexpr Duration kMaxWait = std::chrono::milliseconds(300);
 
   static constexpr std::size_t kMaxWaiting = 96;
@@ -48,8 +48,8 @@
 
   bool IsOverdue(std::uint64_t ticket) const;
 
-  /** Records that a request was refused for lack of capacity. Returns when the caller should retry,
-      which is proportional to how long the shortage has lasted. */
+  /** Records that a request was refused for lack of capacity. Returns when the caller should retry;
+      the delay grows with the length of the shortage. */
   Duration OnRefused();
 
  private:
