--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -19,8 +19,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Instances in three failure domains that send to one server as often as they may, and hear its
-    limit from its answers and from each other. */
+/** Simulates instances in three failure domains that send to one server within its limit, which
+   they learn from its answers and from each other's reports. */
 struct LimitedFleet {
   static constexpr Duration kStep = milliseconds(10);
   static constexpr Duration kAnswerAfter = milliseconds(60);
@@ -57,7 +57,7 @@
     member->instance.name = fmt::format("instance-{}", index);
     member->instance.failure_domain = fmt::format("domain-{}", index % 3);
     member->limits = std::make_unique<ServerLimits>(time, division, member->instance.name);
-    // Callers are spread unevenly: a third of the instances get half as much again.
+    // Uneven traffic: a third of the instances get 1.5 times the mean.
     member->requests_per_second = requests_per_second * (index % 3 == 0 ? 1.5 : 0.75);
     members.push_back(std::move(member));
     return *members.back();
@@ -119,7 +119,7 @@
     }
   }
 
-  /** The most that the server got in any window that ends after `from`. */
+  /** Maximum number of requests in any window of kWindow that ends after `from`. */
   std::size_t MostInWindow(TimePoint from) const {
     std::size_t most = 0;
     for (auto last = sends.begin(); last != sends.end(); ++last) {
@@ -160,7 +160,7 @@
     return view;
   }
 
-  /** Requests that `limits` lets through if somebody always has one. */
+  /** Sends whenever `limits` permits it and returns the number of requests sent. */
   static int SendAll(ServerLimits & limits, VirtualTime & time, Duration duration) {
     int sent = 0;
     for (const TimePoint end = time.Now() + duration; time.Now() < end;) {
@@ -174,9 +174,8 @@
   }
 };
 
-// Guards against a server in need that gets as much as before from instances that each keep its
-// limit alone, or keep none.
-TEST(Limits, AllInstancesTogetherKeepALimitAndUseIt) {
+// Guards against instances that ignore the limit or each use it in full.
+TEST(Limits, FleetTogetherStaysWithinTheLimitAndUsesIt) {
   for (const std::size_t instances : {9, 65, 300}) {
     for (const double limit : {2.0, 12.0, 60.0}) {
       LimitedFleet fleet(division, instances, 2.5 * limit);
@@ -194,8 +193,8 @@
   }
 }
 
-// Guards against a whole fleet that has saved up its parts and spends them in one moment.
-TEST(Limits, ARushAfterAPauseStaysWithinTheLimit) {
+// Guards against a combined burst of all instances after an idle period.
+TEST(Limits, BurstAfterAnIdlePeriodStaysWithinTheLimit) {
   for (const std::size_t instances : {9, 65, 300}) {
     for (const double limit : {0.0, 0.5, 2.0, 12.0, 60.0}) {
       LimitedFleet fleet(division, instances, limit);
@@ -214,8 +213,8 @@
   }
 }
 
-// Guards against new instances that take their parts while the old ones still spend theirs.
-TEST(Limits, InstancesThatJoinTakeTheirPartsAfterTheOthersHaveGivenThemUp) {
+// Guards against new instances that use their shares before the old ones have reduced theirs.
+TEST(Limits, JoiningInstancesUseTheirSharesAfterTheOthersReducedTheirs) {
   LimitedFleet fleet(division, 9, 30.0);
   fleet.limit = 12.0;
   fleet.Run(seconds(20));
@@ -232,14 +231,14 @@
     fleet.members[index]->limits->SetView(view);
     fleet.members[index]->limits->OnReport({"server", fleet.limit, milliseconds(100)});
   }
-  fleet.Run(seconds(1));  // The old ones hear of them later.
+  fleet.Run(seconds(1));  // The old instances learn of the new ones later.
   fleet.ShareView();
   fleet.Run(seconds(10));
   CHECK_TRUE(fleet.MostInWindow(joined_at) <= fleet.Allowed());
 }
 
-// Guards against a part that two instances spend, the old holder and the new one.
-TEST(Limits, ANewHolderWaitsUntilTheOneBeforeHasHeardOfIt) {
+// Guards against the old and the new holder using the same share at the same time.
+TEST(Limits, NewHolderWaitsUntilThePreviousOneKnowsOfTheChange) {
   VirtualTime time;
   std::vector<Instance> instances(9);
   for (std::size_t index = 0; index < instances.size(); ++index) {
@@ -256,7 +255,7 @@
     time.AdvanceBy(seconds(10));
     limits.OnReport({"server", 1.0, milliseconds(0)});
     if (limits.TimeUntilPermit("server")) {
-      continue;  // It holds a part from the beginning.
+      continue;  // It holds a share from the beginning.
     }
     time.AdvanceBy(seconds(10));
     limits.SetView(view_of({instance}));
@@ -265,8 +264,8 @@
   }
 }
 
-// Guards against an instance that takes a whole limit for itself before it has met its peers.
-TEST(Limits, AnInstanceThatHasJustStartedWaitsUntilItKnowsTheFleet) {
+// Guards against a new instance that uses the whole limit because it knows no peers yet.
+TEST(Limits, NewInstanceWaitsUntilItKnowsTheFleet) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -275,9 +274,8 @@
   CHECK_TRUE(SendAll(limits, time, seconds(4)) >= 60);
 }
 
-// Guards against a limit that is kept from the moment it was heard on, on top of what the server
-// got in the moments before.
-TEST(Limits, WhatWasSentBeforeTheLimitWasHeardCounts) {
+// Guards against a server that gets its limit on top of the requests sent just before.
+TEST(Limits, RequestsSentBeforeTheLimitWasReceivedAreCharged) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -291,20 +289,19 @@
   CHECK_TRUE(SendAll(limits, time, seconds(3)) > 20);
 }
 
-// Guards against a server that is sent to again while what it got before it named its limit is
-// still more than it may have: it had ten times its limit.
-TEST(Limits, AServerThatHadFarTooMuchGetsNothingUntilThatIsOver) {
+// Guards against sending to a server that is still working off ten times its limit.
+TEST(Limits, ServerFarAboveItsLimitGetsNothingUntilTheExcessIsOver) {
   LimitedFleet fleet(division, 9, 500.0);
   fleet.Run(seconds(10));
   fleet.limit = 50.0;
   const TimePoint named_at = fleet.time.Now();
   fleet.Run(seconds(12));
-  // From the first request after the pause on: until then nobody sends.
+  // No instance sends until the pause is over.
   CHECK_TRUE(fleet.MostInWindow(named_at + seconds(1)) <= fleet.Allowed());
 }
 
-// Guards against a limit that outlives its need, and against one that a late answer ends too early.
-TEST(Limits, TheNewestWordOfAServerCounts) {
+// Guards against a limit that is never lifted, and against one lifted by an outdated answer.
+TEST(Limits, MostRecentLimitApplies) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -313,11 +310,11 @@
   time.AdvanceBy(milliseconds(50));
   CHECK_TRUE(limits.OnAnswer("server", 2.0, before));
   CHECK_FALSE(limits.MaySend("server"));
-  CHECK_FALSE(limits.OnAnswer("server", std::nullopt, before));  // Overtaken on its way.
+  CHECK_FALSE(limits.OnAnswer("server", std::nullopt, before));  // Sent before the limit was known.
   CHECK_EQUAL(1U, limits.CountInForce());
   time.AdvanceBy(milliseconds(50));
   CHECK_FALSE(
-      limits.OnReport({"server", std::nullopt, milliseconds(60)}));  // Older than what it knows.
+      limits.OnReport({"server", std::nullopt, milliseconds(60)}));  // Older than the known limit.
   CHECK_EQUAL(1U, limits.CountInForce());
   CHECK_TRUE(limits.OnAnswer("server", std::nullopt, time.Now()));
   CHECK_EQUAL(0U, limits.CountInForce());
@@ -326,8 +323,8 @@
   CHECK_TRUE(limits.MaySend("server"));
 }
 
-// Guards against a server that is never asked again after it has said that it takes nothing.
-TEST(Limits, AServerThatTakesNothingIsAskedNowAndThen) {
+// Guards against a server that never gets requests again after it set a limit of 0.
+TEST(Limits, ServerWithLimitZeroGetsOccasionalRequests) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -337,7 +334,7 @@
   CHECK_TRUE(sent >= 6 && sent <= 15);
 }
 
-TEST(Limits, AStartOfTheServerEndsItsLimit) {
+TEST(Limits, RestartOfTheServerEndsItsLimit) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -346,8 +343,8 @@
   CHECK_EQUAL(0U, limits.CountInForce());
 }
 
-// Guards against news that swallow a link when many servers are in need, and never tell of some.
-TEST(Limits, NewsAreBoundedAndTellOfEachServerInTurn) {
+// Guards against reports of unbounded size, and against bounded ones that always omit some servers.
+TEST(Limits, ReportsAreBoundedAndCoverAllServersInTurn) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   constexpr std::size_t kServers = 40;
@@ -372,9 +369,9 @@
   CHECK_EQUAL(servers.size(), told.size());
 }
 
-// Guards against an instance that never sends to a server again: it holds no part, and was out of
-// reach when the others heard that the limit had ended.
-TEST(Limits, TheEndOfALimitIsStillToldMinutesLater) {
+// Guards against an instance without a share that never learns of the end of a limit because it was
+// unreachable at the time.
+TEST(Limits, EndOfALimitIsStillReportedMinutesLater) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"a", "b", "c"}));
@@ -394,7 +391,7 @@
   CHECK_EQUAL(3U, told.size());
 }
 
-TEST(Limits, OutlookNamesTheFirstTurnAndWhetherThereIsAnotherServer) {
+TEST(Limits, AvailabilityGivesTheNextPermitAndWhetherAllServersAreAtTheirLimits) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   const auto view = ViewOf({"a", "b", "c"});
@@ -416,8 +413,8 @@
   CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_at_limit);
 }
 
-// Guards against callers who wait for a turn that comes too late for them.
-TEST(Limits, NobodyWaitsForATurnThatComesTooLate) {
+// Guards against requests that wait for a permit that comes too late for them.
+TEST(Limits, RequestsDoNotWaitForAPermitThatComesTooLate) {
   LimitAvailability availability;
   CHECK_TRUE(MayWait(availability, true, milliseconds(500)));
   CHECK_FALSE(MayWait(availability, false, milliseconds(150)));
@@ -430,7 +427,7 @@
   CHECK_FALSE(MayWait(availability, true, milliseconds(1'000)));
 }
 
-// Guards against parts that grow while an instance restarts or is out of sight.
+// Guards against shares that grow while an instance restarts or is unreachable.
 TEST(Limits, InstancesCountForSomeSecondsAfterTheyWereLastSeen) {
   VirtualTime time;
   RecentInstances recent(time);
