--- a/tests/forwarding/capacity_queue_test.cc
+++ b/tests/forwarding/capacity_queue_test.cc
@@ -18,7 +18,7 @@
   }
 };
 
-TEST(Room, WhoCanStillBeOnTimeGoesFirstTheLeastTimeFirst) {
+TEST(Room, RequestsThatCanStartOnTimeComeFirstByDeadline) {
   const auto late = Enter(milliseconds(50));
   time.AdvanceBy(milliseconds(100));
   const auto relaxed = Enter(milliseconds(250));
@@ -28,9 +28,8 @@
              (std::vector<std::uint64_t>{urgent, pressed, relaxed, late}));
 }
 
-// Symptom: callers that were late once are never served while there is load. Sequence: each new one
-// can still be on time and goes first. Cause: no order among those who are late.
-TEST(Room, AmongThoseWhoAreLateTheFirstComesFirst) {
+// Guards against late requests that are starved by newer ones.
+TEST(Room, LateRequestsAreOrderedByArrival) {
   const auto first = Enter(milliseconds(60));
   time.AdvanceBy(milliseconds(10));
   const auto second = Enter(milliseconds(20));
@@ -38,7 +37,7 @@
   CHECK_TRUE(queue.OrderedTickets() == (std::vector<std::uint64_t>{first, second}));
 }
 
-TEST(Room, NobodyWaitsForLongAndTheQueueIsBounded) {
+TEST(Room, WaitingTimeAndQueueLengthAreBounded) {
   const auto ticket = Enter(milliseconds(250));
   CHECK_FALSE(queue.IsOverdue(ticket));
   time.AdvanceBy(CapacityQueue::kMaxWait);
@@ -51,10 +50,8 @@
   CHECK_TRUE(Enter(milliseconds(250)) != CapacityQueue::kNoTicket);
 }
 
-// Symptom: callers come back into the same want of room and have no try left. Sequence: engines are
-// lost, and loading their layers elsewhere takes three seconds. Cause: the same Retry-After, at
-// most a second, whatever the want.
-TEST(Room, AWantOfRoomIsTakenToLastAsLongAgain) {
+// Guards against callers that use up their retries within a shortage of some seconds.
+TEST(Room, RetryDelayGrowsWithTheLengthOfTheShortage) {
   const Duration at_first = queue.OnRefused();
   CHECK_TRUE(at_first == milliseconds(500));
   for (int step = 0; step < 20; ++step) {
@@ -63,24 +60,23 @@
   }
   CHECK_TRUE(queue.OnRefused() == milliseconds(2'000));
   time.AdvanceBy(milliseconds(1'500));
-  CHECK_TRUE(queue.OnRefused() == at_first);  // Another one began.
+  CHECK_TRUE(queue.OnRefused() == at_first);  // A new shortage began.
 }
 
-// A load in clumps: 100 requests a second arrive for 0.8 s and none for 0.2 s, where 80 a second
-// find room. Refused at once, one in five found none (160 of 800 in ten seconds); with the queue
-// none is refused.
-TEST(Room, RoomThatComesBackSoonIsUsedByThoseWhoWait) {
+// Bursts: 100 requests a second arrive for 0.8 s and none for 0.2 s, with capacity for 80 a second.
+// Without the queue, every fifth request would be refused.
+TEST(Room, WaitingRequestsUseCapacityThatIsFreedSoon) {
   std::set<std::uint64_t> waiting;
   int begun = 0;
   int refused = 0;
   for (int passed = 0; passed < 10'000; passed += 10) {
-    const bool is_pause = passed % 1'000 < 200;  // Clumps: nobody comes, room stays free.
+    const bool is_pause = passed % 1'000 < 200;  // No requests arrive, so capacity stays free.
     if (!is_pause) {
       const auto ticket = Enter(milliseconds(250));
       ticket == CapacityQueue::kNoTicket ? ++refused
                                          : static_cast<int>(waiting.insert(ticket).second);
     }
-    if (passed % 50 != 0) {  // Four of five steps free a place.
+    if (passed % 50 != 0) {  // Four of five steps free capacity for one request.
       const auto order = queue.OrderedTickets();
       if (!order.empty()) {
         queue.Leave(order.front());
