--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -12,7 +12,8 @@
 using std::chrono::milliseconds;
 
 TEST_GROUP(Control) {
-  /** Entries are written as "START END": when it started, and the end of its layers from 0. */
+  /** Reads entries of the form "START END": the start time and the end of the layer range [0, END).
+   */
   struct Reader final : RecordReader {
     bool IsConfiguration(const std::string& key) const override { return key == "configuration"; }
     std::optional<std::string> RegistrationOf(const std::string& key) const override {
@@ -100,9 +101,8 @@
   }
 };
 
-// Symptom: requests go to a server that is none. Sequence: somebody else writes over a good entry.
-// Cause: the last entry that could be read stays in force.
-TEST(Control, AnEntryThatCannotBeReadNamesNoServerAndTheOthersHold) {
+// Guards against requests to a server whose entry was overwritten with an unreadable one.
+TEST(Control, UnreadableEntryRemovesOnlyItsServer) {
   CHECK_EQUAL(2U, view->servers.size());
   Write("s/good", "nonsense");
   CHECK_EQUAL(1U, view->servers.size());
@@ -112,13 +112,13 @@
   CHECK_EQUAL(2U, view->servers.size());
 }
 
-TEST(Control, AnEntryWithLayersBeyondTheModelNamesNoServer) {
+TEST(Control, EntryWithLayersBeyondTheModelIsIgnored) {
   Write("s/good", "100 81");
   CHECK_EQUAL(1U, view->servers.size());
   CHECK_FALSE(view->servers.contains("good@100"));
 }
 
-TEST(Control, AServerThatStartedAgainEndsItsEarlierStartForAllWhoUseIt) {
+TEST(Control, RestartOfAServerEndsItsPreviousIncarnation) {
   Write("s/good", "200 0");
   CHECK_EQUAL(2U, view->servers.size());
   CHECK_TRUE(view->servers.contains("good@200"));
