--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -27,7 +27,7 @@
   std::vector<std::string> events;
 };
 
-/** A pool like the users': layers of 1,750 MB over three kinds of accelerators. */
+/** A model with layers of 1,750 MB that runs on three kinds of accelerators. */
 inline EngineProfile MixedEngine() {
   EngineProfile engine;
   engine.layers = 80;
@@ -78,8 +78,7 @@
   return view;
 }
 
-/** A store whose answers the test hands out one by one, and a working lease and compare-and-swap.
- */
+/** A store whose watches the test answers one by one; all other calls are answered after kDelay. */
 class HeldStore final : public PlatformStore {
  public:
   explicit HeldStore(VirtualTime& time) : m_time(time) {}
@@ -97,7 +96,7 @@
   }
   void Erase(const std::string& key) { records[key] = {key, ++version, std::nullopt}; }
 
-  /** Answers the oldest waiting watch with what changed. */
+  /** Answers the oldest pending watch with the records changed since its revision. */
   void AnswerWatch() {
     StoreBatch batch{{}, version};
     for (const auto& [key, record] : records) {
@@ -189,7 +188,7 @@
   std::vector<std::unique_ptr<ScheduledCall>> m_calls;
 };
 
-/** Has unused connections to the servers named. */
+/** Reports unused connections to the servers in `servers`. */
 struct NamedConnections final : KeptConnections {
   bool HasUnused(const BackendServerName& server) const override {
     return servers.contains(server);
@@ -197,7 +196,7 @@
   std::set<BackendServerName> servers;
 };
 
-/** Remembers what was told, latest value first. */
+/** Records the latest value of each key. */
 struct RecordedMirror final : MirrorListener {
   void OnMirrorAdvanced() override { ++advances; }
   void OnMirroredRecord(const MirroredRecord& record) override {
@@ -207,7 +206,7 @@
   std::map<std::string, std::optional<std::string>> values;
 };
 
-/** Takes orders and lets the test see them. */
+/** Records the last order for each server and answers with `answer`. */
 struct RecordedOrders final : LayerOrders {
   void Place(const ServerEntry& server,
              LayerRange layers,
