--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -24,7 +24,7 @@
 struct LimitedFleet {
   static constexpr Duration kStep = milliseconds(10);
   static constexpr Duration kAnswerAfter = milliseconds(60);
-  static constexpr Duration kNewsAfter = milliseconds(80);
+  static constexpr Duration kReportDelay = milliseconds(80);
   static constexpr Duration kWindow = seconds(4);
 
   struct Member {
@@ -106,7 +106,7 @@
       const Answer answer = answers.front();
       answers.pop_front();
       if (answer.member->limits->OnAnswer("server", limit, answer.sent_at)) {
-        told.push_back({time.Now() + kNewsAfter, answer.member->limits->TakeReports().front()});
+        told.push_back({time.Now() + kReportDelay, answer.member->limits->TakeReports().front()});
       }
     }
     while (!told.empty() && told.front().due <= time.Now()) {
