--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -23,7 +23,7 @@
    they learn from its answers and from each other's reports. */
 struct LimitedFleet {
   static constexpr Duration kStep = milliseconds(10);
-  static constexpr Duration kAnswerAfter = milliseconds(60);
+  static constexpr Duration kAnswerDelay = milliseconds(60);
   static constexpr Duration kReportDelay = milliseconds(80);
   static constexpr Duration kWindow = seconds(4);
 
@@ -98,7 +98,7 @@
     }
     member.limits->OnSent("server");
     sends.push_back(time.Now());
-    answers.push_back({time.Now() + kAnswerAfter, &member, time.Now()});
+    answers.push_back({time.Now() + kAnswerDelay, &member, time.Now()});
   }
 
   void Deliver() {
