--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -31,7 +31,7 @@
     Instance instance;
     std::unique_ptr<ServerLimits> limits;
     double requests_per_second = 0.0;
-    bool is_cut = false;
+    bool is_partitioned = false;
   };
   struct Answer {
     TimePoint due{};
@@ -111,7 +111,7 @@
     }
     while (!told.empty() && told.front().due <= time.Now()) {
       for (const auto& member : members) {
-        if (!member->is_cut) {
+        if (!member->is_partitioned) {
           member->limits->OnReport(told.front().news);
         }
       }
