--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -86,12 +86,12 @@
       time.AdvanceBy(kStep);
       Deliver();
       for (const auto& member : members) {
-        SendOf(*member);
+        SendFrom(*member);
       }
     }
   }
 
-  void SendOf(Member& member) {
+  void SendFrom(Member& member) {
     const double chance = member.requests_per_second * std::chrono::duration<double>(kStep).count();
     if (RandomUnit(random) >= chance || !member.limits->MaySend("server")) {
       return;
