--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -137,7 +137,7 @@
            std::chrono::duration<double>(time.Now() - from).count();
   }
 
-  double Allowed() const { return *limit * 1.5 * 4.0 + 5.0; }
+  double MaxAllowedInWindow() const { return *limit * 1.5 * 4.0 + 5.0; }
 
   const LimitDivision& division;
   VirtualTime time;
@@ -187,7 +187,7 @@
         member->requests_per_second = std::max(3.0, 2.5 * limit / instances);
       }
       fleet.Run(seconds(30));
-      CHECK_TRUE(fleet.MaxInWindow(named_at + seconds(3)) <= fleet.Allowed());
+      CHECK_TRUE(fleet.MaxInWindow(named_at + seconds(3)) <= fleet.MaxAllowedInWindow());
       CHECK_TRUE(fleet.SentPerSecond(named_at + seconds(10)) >= 0.9 * limit);
     }
   }
@@ -208,7 +208,7 @@
       }
       const TimePoint rush_at = fleet.time.Now();
       fleet.Run(seconds(10));
-      CHECK_TRUE(fleet.MaxInWindow(rush_at) <= fleet.Allowed());
+      CHECK_TRUE(fleet.MaxInWindow(rush_at) <= fleet.MaxAllowedInWindow());
     }
   }
 }
@@ -234,7 +234,7 @@
   fleet.Run(seconds(1));  // The old instances learn of the new ones later.
   fleet.ShareView();
   fleet.Run(seconds(10));
-  CHECK_TRUE(fleet.MaxInWindow(joined_at) <= fleet.Allowed());
+  CHECK_TRUE(fleet.MaxInWindow(joined_at) <= fleet.MaxAllowedInWindow());
 }
 
 // Guards against the old and the new holder using the same share at the same time.
@@ -297,7 +297,7 @@
   const TimePoint named_at = fleet.time.Now();
   fleet.Run(seconds(12));
   // No instance sends until the pause is over.
-  CHECK_TRUE(fleet.MaxInWindow(named_at + seconds(1)) <= fleet.Allowed());
+  CHECK_TRUE(fleet.MaxInWindow(named_at + seconds(1)) <= fleet.MaxAllowedInWindow());
 }
 
 // Guards against a limit that is never lifted, and against one lifted by an outdated answer.
