--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -161,7 +161,7 @@
   }
 
   /** Sends whenever `limits` permits it and returns the number of requests sent. */
-  static int SendAll(ServerLimits & limits, VirtualTime & time, Duration duration) {
+  static int CountPermittedSends(ServerLimits & limits, VirtualTime & time, Duration duration) {
     int sent = 0;
     for (const TimePoint end = time.Now() + duration; time.Now() < end;) {
       time.AdvanceBy(milliseconds(10));
@@ -259,8 +259,8 @@
     }
     time.AdvanceBy(seconds(10));
     limits.SetView(view_of({instance}));
-    CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'900)));
-    CHECK_TRUE(SendAll(limits, time, seconds(3)) > 0);
+    CHECK_EQUAL(0, CountPermittedSends(limits, time, milliseconds(1'900)));
+    CHECK_TRUE(CountPermittedSends(limits, time, seconds(3)) > 0);
   }
 }
 
@@ -270,8 +270,8 @@
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
   limits.OnReport({"server", 20.0, milliseconds(0)});
-  CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'900)));
-  CHECK_TRUE(SendAll(limits, time, seconds(4)) >= 60);
+  CHECK_EQUAL(0, CountPermittedSends(limits, time, milliseconds(1'900)));
+  CHECK_TRUE(CountPermittedSends(limits, time, seconds(4)) >= 60);
 }
 
 // Guards against a server that gets its limit on top of the requests sent just before.
@@ -285,8 +285,8 @@
     time.AdvanceBy(milliseconds(33));
   }
   limits.OnAnswer("server", 10.0, time.Now());
-  CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'400)));
-  CHECK_TRUE(SendAll(limits, time, seconds(3)) > 20);
+  CHECK_EQUAL(0, CountPermittedSends(limits, time, milliseconds(1'400)));
+  CHECK_TRUE(CountPermittedSends(limits, time, seconds(3)) > 20);
 }
 
 // Guards against sending to a server that is still working off ten times its limit.
@@ -330,7 +330,7 @@
   limits.SetView(ViewOf({"server"}));
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("server", 0.0, time.Now());
-  const int sent = SendAll(limits, time, seconds(60));
+  const int sent = CountPermittedSends(limits, time, seconds(60));
   CHECK_TRUE(sent >= 6 && sent <= 15);
 }
 
