--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -181,14 +181,14 @@
       LimitedFleet fleet(division, instances, 2.5 * limit);
       fleet.Run(seconds(5));
       fleet.limit = limit;
-      const TimePoint named_at = fleet.time.Now();
+      const TimePoint limit_set_at = fleet.time.Now();
       fleet.Run(seconds(10));
       for (const auto& member : fleet.members) {
         member->requests_per_second = std::max(3.0, 2.5 * limit / instances);
       }
       fleet.Run(seconds(30));
-      CHECK_TRUE(fleet.MaxInWindow(named_at + seconds(3)) <= fleet.MaxAllowedInWindow());
-      CHECK_TRUE(fleet.SentPerSecond(named_at + seconds(10)) >= 0.9 * limit);
+      CHECK_TRUE(fleet.MaxInWindow(limit_set_at + seconds(3)) <= fleet.MaxAllowedInWindow());
+      CHECK_TRUE(fleet.SentPerSecond(limit_set_at + seconds(10)) >= 0.9 * limit);
     }
   }
 }
@@ -294,10 +294,10 @@
   LimitedFleet fleet(division, 9, 500.0);
   fleet.Run(seconds(10));
   fleet.limit = 50.0;
-  const TimePoint named_at = fleet.time.Now();
+  const TimePoint limit_set_at = fleet.time.Now();
   fleet.Run(seconds(12));
   // No instance sends until the pause is over.
-  CHECK_TRUE(fleet.MaxInWindow(named_at + seconds(1)) <= fleet.MaxAllowedInWindow());
+  CHECK_TRUE(fleet.MaxInWindow(limit_set_at + seconds(1)) <= fleet.MaxAllowedInWindow());
 }
 
 // Guards against a limit that is never lifted, and against one lifted by an outdated answer.
