--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -38,7 +38,7 @@
     Member* member = nullptr;
     TimePoint sent_at{};
   };
-  struct News {
+  struct PendingReport {
     TimePoint due{};
     ServerLimitReport news;
   };
@@ -146,7 +146,7 @@
   std::optional<double> limit;
   std::vector<TimePoint> sends;
   std::deque<Answer> answers;
-  std::deque<News> told;
+  std::deque<PendingReport> told;
 };
 
 TEST_GROUP(Limits) {
