--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -33,7 +33,7 @@
     double requests_per_second = 0.0;
     bool is_partitioned = false;
   };
-  struct Answer {
+  struct PendingAnswer {
     TimePoint due{};
     Member* member = nullptr;
     TimePoint sent_at{};
@@ -103,7 +103,7 @@
 
   void Deliver() {
     while (!answers.empty() && answers.front().due <= time.Now()) {
-      const Answer answer = answers.front();
+      const PendingAnswer answer = answers.front();
       answers.pop_front();
       if (answer.member->limits->OnAnswer("server", limit, answer.sent_at)) {
         told.push_back({time.Now() + kReportDelay, answer.member->limits->TakeReports().front()});
@@ -145,7 +145,7 @@
   std::vector<std::unique_ptr<Member>> members;
   std::optional<double> limit;
   std::vector<TimePoint> sends;
-  std::deque<Answer> answers;
+  std::deque<PendingAnswer> answers;
   std::deque<PendingReport> told;
 };
 
