--- a/tests/forwarding/capacity_queue_test.cc
+++ b/tests/forwarding/capacity_queue_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_GROUP(Room) {
+TEST_GROUP(CapacityQueueOrder) {
   VirtualTime time;
   CapacityQueue queue{time};
 
@@ -18,7 +18,7 @@
   }
 };
 
-TEST(Room, RequestsThatCanStartOnTimeComeFirstByDeadline) {
+TEST(CapacityQueueOrder, RequestsThatCanStartOnTimeComeFirstByDeadline) {
   const auto late = Enter(milliseconds(50));
   time.AdvanceBy(milliseconds(100));
   const auto relaxed = Enter(milliseconds(250));
@@ -29,7 +29,7 @@
 }
 
 // Guards against late requests that are starved by newer ones.
-TEST(Room, LateRequestsAreOrderedByArrival) {
+TEST(CapacityQueueOrder, LateRequestsAreOrderedByArrival) {
   const auto first = Enter(milliseconds(60));
   time.AdvanceBy(milliseconds(10));
   const auto second = Enter(milliseconds(20));
@@ -37,7 +37,7 @@
   CHECK_TRUE(queue.OrderedTickets() == (std::vector<std::uint64_t>{first, second}));
 }
 
-TEST(Room, WaitingTimeAndQueueLengthAreBounded) {
+TEST(CapacityQueueOrder, WaitingTimeAndQueueLengthAreBounded) {
   const auto ticket = Enter(milliseconds(250));
   CHECK_FALSE(queue.IsOverdue(ticket));
   time.AdvanceBy(CapacityQueue::kMaxWait);
@@ -51,7 +51,7 @@
 }
 
 // Guards against callers that use up their retries within a shortage of some seconds.
-TEST(Room, RetryDelayGrowsWithTheLengthOfTheShortage) {
+TEST(CapacityQueueOrder, RetryDelayGrowsWithTheLengthOfTheShortage) {
   const Duration at_first = queue.OnRefused();
   CHECK_TRUE(at_first == milliseconds(500));
   for (int step = 0; step < 20; ++step) {
@@ -65,7 +65,7 @@
 
 // Bursts: 100 requests a second arrive for 0.8 s and none for 0.2 s, with capacity for 80 a second.
 // Without the queue, every fifth request would be refused.
-TEST(Room, WaitingRequestsUseCapacityThatIsFreedSoon) {
+TEST(CapacityQueueOrder, WaitingRequestsUseCapacityThatIsFreedSoon) {
   std::set<std::uint64_t> waiting;
   int begun = 0;
   int refused = 0;
