--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -40,7 +40,7 @@
   };
   struct PendingReport {
     TimePoint due{};
-    ServerLimitReport news;
+    ServerLimitReport report;
   };
 
   LimitedFleet(const LimitDivision& chosen_division, std::size_t count, double demand)
@@ -106,16 +106,17 @@
       const PendingAnswer answer = answers.front();
       answers.pop_front();
       if (answer.member->limits->OnAnswer("server", limit, answer.sent_at)) {
-        told.push_back({time.Now() + kReportDelay, answer.member->limits->TakeReports().front()});
+        reports_in_flight.push_back(
+            {time.Now() + kReportDelay, answer.member->limits->TakeReports().front()});
       }
     }
-    while (!told.empty() && told.front().due <= time.Now()) {
+    while (!reports_in_flight.empty() && reports_in_flight.front().due <= time.Now()) {
       for (const auto& member : members) {
         if (!member->is_partitioned) {
-          member->limits->OnReport(told.front().news);
+          member->limits->OnReport(reports_in_flight.front().report);
         }
       }
-      told.pop_front();
+      reports_in_flight.pop_front();
     }
   }
 
@@ -146,7 +147,7 @@
   std::optional<double> limit;
   std::vector<TimePoint> sends;
   std::deque<PendingAnswer> answers;
-  std::deque<PendingReport> told;
+  std::deque<PendingReport> reports_in_flight;
 };
 
 TEST_GROUP(Limits) {
