--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -359,15 +359,15 @@
     limits.OnAnswer(server, 2.0, time.Now());
   }
   time.AdvanceBy(seconds(5));
-  std::set<std::string> told;
+  std::set<std::string> reported_servers;
   for (int report = 0; report < 3; ++report) {
-    const auto news = limits.TakeReports();
-    CHECK_TRUE(news.size() <= ServerLimits::kMaxReports);
-    for (const ServerLimitReport& row : news) {
-      told.insert(row.server);
+    const auto reports = limits.TakeReports();
+    CHECK_TRUE(reports.size() <= ServerLimits::kMaxReports);
+    for (const ServerLimitReport& row : reports) {
+      reported_servers.insert(row.server);
     }
   }
-  CHECK_EQUAL(servers.size(), told.size());
+  CHECK_EQUAL(servers.size(), reported_servers.size());
 }
 
 // Guards against an instance without a share that never learns of the end of a limit because it was
@@ -382,14 +382,14 @@
     limits.OnAnswer(server, std::nullopt, time.Now());
   }
   time.AdvanceBy(std::chrono::minutes(5));
-  std::set<std::string> told;
+  std::set<std::string> reported_servers;
   for (int report = 0; report < 3; ++report) {
-    const auto news = limits.TakeReports();
-    CHECK_EQUAL(1U, news.size());
-    CHECK_FALSE(news.front().requests_per_second.has_value());
-    told.insert(news.front().server);
+    const auto reports = limits.TakeReports();
+    CHECK_EQUAL(1U, reports.size());
+    CHECK_FALSE(reports.front().requests_per_second.has_value());
+    reported_servers.insert(reports.front().server);
   }
-  CHECK_EQUAL(3U, told.size());
+  CHECK_EQUAL(3U, reported_servers.size());
 }
 
 TEST(Limits, AvailabilityGivesTheNextPermitAndWhetherAllServersAreAtTheirLimits) {
