--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -100,8 +100,8 @@
 void ForwardingControl::OnServerStateReport(const ServerNews& report) {
   // While the store is available, its records on layers are newer than reports from peers. A report
   // that a server leaves is applied at once, as a store outage may take seconds to be detected.
-  const bool is_believed = report.leaving || !IsStoreSteady();
-  if (is_believed && m_servers.NoteServerNews(report, [this] { PublishView(); })) {
+  const bool is_accepted = report.leaving || !IsStoreSteady();
+  if (is_accepted && m_servers.NoteServerNews(report, [this] { PublishView(); })) {
     m_reports.TellServerNews(report);
     PublishView();
   }
