--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -78,7 +78,7 @@
   return view;
 }
 
-/** A store whose watches the test answers one by one; all other calls are answered after kDelay. */
+/** A store with a working compare-and-swap. Tests answer its watches one by one. */
 class HeldStore final : public PlatformStore {
  public:
   explicit HeldStore(VirtualTime& time) : m_time(time) {}
