--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -23,7 +23,7 @@
 constexpr int kDomains = 4;
 constexpr int kChainsOfDomain = 4;
 
-/** Of 25 requests of an instance in ten seconds each lasts two: what the large deployment has. */
+// Load of a large deployment: each instance gets 25 requests in ten seconds.
 constexpr Duration kBetweenRequests = milliseconds(4);
 constexpr Duration kRequestLasts = seconds(2);
 constexpr Duration kBetweenReports = milliseconds(400);
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-/** A hundred instances that choose paths through sixteen equal chains, three engines each, and hear
-   of each other's loads every 400 ms. */
+/** Simulates 100 instances that choose paths through 16 equal chains of three engines and exchange
+    load reports every 400 ms. */
 TEST_GROUP(Crowd) {
   struct Chooser {
     Chooser(VirtualTime& time, int number)
@@ -124,8 +124,8 @@
     }
   }
 
-  /** The most that one server begins between two reports, in parts of the mean; worst of the last
-      five seconds of eight. */
+  /** Maximum number of requests that one first server gets between two reports, relative to the
+      mean, over the last five of eight seconds. */
   double BusiestOverMean() {
     RandomSource random(7);
     double worst = 0.0;
@@ -151,14 +151,13 @@
   }
 };
 
-// Symptom: first events are late on a calm day while most engines idle. Sequence: all instances
-// hear the same loads; until the next report all send to the chain that was emptiest. Cause: the
-// best path chosen by everybody. One chain of sixteen got 10.2 times the mean; 2.6 with chance.
+// Guards against herding: all instances see the same loads and send to the least loaded chain until
+// the next report.
 TEST(Crowd, NoChainGetsMostRequestsBetweenTwoReports) {
   CHECK_TRUE(BusiestOverMean() < 4.0);
 }
 
-TEST(Crowd, AFewFirstServersAreDrawnMostlyNear) {
+TEST(Crowd, SampledFirstServersAreMostlyNear) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
   std::vector<bool> is_near(20, false);
@@ -175,17 +174,15 @@
   CHECK_TRUE(*std::min_element(counts.begin(), counts.end()) > 10);
 }
 
-TEST(Crowd, AnInstanceWithoutFirstServersNearbyLooksElsewhere) {
+TEST(Crowd, WithoutNearFirstServersRemoteOnesAreSampled) {
   RandomSource random(3);
   const std::vector<bool> drawn =
       FirstServerSampler(random).Draw(std::vector<bool>(12, false), std::vector<bool>(12, false));
   CHECK_EQUAL(3, std::count(drawn.begin(), drawn.end(), true));
 }
 
-// Symptom: two in five streams make a new connection. Sequence: an instance's requests go to a
-// first server drawn anew each time, and a connection that was kept is not wanted again until it is
-// too old. Cause: draws that do not know of it.
-TEST(Crowd, ANearFirstServerWithAnUnusedConnectionIsLookedAtToo) {
+// Guards against idle connections that expire because the samples rarely include their servers.
+TEST(Crowd, NearFirstServerWithAnUnusedConnectionIsAlwaysSampled) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
   std::vector<bool> is_near(20, false);
@@ -202,18 +199,16 @@
   CHECK_TRUE(far_looks < 25);
 }
 
-TEST(Crowd, FewFirstServersAreAllLookedAt) {
+TEST(Crowd, FewFirstServersAreAllSampled) {
   RandomSource random(3);
   const std::vector<bool> drawn =
       FirstServerSampler(random).Draw({true, false, false, true}, {true, false, false, false});
   CHECK_EQUAL(4, std::count(drawn.begin(), drawn.end(), true));
 }
 
-// Symptom: after all instances ended together callers are refused and answers begin late, though
-// most of the pool idles: of 955 requests 523 passed through one chain that has memory for some
-// 150. Sequence: the instances start again, callers come back at once, nobody has heard of the
-// others' requests yet. Cause: own requests taken for all there are.
-TEST(Crowd, WhoHasHeardNothingTakesItsPeersToChooseAsItDoes) {
+// Guards against overloading one chain after a restart of all instances, when none of them has yet
+// received the others' loads.
+TEST(Crowd, WithoutReportsPeersAreAssumedToChooseAlike) {
   constexpr int kMiddleChains = 6;
   constexpr std::uint32_t kStages = 5;
   std::vector<ServerEntry> servers = {EngineServer("fast-0", "fast", "domain0", {0, 27}),
@@ -240,13 +235,13 @@
   const EngineProfile engine = MixedEngine();
   for (const auto& [server, token_layers] : used) {
     const double capacity = TokenLayerCapacity(engine, view.servers.at(server));
-    CHECK_TEXT(token_layers < 2.5 * capacity, server.c_str());  // 3.4 without the guess.
+    CHECK_TEXT(token_layers < 2.5 * capacity,
+               server.c_str());  // 3.4 without the estimate of peers' loads.
   }
 }
 
-// Symptom: an instance refuses requests that fit. Cause: peers that do little are taken, for ever,
-// for peers that do as much as itself.
-TEST(Crowd, PeersAreGuessedOnlyForAMomentAfterTheStart) {
+// Guards against refusing requests because idle peers are permanently estimated to be busy.
+TEST(Crowd, PeersLoadsAreEstimatedOnlyShortlyAfterTheStart) {
   LoadBook& loads = choosers[0]->loads;
   loads.Add("s", 100);
   CHECK_TRUE(loads.UseOf("s").token_layers > 1'000);
