--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -63,9 +63,8 @@
   CHECK_FALSE(splitter.HasPartialEvent());
 }
 
-// Symptom: a caller gets one event made of two halves. Sequence: a server breaks off within event
-// 3, another goes on with event 3. Cause: the first half was kept and joined to the second.
-TEST(EventSplitting, ADroppedPartIsNotJoinedToTheNextServersEvent) {
+// Guards against joining a partial event to the event with which another server resumes the stream.
+TEST(EventSplitting, DroppedPartialEventIsNotJoinedToTheNextServersEvent) {
   splitter.Take("id: 2\ndata: b\n\nid: 3\ndata: br");
   splitter.DropPartialEvent();
   STRCMP_EQUAL("id: 3\ndata: whole\n\n", splitter.Take("id: 3\ndata: whole\n\n").c_str());
@@ -85,8 +84,7 @@
   }
 };
 
-// Symptom: a booking made twice. Sequence: a server takes the request and its answer is lost; the
-// request is sent to a second one. Cause: an unknown outcome taken for "not run".
+// Guards against running a request twice because its answer was lost.
 TEST(RetryDecision, UnknownOutcomeOfANonIdempotentRequestIsNeverSentAgain) {
   route.repeatability = Repeatability::kNonIdempotent;
   CHECK_TRUE(NextStep::kFail == Decide(SendOutcome::kUnknown));
@@ -95,9 +93,8 @@
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kNotSent));
 }
 
-// Symptom: "not run" said of a request that ran. Sequence: a first server's answer is lost, a
-// second refuses. Cause: only the last outcome is looked at.
-TEST(RetryDecision, ARefusalAfterAnUnknownOutcomeIsNoPromise) {
+// Guards against reporting "not run" when one server's answer was lost and a second one refused.
+TEST(RetryDecision, RefusalAfterAnUnknownOutcomeIsNotReportedAsNotRun) {
   route.repeatability = Repeatability::kIdempotent;
   history.servers_reached = 2;
   history.may_have_run = true;
@@ -106,7 +103,7 @@
   CHECK_TRUE(NextStep::kRefuse == Decide(SendOutcome::kNotRun));
 }
 
-TEST(RetryDecision, KeepsTheRoutesNumberOfServersAndTheTime) {
+TEST(RetryDecision, ObeysTheRoutesLimitsOfServersAndTime) {
   route.repeatability = Repeatability::kIdempotent;
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kUnknown));
   history.servers_reached = 2;
@@ -116,7 +113,7 @@
   CHECK_TRUE(NextStep::kFail == Decide(SendOutcome::kUnknown));
 }
 
-TEST(RetryDecision, OnlyResumableStreamsGoOn) {
+TEST(RetryDecision, OnlyResumableStreamsAreRetried) {
   route.repeatability = Repeatability::kStream;
   CHECK_TRUE(NextStep::kFail == Decide(SendOutcome::kUnknown));
   route.resumable = true;
@@ -142,8 +139,7 @@
   }
 };
 
-// Guards against survivors that spend the parts of those that restart, who come back and spend them
-// again.
+// Guards against a budget that is spent twice: by the survivors, and by restarted instances.
 TEST(RetryBudgetOfAll, HoldsWhileMostInstancesRestart) {
   constexpr std::size_t kInstances = 9;
   constexpr std::size_t kSurvivors = 4;
@@ -179,8 +175,7 @@
   CHECK_TRUE(spent <= 100);
 }
 
-// Symptom: a failing service gets several times its load. Sequence: nine instances each spend the
-// whole slack. Cause: the bound kept by each instead of by all.
+// Guards against each instance spending the whole budget.
 TEST(RetryBudgetOfAll, NineInstancesTogetherStayWithinTheSlack) {
   CHECK_TRUE(SpendAll(9) * 9 <= 100);
   CHECK_TRUE(SpendAll(9) == 0);
@@ -225,11 +220,8 @@
   }
 };
 
-// Symptom: eleven seconds in which each instance tries a dead server several times a second, and
-// callers are refused. Sequence: a server dies while the store is away, so that its entry stays; it
-// is left for a moment, then all waiting requests try it at once. Cause: the end of an exclusion
-// taken for a recovery.
-TEST(ServerChoice, ASuspectIsTriedByOneRequestAtATimeUntilOneGetsThrough) {
+// Guards against all waiting requests trying a dead server at once when its exclusion ends.
+TEST(ServerChoice, SuspectIsTriedByOneRequestAtATimeUntilOneSucceeds) {
   health.Suspect("a", seconds(3));
   CHECK_TRUE(health.IsExcluded("a"));
   time.AdvanceBy(milliseconds(3'100));
@@ -247,15 +239,13 @@
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
-// Symptom: as long as the store is away each instance sends a request to each dead server every
-// three seconds, and its caller waits for nothing. Sequence: a server dies in an outage, its entry
-// stays. Cause: callers' requests used to find out whether it is back.
-TEST(ServerChoice, ASuspectIsAskedBeforeARequestTriesIt) {
+// Guards against using callers' requests to check whether a dead server has recovered.
+TEST(ServerChoice, SuspectIsProbedBeforeARequestTriesIt) {
   health.Suspect("a", seconds(3));
   CHECK_TRUE(health.TakeSuspectsToAsk().empty());
   time.AdvanceBy(milliseconds(3'100));
   CHECK_EQUAL(1U, health.TakeSuspectsToAsk().size());
-  CHECK_TRUE(health.TakeSuspectsToAsk().empty());  // A question costs a call.
+  CHECK_TRUE(health.TakeSuspectsToAsk().empty());  // Probes are rate-limited.
   time.AdvanceBy(seconds(60));
   CHECK_TRUE(health.IsExcluded("a"));
   CHECK_EQUAL(1U, health.TakeSuspectsToAsk().size());
@@ -263,14 +253,13 @@
   time.AdvanceBy(seconds(2));
   CHECK_TRUE(health.TakeSuspectsToAsk().empty());
   CHECK_FALSE(health.IsExcluded("a"));
-  health.Suspect("a", seconds(3));  // It was silent again.
+  health.Suspect("a", seconds(3));  // It stopped responding again.
   time.AdvanceBy(seconds(4));
   CHECK_TRUE(health.IsExcluded("a"));
 }
 
-// Symptom: for nine seconds every answer is late by its pauses. Sequence: one server of each chain
-// becomes eight times slower, and all requests go on through them. Cause: nobody asked.
-TEST(ServerChoice, ASlowServersWordCountsForAWhileAndIsAskedForSeldom) {
+// Guards against sending on through servers that have become several times slower.
+TEST(ServerChoice, SlowdownReportExpiresAndIsRequestedRarely) {
   CHECK_TRUE(health.TakePaceQuestion("a"));
   CHECK_FALSE(health.TakePaceQuestion("a"));
   health.NotePace({"a", 8.0, {}});
@@ -285,7 +274,7 @@
   CHECK_TRUE(health.SlowServers().empty());
 }
 
-TEST(ServerChoice, AServerThatKeepsRefusingIsLeftForLonger) {
+TEST(ServerChoice, RepeatedRefusalsExtendTheExclusion) {
   health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
   health.ExcludeLonger("a", milliseconds(200), milliseconds(1'600));
   time.AdvanceBy(milliseconds(250));
@@ -300,14 +289,14 @@
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
-TEST(ServerChoice, AServerThatIsNotSuspectIsTriedByAll) {
+TEST(ServerChoice, ServerThatIsNotSuspectIsTriedByAllRequests) {
   health.Exclude("a", milliseconds(200));
   time.AdvanceBy(milliseconds(300));
   health.OnTried("a");
   CHECK_FALSE(health.IsExcluded("a"));
 }
 
-TEST(ServerChoice, TakesTheEmptiestOfAllInstancesLoads) {
+TEST(ServerChoice, ChoosesTheLeastLoadedServerOverAllInstances) {
   loads.Add("a", 0);
   loads.SetDomainUses("peer", {{"b", {3, 0}}});
   STRCMP_EQUAL("c", Choose().c_str());
@@ -316,11 +305,9 @@
   STRCMP_EQUAL("a", Choose().c_str());
 }
 
-// Symptom: an instance refuses for want of memory that nobody uses. Sequence: instances restart in
-// turn, and one takes a third of all traffic meanwhile. Cause: eight peers counted as choosing as
-// often as itself, 4.8 requests for each of its own, where they choose twice as often together.
-TEST(ServerChoice, WhatPeersChooseAtTheSameTimeGoesByTheirReportedShare) {
-  time.AdvanceBy(seconds(2));  // It runs for a while: see Crowd for one that has just started.
+// Guards against refusing requests because the concurrent load of idle peers is overestimated.
+TEST(ServerChoice, EstimatedLoadOfPeersFollowsTheirReportedShare) {
+  time.AdvanceBy(seconds(2));  // Crowd covers the time just after the start.
   loads.SetPeerCount(8);
   for (int request = 0; request < 10; ++request) {
     loads.Add("a", 100);
@@ -330,19 +317,19 @@
   CHECK_TRUE(reserved > 1'000);
   CHECK_TRUE(reserved <= 1'000 + 0.6 * 2 * 1'000 + 1);
   loads.SetDomainUses("peer", {{"b", {400, 0, 400}}});
-  CHECK_TRUE(loads.UseOf("a").token_layers > 5'000);  // As often as itself, and no more.
+  CHECK_TRUE(loads.UseOf("a").token_layers >
+             5'000);  // At most the instance's own rate for each peer.
   CHECK_TRUE(loads.UseOf("a").token_layers < 6'000);
 }
 
-// Symptom: servers idle while all instances refuse. Sequence: an instance dies with requests in its
-// last report. Cause: reports of the dead counted for ever.
-TEST(ServerChoice, ReportsOfSilentPeersAreForgotten) {
+// Guards against counting the last reported load of a failed instance forever.
+TEST(ServerChoice, ReportsOfUnresponsivePeersExpire) {
   loads.SetDomainUses("dead", {{"a", {60, 0}}, {"b", {60, 0}}, {"c", {60, 0}}});
   time.AdvanceBy(seconds(4));
   CHECK_EQUAL(0, loads.UseOf("a").requests);
 }
 
-TEST(ServerChoice, AvoidsServersThatFailThoughTheyLookEmpty) {
+TEST(ServerChoice, AvoidsFailingServersWithLowLoad) {
   for (int outcome = 0; outcome < 5; ++outcome) {
     health.OnOutcome("a", false);
     health.OnOutcome("b", true);
@@ -355,7 +342,7 @@
   STRCMP_EQUAL("a", Choose().c_str());
 }
 
-TEST(ServerChoice, DrainingAndTriedServersGetNothing) {
+TEST(ServerChoice, DrainingAndAvoidedServersAreNotChosen) {
   view.servers["a"].draining = true;
   STRCMP_EQUAL("none", Choose({"b", "c"}).c_str());
 }
