--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -21,7 +21,7 @@
 
 constexpr int kInstances = 100;
 constexpr int kDomains = 4;
-constexpr int kChainsOfDomain = 4;
+constexpr int kChainsPerDomain = 4;
 
 // Load of a large deployment: each instance gets 25 requests in ten seconds.
 constexpr Duration kBetweenRequests = milliseconds(4);
@@ -70,7 +70,7 @@
 
   void setup() override {
     std::vector<ServerEntry> servers;
-    for (int chain = 0; chain < kDomains * kChainsOfDomain; ++chain) {
+    for (int chain = 0; chain < kDomains * kChainsPerDomain; ++chain) {
       const std::string name = "c" + std::to_string(chain);
       servers.push_back(EngineServer(name + "-0", "fast", DomainOf(chain), {0, 27}));
       servers.push_back(EngineServer(name + "-1", "fast", DomainOf(chain), {27, 54}));
@@ -142,7 +142,7 @@
       const auto busiest = std::max_element(
           begun.begin(), begun.end(),
           [](const auto& one, const auto& other) { return one.second < other.second; });
-      const double mean = static_cast<double>(requests) / (kDomains * kChainsOfDomain);
+      const double mean = static_cast<double>(requests) / (kDomains * kChainsPerDomain);
       if (report * kBetweenReports >= seconds(3)) {
         worst = std::max(worst, busiest->second / mean);
       }
