--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -24,7 +24,7 @@
 constexpr int kChainsPerDomain = 4;
 
 // Load of a large deployment: each instance gets 25 requests in ten seconds.
-constexpr Duration kBetweenRequests = milliseconds(4);
+constexpr Duration kRequestInterval = milliseconds(4);
 constexpr Duration kRequestLasts = seconds(2);
 constexpr Duration kBetweenReports = milliseconds(400);
 
@@ -133,11 +133,11 @@
     for (int report = 0; report < reports; ++report) {
       Report();
       begun.clear();
-      const int requests = static_cast<int>(kBetweenReports / kBetweenRequests);
+      const int requests = static_cast<int>(kBetweenReports / kRequestInterval);
       for (int request = 0; request < requests; ++request) {
         EndThoseThatAreDone();
         Begin(static_cast<int>(RandomBelow(random, kInstances)));
-        time.AdvanceBy(kBetweenRequests);
+        time.AdvanceBy(kRequestInterval);
       }
       const auto busiest = std::max_element(
           begun.begin(), begun.end(),
