--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -25,7 +25,7 @@
 
 // Load of a large deployment: each instance gets 25 requests in ten seconds.
 constexpr Duration kRequestInterval = milliseconds(4);
-constexpr Duration kRequestLasts = seconds(2);
+constexpr Duration kRequestDuration = seconds(2);
 constexpr Duration kBetweenReports = milliseconds(400);
 
 std::string DomainOf(int number) {
@@ -111,7 +111,7 @@
       chooser.loads.Add(part.server, 960.0 * part.layers.Count(), part.layers.first == 0);
     }
     ++begun[found->path.front().server];
-    running.push_back({time.Now() + kRequestLasts, number, found->path});
+    running.push_back({time.Now() + kRequestDuration, number, found->path});
   }
 
   void EndThoseThatAreDone() {
