--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -26,7 +26,7 @@
 // Load of a large deployment: each instance gets 25 requests in ten seconds.
 constexpr Duration kRequestInterval = milliseconds(4);
 constexpr Duration kRequestDuration = seconds(2);
-constexpr Duration kBetweenReports = milliseconds(400);
+constexpr Duration kReportInterval = milliseconds(400);
 
 std::string DomainOf(int number) {
   return "domain" + std::to_string(number % kDomains);
@@ -129,11 +129,11 @@
   double BusiestOverMean() {
     RandomSource random(7);
     double worst = 0.0;
-    const int reports = static_cast<int>(seconds(8) / kBetweenReports);
+    const int reports = static_cast<int>(seconds(8) / kReportInterval);
     for (int report = 0; report < reports; ++report) {
       Report();
       begun.clear();
-      const int requests = static_cast<int>(kBetweenReports / kRequestInterval);
+      const int requests = static_cast<int>(kReportInterval / kRequestInterval);
       for (int request = 0; request < requests; ++request) {
         EndThoseThatAreDone();
         Begin(static_cast<int>(RandomBelow(random, kInstances)));
@@ -143,7 +143,7 @@
           begun.begin(), begun.end(),
           [](const auto& one, const auto& other) { return one.second < other.second; });
       const double mean = static_cast<double>(requests) / (kDomains * kChainsPerDomain);
-      if (report * kBetweenReports >= seconds(3)) {
+      if (report * kReportInterval >= seconds(3)) {
         worst = std::max(worst, busiest->second / mean);
       }
     }
