--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -114,7 +114,7 @@
     running.push_back({time.Now() + kRequestDuration, number, found->path});
   }
 
-  void EndThoseThatAreDone() {
+  void EndFinishedRequests() {
     while (!running.empty() && running.front().ends_at <= time.Now()) {
       for (const PathPart& part : running.front().path) {
         choosers[running.front().chooser]->loads.Remove(part.server, 960.0 * part.layers.Count(),
@@ -135,7 +135,7 @@
       begun.clear();
       const int requests = static_cast<int>(kReportInterval / kRequestInterval);
       for (int request = 0; request < requests; ++request) {
-        EndThoseThatAreDone();
+        EndFinishedRequests();
         Begin(static_cast<int>(RandomBelow(random, kInstances)));
         time.AdvanceBy(kRequestInterval);
       }
