--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -55,7 +55,7 @@
     NamedConnections connections;
     PathFinder finder{loads, health, limits, pipe, connections, random};
   };
-  struct Running {
+  struct RunningRequest {
     TimePoint ends_at;
     int chooser;
     LayerPath path;
@@ -63,7 +63,7 @@
 
   VirtualTime time;
   std::vector<std::unique_ptr<Chooser>> choosers;
-  std::deque<Running> running;
+  std::deque<RunningRequest> running;
   std::map<BackendServerName, int> begun;
   ForwardingView view;
   const GenerationSize size{760, 200};
