--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -83,7 +83,7 @@
     }
   }
 
-  void Report() {
+  void ExchangeLoadReports() {
     LoadBook::Uses sum;
     for (const auto& chooser : choosers) {
       for (const auto& [server, use] : chooser->loads.Own()) {
@@ -131,7 +131,7 @@
     double worst = 0.0;
     const int reports = static_cast<int>(seconds(8) / kReportInterval);
     for (int report = 0; report < reports; ++report) {
-      Report();
+      ExchangeLoadReports();
       begun.clear();
       const int requests = static_cast<int>(kReportInterval / kRequestInterval);
       for (int request = 0; request < requests; ++request) {
