--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -222,9 +222,9 @@
   }
   view = ViewOf(servers);
   view.live_instances = kInstances;
-  constexpr int kRequestsOfEach = 5;
+  constexpr int kRequestsPerInstance = 5;
   std::map<BackendServerName, double> used;
-  for (int request = 0; request < kRequestsOfEach; ++request) {
+  for (int request = 0; request < kRequestsPerInstance; ++request) {
     for (int number = 0; number < kInstances; ++number) {
       Begin(number);
       for (const PathPart& part : running.back().path) {
