--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -190,13 +190,13 @@
   std::vector<bool> has_connection(20, false);
   has_connection[4] = true;
   has_connection[15] = true;
-  int far_looks = 0;
+  int far_samples = 0;
   for (int draw = 0; draw < 50; ++draw) {
     const std::vector<bool> drawn = sampler.Draw(is_near, has_connection);
     CHECK_TRUE(drawn[4]);
-    far_looks += drawn[15] ? 1 : 0;
+    far_samples += drawn[15] ? 1 : 0;
   }
-  CHECK_TRUE(far_looks < 25);
+  CHECK_TRUE(far_samples < 25);
 }
 
 TEST(Crowd, FewFirstServersAreAllSampled) {
