--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -120,7 +120,7 @@
   CHECK_TRUE(NextStep::kSendAgain == Decide(SendOutcome::kUnknown));
 }
 
-TEST_GROUP(RetryBudgetOfAll) {
+TEST_GROUP(RetryBudget) {
   VirtualTime time;
   SharedRetryBudget budget{time, {0.2, 100.0, seconds(10)}};
 
@@ -140,7 +140,7 @@
 };
 
 // Guards against a budget that is spent twice: by the survivors, and by restarted instances.
-TEST(RetryBudgetOfAll, HoldsWhileMostInstancesRestart) {
+TEST(RetryBudget, HoldsWhileMostInstancesRestart) {
   constexpr std::size_t kInstances = 9;
   constexpr std::size_t kSurvivors = 4;
   std::vector<Instance> all(kInstances);
@@ -176,12 +176,12 @@
 }
 
 // Guards against each instance spending the whole budget.
-TEST(RetryBudgetOfAll, NineInstancesTogetherStayWithinTheSlack) {
+TEST(RetryBudget, NineInstancesTogetherStayWithinTheSlack) {
   CHECK_TRUE(SpendAll(9) * 9 <= 100);
   CHECK_TRUE(SpendAll(9) == 0);
 }
 
-TEST(RetryBudgetOfAll, GrowsWithRequestsAndComesBackAfterTheWindow) {
+TEST(RetryBudget, GrowsWithRequestsAndComesBackAfterTheWindow) {
   const int without = SpendAll(10);
   for (int request = 0; request < 100; ++request) {
     budget.OnRequest("plain");
