--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -176,7 +176,7 @@
 }
 
 // Guards against each instance spending the whole budget.
-TEST(RetryBudget, NineInstancesTogetherStayWithinTheSlack) {
+TEST(RetryBudget, NineInstancesTogetherStayWithinTheBudget) {
   CHECK_TRUE(SpendAll(9) * 9 <= 100);
   CHECK_TRUE(SpendAll(9) == 0);
 }
