--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -181,7 +181,7 @@
   CHECK_TRUE(SpendAll(9) == 0);
 }
 
-TEST(RetryBudget, GrowsWithRequestsAndComesBackAfterTheWindow) {
+TEST(RetryBudget, GrowsWithRequestsAndRecoversAfterTheWindow) {
   const int without = SpendAll(10);
   for (int request = 0; request < 100; ++request) {
     budget.OnRequest("plain");
