--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -140,7 +140,7 @@
 };
 
 // Guards against a budget that is spent twice: by the survivors, and by restarted instances.
-TEST(RetryBudget, HoldsWhileMostInstancesRestart) {
+TEST(RetryBudget, IsKeptWhileMostInstancesRestart) {
   constexpr std::size_t kInstances = 9;
   constexpr std::size_t kSurvivors = 4;
   std::vector<Instance> all(kInstances);
