--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -317,8 +317,7 @@
   CHECK_TRUE(reserved > 1'000);
   CHECK_TRUE(reserved <= 1'000 + 0.6 * 2 * 1'000 + 1);
   loads.SetDomainUses("peer", {{"b", {400, 0, 400}}});
-  CHECK_TRUE(loads.UseOf("a").token_layers >
-             5'000);  // At most the instance's own rate for each peer.
+  CHECK_TRUE(loads.UseOf("a").token_layers > 5'000);  // Estimated at no more than the own rate.
   CHECK_TRUE(loads.UseOf("a").token_layers < 6'000);
 }
 
