--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -36,7 +36,7 @@
 
 /** Simulates 100 instances that choose paths through 16 equal chains of three engines and exchange
     load reports every 400 ms. */
-TEST_GROUP(Crowd) {
+TEST_GROUP(LoadSpreading) {
   struct Chooser {
     Chooser(VirtualTime& time, int number)
         : loads(time),
@@ -153,11 +153,11 @@
 
 // Guards against herding: all instances see the same loads and send to the least loaded chain until
 // the next report.
-TEST(Crowd, NoChainGetsMostRequestsBetweenTwoReports) {
+TEST(LoadSpreading, NoChainGetsMostRequestsBetweenTwoReports) {
   CHECK_TRUE(BusiestOverMean() < 4.0);
 }
 
-TEST(Crowd, SampledFirstServersAreMostlyNear) {
+TEST(LoadSpreading, SampledFirstServersAreMostlyNear) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
   std::vector<bool> is_near(20, false);
@@ -174,7 +174,7 @@
   CHECK_TRUE(*std::min_element(counts.begin(), counts.end()) > 10);
 }
 
-TEST(Crowd, WithoutNearFirstServersRemoteOnesAreSampled) {
+TEST(LoadSpreading, WithoutNearFirstServersRemoteOnesAreSampled) {
   RandomSource random(3);
   const std::vector<bool> drawn =
       FirstServerSampler(random).Draw(std::vector<bool>(12, false), std::vector<bool>(12, false));
@@ -182,7 +182,7 @@
 }
 
 // Guards against idle connections that expire because the samples rarely include their servers.
-TEST(Crowd, NearFirstServerWithAnUnusedConnectionIsAlwaysSampled) {
+TEST(LoadSpreading, NearFirstServerWithAnUnusedConnectionIsAlwaysSampled) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
   std::vector<bool> is_near(20, false);
@@ -199,7 +199,7 @@
   CHECK_TRUE(far_samples < 25);
 }
 
-TEST(Crowd, FewFirstServersAreAllSampled) {
+TEST(LoadSpreading, FewFirstServersAreAllSampled) {
   RandomSource random(3);
   const std::vector<bool> drawn =
       FirstServerSampler(random).Draw({true, false, false, true}, {true, false, false, false});
@@ -208,7 +208,7 @@
 
 // Guards against overloading one chain after a restart of all instances, when none of them has yet
 // received the others' loads.
-TEST(Crowd, WithoutReportsPeersAreAssumedToChooseAlike) {
+TEST(LoadSpreading, WithoutReportsPeersAreAssumedToChooseAlike) {
   constexpr int kMiddleChains = 6;
   constexpr std::uint32_t kStages = 5;
   std::vector<ServerEntry> servers = {EngineServer("fast-0", "fast", "domain0", {0, 27}),
@@ -241,7 +241,7 @@
 }
 
 // Guards against refusing requests because idle peers are permanently estimated to be busy.
-TEST(Crowd, PeersLoadsAreEstimatedOnlyShortlyAfterTheStart) {
+TEST(LoadSpreading, PeersLoadsAreEstimatedOnlyShortlyAfterTheStart) {
   LoadBook& loads = choosers[0]->loads;
   loads.Add("s", 100);
   CHECK_TRUE(loads.UseOf("s").token_layers > 1'000);
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -307,7 +307,7 @@
 
 // Guards against refusing requests because the concurrent load of idle peers is overestimated.
 TEST(ServerChoice, EstimatedLoadOfPeersFollowsTheirReportedShare) {
-  time.AdvanceBy(seconds(2));  // Crowd covers the time just after the start.
+  time.AdvanceBy(seconds(2));  // LoadSpreading covers the time just after the start.
   loads.SetPeerCount(8);
   for (int request = 0; request < 10; ++request) {
     loads.Add("a", 100);
