--- a/packages/zinnia_decisions/forwarding/event_splitter.h
+++ b/packages/zinnia_decisions/forwarding/event_splitter.h
@@ -9,8 +9,8 @@
 
 /** Splits a stream of server-sent events into complete events.
 
-    If a server fails in the middle of an event, the caller must not receive the partial event,
-   since a stream resumed by another server would be appended to it.
+    If a server fails in the middle of an event, the caller must not receive the partial event. A
+    stream resumed by another server would be appended to it.
 */
 class EventSplitter {
  public:
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.h
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.h
@@ -49,8 +49,7 @@
   /** Handles a peer's report. Returns whether the change should be reported to peers at once. */
   bool OnReport(const ServerLimitReport& report);
 
-  /** Returns rows for the next report to peers: recent changes first, then other servers in turn.
-   */
+  /** Returns the next report's rows: recent changes first, then other servers in turn. */
   std::vector<ServerLimitReport> TakeReports();
 
   void OnSent(const BackendServerName& server);
