--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -19,8 +19,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Simulates instances in three failure domains that send to one server within its limit. They
-   learn the limit from its answers and from each other's reports. */
+/** Simulates instances in three failure domains that send to one server. They learn its limit from
+    its answers and from each other's reports. */
 struct LimitedFleet {
   static constexpr Duration kStep = milliseconds(10);
   static constexpr Duration kAnswerDelay = milliseconds(60);
