--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -40,7 +40,7 @@
   };
   struct PendingReport {
     TimePoint due{};
-    ServerLimitReport report;
+    ServerLimitReport limit_report;
   };
 
   LimitedFleet(const LimitDivision& chosen_division, std::size_t count, double demand)
@@ -113,7 +113,7 @@
     while (!reports_in_flight.empty() && reports_in_flight.front().due <= time.Now()) {
       for (const auto& member : members) {
         if (!member->is_partitioned) {
-          member->limits->OnReport(reports_in_flight.front().report);
+          member->limits->OnReport(reports_in_flight.front().limit_report);
         }
       }
       reports_in_flight.pop_front();
