--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -207,9 +207,9 @@
       for (const auto& member : fleet.members) {
         member->requests_per_second = 100.0;
       }
-      const TimePoint rush_at = fleet.time.Now();
+      const TimePoint burst_started_at = fleet.time.Now();
       fleet.Run(seconds(10));
-      CHECK_TRUE(fleet.MaxInWindow(rush_at) <= fleet.MaxAllowedInWindow());
+      CHECK_TRUE(fleet.MaxInWindow(burst_started_at) <= fleet.MaxAllowedInWindow());
     }
   }
 }
