--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -12,8 +12,7 @@
 using std::chrono::milliseconds;
 
 TEST_GROUP(Control) {
-  /** Reads entries of the form "START END": the start time and the end of the layer range [0, END).
-   */
+  /** Reads entries of the form "START END": the start time and the end of the layers. */
   struct Reader final : RecordReader {
     bool IsConfiguration(const std::string& key) const override { return key == "configuration"; }
     std::optional<std::string> RegistrationOf(const std::string& key) const override {
