--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -13,7 +13,7 @@
 #include "zinnia_adapters/forwarding/server_connection_pool.h"
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
@@ -133,7 +133,7 @@
   m_is_streaming = false;
   m_path_proved = false;
   m_body.clear();
-  m_events.DropPart();
+  m_events.DropPartialEvent();
   m_last_progress = m_parts.clock.Now();
   m_sent_at = m_last_progress;
   ++m_history.servers_reached;
@@ -229,7 +229,7 @@
     OnWholeAnswer();
     return;
   }
-  if (m_events.HasPart()) {
+  if (m_events.HasPartialEvent()) {
     OnSendEnded(SendOutcome::kUnknown, "the stream ended within an event");
     return;
   }
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -11,9 +11,9 @@
 #include "zinnia_adapters/forwarding/server_connection.h"
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/limits/limit_outlook.h"
+#include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 // The part of ForwardExchange that ends a request: what its caller gets, and when to come back.
@@ -81,7 +81,7 @@
 
 void ForwardExchange::Answer(const Error& error) {
   CallerResponse response = MakeProblemResponse(error);
-  const LimitOutlook limits = OutlookOfLimits();
+  const LimitAvailability limits = OutlookOfLimits();
   if (error.was_run == WasRun::kUnknown) {
     response.result(error.kind == ErrorKind::kBackendTimeout ? http::status::gateway_timeout
                                                              : http::status::bad_gateway);
@@ -92,8 +92,8 @@
     Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefWant;
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoRules;
-    } else if (limits.all_closed) {
-      soonest = std::max(kRetryAfterBriefWant, limits.next_turn.value_or(kRetryAfterNoTurn));
+    } else if (limits.all_at_limit) {
+      soonest = std::max(kRetryAfterBriefWant, limits.next_permit_in.value_or(kRetryAfterNoTurn));
     }
     const double spread = 1.0 + kRetryAfterSpread * RandomUnit(m_parts.random);
     response.set(http::field::retry_after,
@@ -106,7 +106,7 @@
                       {"reason", error.message},
                       {"was_run", std::string(NameOf(error.was_run))},
                       {"status", std::to_string(response.result_int())},
-                      {"at_limit", limits.all_closed ? "yes" : "no"},
+                      {"at_limit", limits.all_at_limit ? "yes" : "no"},
                       {"revision", std::to_string(m_parts.view()->revision)}});
   m_responder->SendWhole(std::move(response));
   End("refused");
@@ -119,8 +119,8 @@
   if (m_connection) {
     std::exchange(m_connection, nullptr)->Close();
   }
-  if (m_room_ticket != RoomQueue::kNoTicket) {
-    m_parts.room.Leave(std::exchange(m_room_ticket, RoomQueue::kNoTicket));
+  if (m_room_ticket != CapacityQueue::kNoTicket) {
+    m_parts.room.Leave(std::exchange(m_room_ticket, CapacityQueue::kNoTicket));
   }
   ReleaseReservations();
   m_parts.logger.Log(LogLevel::kInfo, "request_ended",
@@ -135,7 +135,7 @@
 }
 
 void ForwardExchange::OnDeadline() {
-  if (m_room_ticket != RoomQueue::kNoTicket) {
+  if (m_room_ticket != CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
     return;
   }
@@ -154,7 +154,7 @@
   if (m_stream_started) {
     m_responder->CutOff();
     End("instance_stops");
-  } else if (m_awaits_rules || m_room_ticket != RoomQueue::kNoTicket) {
+  } else if (m_awaits_rules || m_room_ticket != CapacityQueue::kNoTicket) {
     Answer(NotRun(ErrorKind::kStoreUnavailable, "this instance stops"));
   } else {
     Answer(PerhapsRun(ErrorKind::kBackendUnavailable,
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -9,9 +9,9 @@
 #include "zinnia_adapters/forwarding/forward_outcomes.h"
 #include "zinnia_adapters/forwarding/log_text.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/limits/limit_outlook.h"
+#include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/ports/metrics.h"
 
@@ -33,27 +33,27 @@
     const TimePoint on_time_until = m_started_at + m_route->latency_objective / 2;
     m_room_ticket = m_parts.room.Enter({m_route->priority, m_started_at, on_time_until});
   }
-  if (m_room_ticket == RoomQueue::kNoTicket) {
+  if (m_room_ticket == CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
   }
 }
 
 void ForwardExchange::RefuseForWantOfRoom() {
-  const bool is_limit = OutlookOfLimits().all_closed;
+  const bool is_limit = OutlookOfLimits().all_at_limit;
   Answer(NotRun(ErrorKind::kOverloaded,
                 is_limit ? "every server of " + m_service + " has as many requests as it takes"
                          : "no server of " + m_service + " has room"));
 }
 
-LimitOutlook ForwardExchange::OutlookOfLimits() const {
-  return LookAtLimits(*m_parts.view(), m_service, m_avoided, m_parts.limits);
+LimitAvailability ForwardExchange::OutlookOfLimits() const {
+  return FindLimitAvailability(*m_parts.view(), m_service, m_avoided, m_parts.limits);
 }
 
 bool ForwardExchange::TryToBegin() {
   if (m_ended || !ChooseServer()) {
     return false;
   }
-  m_parts.room.Leave(std::exchange(m_room_ticket, RoomQueue::kNoTicket));
+  m_parts.room.Leave(std::exchange(m_room_ticket, CapacityQueue::kNoTicket));
   m_parts.logger.Log(
       LogLevel::kInfo, "request_waited_for_room",
       {{"request", m_facts.id}, {"waited_ms", Milliseconds(m_parts.clock.Now() - m_started_at)}});
@@ -63,7 +63,7 @@
 
 /** Who asks why a request went elsewhere finds the servers that it was kept from. */
 void ForwardExchange::LogServersAtLimit() {
-  const std::vector<BackendServerName> closed = OutlookOfLimits().closed;
+  const std::vector<BackendServerName> closed = OutlookOfLimits().at_limit;
   if (closed.empty()) {
     return;
   }
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -10,7 +10,7 @@
 #include "zinnia_adapters/forwarding/stall_inquiry.h"
 #include "zinnia_base/errors/error.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
@@ -80,7 +80,7 @@
     OnDeadline();
     return;
   }
-  if (m_room_ticket != RoomQueue::kNoTicket && m_parts.room.IsOverdue(m_room_ticket)) {
+  if (m_room_ticket != CapacityQueue::kNoTicket && m_parts.room.IsOverdue(m_room_ticket)) {
     RefuseForWantOfRoom();
     return;
   }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -6,7 +6,7 @@
 #include "zinnia_adapters/forwarding/stall_inquiry.h"
 #include "zinnia_adapters/http/listening_socket.h"
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/ports/metrics.h"
@@ -139,12 +139,12 @@
 void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
-    if (exchange->RoomTicket() != RoomQueue::kNoTicket) {
+    if (exchange->RoomTicket() != CapacityQueue::kNoTicket) {
       waiting[exchange->RoomTicket()] = exchange.get();
     }
   }
   int failed = 0;
-  for (const std::uint64_t ticket : m_parts.room.InOrder()) {
+  for (const std::uint64_t ticket : m_parts.room.OrderedTickets()) {
     const auto exchange = waiting.find(ticket);
     if (exchange != waiting.end() && !exchange->second->TryToBegin() &&
         ++failed >= kMostFailedTries) {
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -85,9 +85,9 @@
   }
 }
 
-void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) {
-  for (const ServerLimitNews& news : limits) {
-    if (m_view->servers.contains(news.server) && m_limits.OnNews(news)) {
+void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
+  for (const ServerLimitReport& news : limits) {
+    if (m_view->servers.contains(news.server) && m_limits.OnReport(news)) {
       OnLimitHeard(news.server, kPeer);
     }
   }
@@ -102,9 +102,9 @@
        {"heard_from", std::string(heard_from)},
        {"age_ms", Milliseconds(limit.age)},
        {"requests_per_second", fmt::format("{:.2f}", limit.requests_per_second.value_or(0.0))},
-       {"own_part", fmt::format("{:.2f}", limit.own_part)},
+       {"own_part", fmt::format("{:.2f}", limit.own_share)},
        {"live_instances", std::to_string(m_view->live_instances)}});
-  m_parts.tell_server_limits(m_limits.TakeNews(), heard_from == kServerItself);
+  m_parts.tell_server_limits(m_limits.TakeReports(), heard_from == kServerItself);
 }
 
 void ForwardingTraffic::OnStalledHere(const std::vector<BackendServerName>& servers) {
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -10,13 +10,13 @@
 #include "zinnia_adapters/forwarding/server_connection_pool.h"
 #include "zinnia_adapters/forwarding/stall_inquiry.h"
 #include "zinnia_base/errors/result.h"
-#include "zinnia_decisions/forwarding/admission/room_queue.h"
+#include "zinnia_decisions/forwarding/admission/capacity_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_report.h"
 #include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/plain_server_chooser.h"
@@ -51,7 +51,7 @@
 
   /** Called on the traffic thread when a server's limit has changed; `heard_here` from the server
       itself, and not from a peer. */
-  std::function<void(std::vector<ServerLimitNews>, bool heard_here)> tell_server_limits;
+  std::function<void(std::vector<ServerLimitReport>, bool heard_here)> tell_server_limits;
   InstanceName own_name;
 };
 
@@ -66,7 +66,7 @@
   void SetView(std::shared_ptr<const ForwardingView> view);
   void SetDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses);
   void OnPeerStalls(const std::vector<StallReport>& stalls);
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
+  void OnPeerServerLimits(const std::vector<ServerLimitReport>& limits);
   void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers);
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
@@ -74,7 +74,7 @@
   /** What this instance has in flight, for its peers. */
   const LoadTracker::Uses& OwnUses() const { return m_loads.Own(); }
   std::vector<SlowdownReport> SlowServers() const { return m_health.SlowServers(); }
-  std::vector<ServerLimitNews> TakeServerLimits() { return m_limits.TakeNews(); }
+  std::vector<ServerLimitReport> TakeServerLimits() { return m_limits.TakeReports(); }
 
  private:
   ForwardingParts MakeParts();
@@ -86,13 +86,13 @@
   RandomSource m_random;
   LoadTracker m_loads;
   ServerHealth m_health;
-  HolderDivision m_limit_division;
+  RendezvousLimitDivision m_limit_division;
   ServerLimits m_limits;
   InterDomainLinkMeter m_pipe;
   ServerConnectionPool m_connections;
   PathFinder m_paths;
   RecoveryChooser m_recovery;
-  RoomQueue m_room;
+  CapacityQueue m_room;
   DepartureSchedule m_departures;
   PlainServerChooser m_plain_servers;
   SharedRetryBudget m_retries;
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -144,7 +144,7 @@
           m_traffic_thread->Post([this, view = std::move(view)] { m_traffic->SetView(view); });
         });
     auto server =
-        NewsServer::Listen(m_control_thread->Io(), m_settings.peer_address, m_control->News());
+        NewsServer::Listen(m_control_thread->Io(), m_settings.peer_address, m_control->Reports());
     if (!server) {
       listening.set_value(server.error());
       return;
@@ -165,16 +165,16 @@
           m_settings.departure_notice, Hash64(m_settings.instance, StartOf(m_clock)),
           [this](const BackendServerName& server) {
             m_control_thread->Post([this, server] {
-              m_control->News().SendStall(server);
-              m_control->NoteStalled(server);
+              m_control->Reports().SendStall(server);
+              m_control->OnServerStalled(server);
             });
           },
           [this](const ServerStateReport& news) {
-            m_control_thread->Post([this, news] { m_control->NoteServerNews(news); });
+            m_control_thread->Post([this, news] { m_control->OnServerStateReport(news); });
           },
-          [this](std::vector<ServerLimitNews> limits, bool heard_here) {
+          [this](std::vector<ServerLimitReport> limits, bool heard_here) {
             m_control_thread->Post([this, limits = std::move(limits), heard_here]() mutable {
-              m_control->News().SendServerLimits(std::move(limits), heard_here);
+              m_control->Reports().SendServerLimits(std::move(limits), heard_here);
             });
           },
           m_settings.instance});
@@ -203,9 +203,9 @@
   m_control_thread->Post([this, own = m_traffic->OwnUses(), slow = m_traffic->SlowServers(),
                           limits = m_traffic->TakeServerLimits()]() mutable {
     if (m_control) {
-      m_control->News().SetServerLimits(std::move(limits));
-      m_control->News().SetUses(std::move(own));
-      m_control->News().SetSlowServers(std::move(slow));
+      m_control->Reports().SetServerLimits(std::move(limits));
+      m_control->Reports().SetUses(std::move(own));
+      m_control->Reports().SetSlowServers(std::move(slow));
     }
   });
   ScheduleUpkeep();
@@ -219,20 +219,20 @@
 
 void ForwardingDaemon::OnPeerStalls(const std::vector<StallReport>& stalls) {
   for (const StallReport& stall : stalls) {
-    m_control->NoteStalled(stall.server);
+    m_control->OnServerStalled(stall.server);
   }
   m_traffic_thread->Post([this, stalls] { m_traffic->OnPeerStalls(stalls); });
 }
 
 void ForwardingDaemon::OnPeerServerState(const ServerStateReport& news) {
-  m_control->NoteServerNews(news);
+  m_control->OnServerStateReport(news);
 }
 
 void ForwardingDaemon::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
   m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerSlowdowns(slow_servers); });
 }
 
-void ForwardingDaemon::OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) {
+void ForwardingDaemon::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
   m_traffic_thread->Post([this, limits] { m_traffic->OnPeerServerLimits(limits); });
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -10,7 +10,7 @@
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
 #include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
-#include "zinnia_decisions/forwarding/limits/server_limit_news.h"
+#include "zinnia_decisions/forwarding/limits/server_limit_report.h"
 #include "zinnia_world/fleet/instance.h"
 
 namespace zinnia {
@@ -36,7 +36,7 @@
   std::map<FailureDomainName, LoadTracker::Uses> domain_uses;
   std::vector<StallReport> stalls;
   std::vector<SlowdownReport> slow_servers;
-  std::vector<ServerLimitNews> server_limits;
+  std::vector<ServerLimitReport> server_limits;
 
   /** Recent statements of servers that did not come from the store. */
   std::vector<ServerStateReport> server_states;
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -277,7 +277,7 @@
   SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
 }
 
-void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool found_here) {
+void ReportExchange::SendServerLimits(std::vector<ServerLimitReport> limits, bool found_here) {
   SetServerLimits(std::move(limits));
   if (found_here) {
     SendToOwnDomain();
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -30,7 +30,7 @@
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
   virtual void OnPeerServerState(const ServerStateReport& state) = 0;
   virtual void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) = 0;
-  virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
+  virtual void OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) = 0;
 };
 
 struct ReportExchangeSettings {
@@ -85,11 +85,13 @@
   void SetSlowServers(std::vector<SlowdownReport> servers) { m_slow_servers = std::move(servers); }
 
   /** Sets the limits that servers gave, for the next reports. */
-  void SetServerLimits(std::vector<ServerLimitNews> limits) { m_server_limits = std::move(limits); }
+  void SetServerLimits(std::vector<ServerLimitReport> limits) {
+    m_server_limits = std::move(limits);
+  }
 
   /** Sets the limits and reports them at once: to the own domain and the relays of other domains if
       `found_here`, else only from a relay to its members. */
-  void SendServerLimits(std::vector<ServerLimitNews> limits, bool found_here);
+  void SendServerLimits(std::vector<ServerLimitReport> limits, bool found_here);
 
   /** Reports a stalled server at once to the own domain and the relays of other domains, which
       forward it to their members. */
@@ -156,7 +158,7 @@
   /** Used by a relay: the sum over the own domain including this instance. */
   LoadTracker::Uses m_domain_sum;
   std::vector<SlowdownReport> m_slow_servers;
-  std::vector<ServerLimitNews> m_server_limits;
+  std::vector<ServerLimitReport> m_server_limits;
   std::map<BackendServerName, std::pair<TimePoint, ServerStateReport>> m_server_states;
 
   /** Used by a relay: the last sums received from other domains, and when. */
--- a/packages/zinnia_decisions/forwarding/event_splitter.cc
+++ b/packages/zinnia_decisions/forwarding/event_splitter.cc
@@ -6,16 +6,16 @@
 namespace {
 
 constexpr std::string_view kEventEnd = "\n\n";
-constexpr std::string_view kEventEndWithReturns = "\r\n\r\n";
+constexpr std::string_view kEventEndCrLf = "\r\n\r\n";
 constexpr std::string_view kIdField = "id:";
 
-/** Behind the last whole event; 0 if there is none. */
-std::size_t EndOfWholeEvents(std::string_view bytes) {
+/** Returns the position after the last complete event, or 0 if there is none. */
+std::size_t EndOfLastEvent(std::string_view bytes) {
   std::size_t end = 0;
-  for (const std::string_view mark : {kEventEnd, kEventEndWithReturns}) {
-    const std::size_t found = bytes.rfind(mark);
+  for (const std::string_view delimiter : {kEventEnd, kEventEndCrLf}) {
+    const std::size_t found = bytes.rfind(delimiter);
     if (found != std::string_view::npos) {
-      end = std::max(end, found + mark.size());
+      end = std::max(end, found + delimiter.size());
     }
   }
   return end;
@@ -24,15 +24,15 @@
 }  // namespace
 
 std::string EventSplitter::Take(std::string_view bytes) {
-  m_part.append(bytes);
-  const std::size_t end = EndOfWholeEvents(m_part);
-  std::string events = m_part.substr(0, end);
-  m_part.erase(0, end);
-  ReadIds(events);
+  m_partial_event.append(bytes);
+  const std::size_t end = EndOfLastEvent(m_partial_event);
+  std::string events = m_partial_event.substr(0, end);
+  m_partial_event.erase(0, end);
+  UpdateLastEventId(events);
   return events;
 }
 
-void EventSplitter::ReadIds(std::string_view events) {
+void EventSplitter::UpdateLastEventId(std::string_view events) {
   std::size_t line = 0;
   while (line < events.size()) {
     const std::size_t line_end = std::min(events.find('\n', line), events.size());
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -14,32 +14,32 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 
-/** The right to give orders is renewed once in so many ticks. */
+// The order role's lease is renewed once in this many ticks.
 constexpr std::uint64_t kTicksBetweenRenewals = 2;
 
-/** Twice the time in which a reader takes a free lease: a look of the role and three calls. */
-constexpr Duration kReadersSeekFirst = std::chrono::seconds(2);
+// Store watchers have this long to acquire a free lease before other instances try.
+constexpr Duration kStoreWatcherPriorityTime = std::chrono::seconds(2);
 
-/** Longer than the outages of the store that were seen, 8 s, by a factor of two. */
-constexpr std::chrono::milliseconds kOutageGrace{16'000};
+// Longer than usual outages of the store.
+constexpr std::chrono::milliseconds kStoreOutageGrace{16'000};
 
-/** Orders are few and soon over, so the right to give them can pass on within seconds. */
+/** Placement orders are rare and short, so the order role may change its holder within seconds. */
 OrderSettings PlacementSettings(bool engines_check_fencing) {
   OrderSettings settings;
   settings.lease = std::chrono::milliseconds(2'000);
   settings.lease_margin = std::chrono::milliseconds(500);
   settings.tick = std::chrono::milliseconds(500);
   settings.transport_timeout = std::chrono::milliseconds(1'000);
-  settings.valid_for = std::chrono::milliseconds(0);  // These orders carry no end of validity.
+  settings.valid_for = std::chrono::milliseconds(0);  // Placement orders do not expire.
   settings.engines_check_fencing = engines_check_fencing;
-  settings.outage_grace = kOutageGrace;
+  settings.outage_grace = kStoreOutageGrace;
   return settings;
 }
 
 StoreMirrorSettings MirrorSettings(const InstanceName& self) {
   StoreMirrorSettings settings;
-  constexpr auto kMost = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  settings.spread_position = static_cast<double>(Hash64(self)) / kMost;
+  constexpr auto kMaxHash = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
+  settings.spread_position = static_cast<double>(Hash64(self)) / kMaxHash;
   return settings;
 }
 
@@ -57,14 +57,14 @@
                MirrorSettings(m_parts.self.name)),
       m_servers(m_parts.scheduler, m_parts.logger),
       m_registration(m_parts.store, m_parts.scheduler, m_parts.logger, m_parts.self),
-      m_news(m_parts.news,
-             m_parts.scheduler,
-             m_parts.clock,
-             m_instances,
-             m_mirror,
-             m_parts.sink,
-             m_parts.seeds,
-             {}),
+      m_reports(m_parts.report_transport,
+                m_parts.scheduler,
+                m_parts.clock,
+                m_instances,
+                m_mirror,
+                m_parts.sink,
+                m_parts.seeds,
+                {}),
       m_view(std::make_shared<const ForwardingView>()) {
   m_mirror.SetListener(this);
 }
@@ -74,36 +74,36 @@
 void ForwardingControl::Start() {
   m_mirror.Start();
   m_registration.Start();
-  m_news.Start();
+  m_reports.Start();
   Tick();
 }
 
 void ForwardingControl::Stop() {
   m_timer.reset();
-  m_news.SendLeaving();
+  m_reports.SendLeaving();
   for (auto& [service, placer] : m_placers) {
     placer->Stop();
   }
   m_registration.Stop();
 }
 
-void ForwardingControl::NoteStalled(const BackendServerName& server) {
+void ForwardingControl::OnServerStalled(const BackendServerName& server) {
   for (auto& [service, placer] : m_placers) {
     placer->NoteStalled(server);
   }
 }
 
-bool ForwardingControl::StoreIsSteady() const {
+bool ForwardingControl::IsStoreSteady() const {
   return m_mirror.IsStableFor(ServerDirectory::kRemovalGracePeriod) ||
-         m_news.AnyPeerSeesStableStore();
+         m_reports.AnyPeerSeesStableStore();
 }
 
-void ForwardingControl::NoteServerNews(const ServerStateReport& news) {
-  // While the store answers its word on layers is newer than one that was some time on its way.
-  // That a server leaves is believed at once: it may take seconds to notice that the store is away.
-  const bool is_believed = news.leaving || !StoreIsSteady();
-  if (is_believed && m_servers.OnServerStateReport(news, [this] { PublishView(); })) {
-    m_news.AddServerState(news);
+void ForwardingControl::OnServerStateReport(const ServerStateReport& report) {
+  // While the store is available, its records on layers are newer than reports from peers. A report
+  // that a server leaves is applied at once, as a store outage may take seconds to be detected.
+  const bool is_accepted = report.leaving || !IsStoreSteady();
+  if (is_accepted && m_servers.OnServerStateReport(report, [this] { PublishView(); })) {
+    m_reports.AddServerState(report);
     PublishView();
   }
 }
@@ -142,8 +142,8 @@
 
 void ForwardingControl::OnServer(const std::string& registration, const MirroredRecord& record) {
   if (!record.value) {
-    // A store that serves some instance steadily had no outage: entries go only when servers do.
-    m_servers.Remove(registration, !StoreIsSteady(), [this] { PublishView(); });
+    // Without a store outage, an entry is removed only if the server is gone.
+    m_servers.Remove(registration, !IsStoreSteady(), [this] { PublishView(); });
     return;
   }
   auto server = m_parts.reader.ReadServer(registration, *record.value);
@@ -158,9 +158,9 @@
   m_servers.Put(std::move(*server), [this] { PublishView(); });
 }
 
-/** Whether the layers that it says it holds are layers of the service's model. One that claims
-    others was registered by somebody who serves another model: no request can run there. */
-bool ForwardingControl::FitsItsService(const ServerEntry& server) const {
+/** Whether the server's layers exist in the service's model. If not, the server was registered for
+    another model and cannot run requests. */
+bool ForwardingControl::LayersFitModel(const ServerEntry& server) const {
   if (!m_rules) {
     return true;
   }
@@ -183,7 +183,7 @@
 
 void ForwardingControl::OnMirrorAdvanced() {
   PublishView();
-  m_news.SendRevision();
+  m_reports.SendRevision();
 }
 
 void ForwardingControl::PublishView() {
@@ -191,7 +191,7 @@
   view->rules = m_rules;
   view->routes = m_routes;
   for (const auto& [name, server] : m_servers.All()) {
-    if (FitsItsService(server)) {
+    if (LayersFitModel(server)) {
       view->servers.emplace(name, server);
     }
   }
@@ -221,10 +221,10 @@
 }
 
 StoreWatchRole ForwardingControl::ReadingFor(bool is_placer) const {
-  if (is_placer || m_news.IsAssignedStoreWatcher()) {
+  if (is_placer || m_reports.IsAssignedStoreWatcher()) {
     return StoreWatchRole::kStoreWatcher;
   }
-  return m_news.ShouldWatchStore() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
+  return m_reports.ShouldWatchStore() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
 }
 
 void ForwardingControl::SetReading(StoreWatchRole reading) {
@@ -233,22 +233,21 @@
     m_parts.logger.Log(LogLevel::kInfo, "store_reading",
                        {{"as", std::string(NameOf(reading))},
                         {"live_instances", std::to_string(m_instances.Live().size())},
-                        {"reader_heard_ms", m_news.DescribeStoreWatcherAge()}});
+                        {"reader_heard_ms", m_reports.DescribeStoreWatcherAge()}});
   }
   m_mirror.SetWatchRole(reading, m_instances.Live().size());
 }
 
-/** Two hundred instances that look at a free lease together make six hundred calls, and all but one
-    are in vain. The readers look first: they see the store's changes soonest, and have most to
-    spend. The others help only if none of them does. */
-bool ForwardingControl::MaySeekOrders(const ServiceName& service) {
+/** Store watchers try to acquire a free lease first. Other instances try only if none of them does,
+    since the whole fleet trying at once would overload the store. */
+bool ForwardingControl::MayAcquireOrderRole(const ServiceName& service) {
   if (m_mirror.Has(OrderRole::LeaseKeyOf(service))) {
-    m_orders_free_since.erase(service);
+    m_order_lease_free_since.erase(service);
     return false;
   }
   const TimePoint now = m_parts.clock.Now();
-  const TimePoint since = m_orders_free_since.emplace(service, now).first->second;
-  return m_news.IsAssignedStoreWatcher() || now - since >= kReadersSeekFirst;
+  const TimePoint since = m_order_lease_free_since.emplace(service, now).first->second;
+  return m_reports.IsAssignedStoreWatcher() || now - since >= kStoreWatcherPriorityTime;
 }
 
 void ForwardingControl::Tick() {
@@ -256,9 +255,9 @@
   bool is_placer = false;
   const bool renew = m_ticks++ % kTicksBetweenRenewals == 0;
   for (auto& [service, placer] : m_placers) {
-    placer->NoteStoreServesOthers(m_news.AnyPeerSeesStableStore());
+    placer->NoteStoreServesOthers(m_reports.AnyPeerSeesStableStore());
     if (renew) {
-      placer->TickRole(MaySeekOrders(service));
+      placer->TickRole(MayAcquireOrderRole(service));
     }
     placer->Tick(*m_view);
     is_placer = is_placer || placer->HoldsRole();
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -14,34 +14,33 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** What was sent this long before a limit was heard counts against it. */
-constexpr Duration kSendsThatCount = std::chrono::milliseconds(1'500);
+// Requests sent within this time before a limit was received are charged to it.
+constexpr Duration kChargedSendWindow = std::chrono::milliseconds(1'500);
 
-/** After this they no longer burden the server, however many they were. */
-constexpr Duration kLongestPause = std::chrono::seconds(4);
+// Upper bound of the pause that such requests cause.
+constexpr Duration kMaxPause = std::chrono::seconds(4);
 
-/** An instance that has just started knows few peers, and would take too large a part. */
-constexpr Duration kLearnsFleetIn = std::chrono::seconds(2);
+// A new instance knows only few peers, and would compute too large a share.
+constexpr Duration kFleetDiscoveryTime = std::chrono::seconds(2);
 
-/** Whoever held the part before hears within this time that another instance does now. */
-constexpr Duration kHandOver = std::chrono::seconds(2);
+// A new holder waits this long, so that the previous one learns of the change first.
+constexpr Duration kHandoverDelay = std::chrono::seconds(2);
 
-/** In requests a second of all instances. A server that takes none must still be asked now and
-   then, or nobody would hear that it takes some again. */
-constexpr double kLeastLimit = 0.2;
+// Applies to all instances together. A server with a limit of 0 still gets occasional requests,
+// since only its answers show that the limit has been raised.
+constexpr double kMinRequestsPerSecond = 0.2;
 
-/** A change by this part is told at once, a smaller one with the next reports. */
-constexpr double kNotableChange = 0.2;
+// Larger changes are reported at once, smaller ones with the next periodic report.
+constexpr double kNotableRelativeChange = 0.2;
 
-/** How long a change goes before other rows of a report. */
-constexpr Duration kToldFirst = std::chrono::seconds(2);
+// How long a change takes precedence over other rows of a report.
+constexpr Duration kPriorityReportTime = std::chrono::seconds(2);
 
-/** How long the end of a limit is told. An instance that was out of reach meanwhile, and holds no
-    part, would leave the server alone for good: it sends nothing there that could be answered. */
-constexpr Duration kEndIsTold = std::chrono::minutes(10);
+// How long the end of a limit is reported. An instance without a share sends nothing to the server,
+// so if it was unreachable when the limit ended, it learns of that only from reports.
+constexpr Duration kEndReportRetention = std::chrono::minutes(10);
 
-/** Rows of a report for limits that ended some time ago. */
-constexpr std::size_t kMostEndedInNews = 1;
+constexpr std::size_t kMaxEndedLimitReports = 1;
 
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
@@ -49,7 +48,7 @@
   if (!before || !after) {
     return before.has_value() != after.has_value();
   }
-  return std::abs(*after - *before) > kNotableChange * std::max(*before, *after);
+  return std::abs(*after - *before) > kNotableRelativeChange * std::max(*before, *after);
 }
 
 }  // namespace
@@ -64,14 +63,14 @@
 void ServerLimits::SetView(std::shared_ptr<const ForwardingView> view) {
   m_view = std::move(view);
   const auto is_gone = [&](const auto& entry) { return !m_view->servers.contains(entry.first); };
-  std::erase_if(m_beliefs, is_gone);
+  std::erase_if(m_observed_limits, is_gone);
   std::erase_if(m_recent_sends, is_gone);
   if (!m_view->instances || m_view->instances == m_instances) {
     return;
   }
   m_instances = m_view->instances;
-  for (auto& [name, belief] : m_beliefs) {
-    Divide(name, belief);
+  for (auto& [name, observed] : m_observed_limits) {
+    UpdateShare(name, observed);
   }
 }
 
@@ -79,58 +78,59 @@
                             std::optional<double> requests_per_second,
                             TimePoint sent_at) {
   if (!requests_per_second) {
-    const auto found = m_beliefs.find(server);
-    // An answer to a request from before the limit was heard may have left before it was named.
-    const bool ends_it = found != m_beliefs.end() && found->second.requests_per_second &&
-                         sent_at > found->second.known_at;
-    return ends_it && Believe(server, std::nullopt, m_clock.Now());
+    const auto found = m_observed_limits.find(server);
+    // An answer to a request sent before the limit was observed may predate the limit.
+    const bool ends_it = found != m_observed_limits.end() && found->second.requests_per_second &&
+                         sent_at > found->second.observed_at;
+    return ends_it && UpdateLimit(server, std::nullopt, m_clock.Now());
   }
-  return Believe(server, requests_per_second, m_clock.Now());
+  return UpdateLimit(server, requests_per_second, m_clock.Now());
 }
 
-bool ServerLimits::OnNews(const ServerLimitNews& news) {
-  const auto found = m_beliefs.find(news.server);
-  const TimePoint known_at = m_clock.Now() - news.age;
-  if (found != m_beliefs.end() && found->second.known_at >= known_at) {
+bool ServerLimits::OnReport(const ServerLimitReport& report) {
+  const auto found = m_observed_limits.find(report.server);
+  const TimePoint observed_at = m_clock.Now() - report.age;
+  if (found != m_observed_limits.end() && found->second.observed_at >= observed_at) {
     return false;
   }
-  return Believe(news.server, news.requests_per_second, known_at);
+  return UpdateLimit(report.server, report.requests_per_second, observed_at);
 }
 
-bool ServerLimits::Believe(const BackendServerName& server,
-                           std::optional<double> requests_per_second,
-                           TimePoint known_at) {
-  Belief& belief = m_beliefs[server];
-  const std::optional<double> before = belief.requests_per_second;
-  belief.known_at = known_at;
+bool ServerLimits::UpdateLimit(const BackendServerName& server,
+                               std::optional<double> requests_per_second,
+                               TimePoint observed_at) {
+  ObservedLimit& observed = m_observed_limits[server];
+  const std::optional<double> before = observed.requests_per_second;
+  observed.observed_at = observed_at;
   if (before == requests_per_second) {
     return false;
   }
   const bool is_notable = IsNotable(before, requests_per_second);
-  belief.requests_per_second = requests_per_second;
+  observed.requests_per_second = requests_per_second;
   if (is_notable) {
-    belief.changed_at = m_clock.Now();
+    observed.changed_at = m_clock.Now();
   }
-  Divide(server, belief);
+  UpdateShare(server, observed);
   if (requests_per_second && is_notable && requests_per_second < before.value_or(kNoLimit)) {
-    ChargeSendsBefore(server, belief);
+    ChargeRecentSends(server, observed);
   }
   return is_notable;
 }
 
-void ServerLimits::Divide(const BackendServerName& server, Belief& belief) {
-  if (!belief.requests_per_second) {
-    belief.part = {};
+void ServerLimits::UpdateShare(const BackendServerName& server, ObservedLimit& observed) {
+  if (!observed.requests_per_second) {
+    observed.share = {};
     return;
   }
-  const double limit = std::max(*belief.requests_per_second, kLeastLimit);
-  const LimitPart part = m_division.PartOf(m_self, *m_instances, server, DomainOf(server), limit);
-  belief.saved = SavedNow(belief);
-  belief.counted_at = m_clock.Now();
-  if (belief.part.requests_per_second <= 0.0) {
-    belief.saved = -part.requests_per_second * Seconds(kHandOver).count();
+  const double limit = std::max(*observed.requests_per_second, kMinRequestsPerSecond);
+  const LimitShare share =
+      m_division.ShareOf(m_self, *m_instances, server, DomainOf(server), limit);
+  observed.permits = AvailablePermits(observed);
+  observed.permits_updated_at = m_clock.Now();
+  if (observed.share.requests_per_second <= 0.0) {
+    observed.permits = -share.requests_per_second * Seconds(kHandoverDelay).count();
   }
-  belief.part = part;
+  observed.share = share;
 }
 
 FailureDomainName ServerLimits::DomainOf(const BackendServerName& server) const {
@@ -141,20 +141,21 @@
   return entry == m_view->servers.end() ? FailureDomainName() : entry->second.failure_domain;
 }
 
-/** The server was given this much already. The other instances are taken to have sent as often. */
-void ServerLimits::ChargeSendsBefore(const BackendServerName& server, Belief& belief) {
+/** Deducts requests sent just before the limit was received. Assumes that other instances sent at
+    the same rate. */
+void ServerLimits::ChargeRecentSends(const BackendServerName& server, ObservedLimit& observed) {
   const double sent =
-      static_cast<double>(CountRecentSends(server)) * belief.part.instances_per_holder;
-  const double due = belief.part.requests_per_second * Seconds(kSendsThatCount).count();
-  const double longest_pause = belief.part.requests_per_second * Seconds(kLongestPause).count();
-  belief.saved = std::clamp(due - sent, -longest_pause, 0.0);
-  belief.counted_at = m_clock.Now();
+      static_cast<double>(CountRecentSends(server)) * observed.share.instances_per_holder;
+  const double due = observed.share.requests_per_second * Seconds(kChargedSendWindow).count();
+  const double max_pause = observed.share.requests_per_second * Seconds(kMaxPause).count();
+  observed.permits = std::clamp(due - sent, -max_pause, 0.0);
+  observed.permits_updated_at = m_clock.Now();
 }
 
-double ServerLimits::SavedNow(const Belief& belief) const {
-  const Seconds passed = m_clock.Now() - belief.counted_at;
-  return std::min(belief.part.most_saved,
-                  belief.saved + belief.part.requests_per_second * passed.count());
+double ServerLimits::AvailablePermits(const ObservedLimit& observed) const {
+  const Seconds passed = m_clock.Now() - observed.permits_updated_at;
+  return std::min(observed.share.burst,
+                  observed.permits + observed.share.requests_per_second * passed.count());
 }
 
 std::size_t ServerLimits::CountRecentSends(const BackendServerName& server) {
@@ -163,7 +164,7 @@
     return 0;
   }
   std::deque<TimePoint>& sends = found->second;
-  while (!sends.empty() && m_clock.Now() - sends.front() > kSendsThatCount) {
+  while (!sends.empty() && m_clock.Now() - sends.front() > kChargedSendWindow) {
     sends.pop_front();
   }
   return sends.size();
@@ -172,87 +173,90 @@
 void ServerLimits::OnSent(const BackendServerName& server) {
   m_recent_sends[server].push_back(m_clock.Now());
   CountRecentSends(server);
-  const auto found = m_beliefs.find(server);
-  if (found != m_beliefs.end() && found->second.requests_per_second) {
-    Belief& belief = found->second;
-    belief.saved = SavedNow(belief) - 1.0;
-    belief.counted_at = m_clock.Now();
+  const auto found = m_observed_limits.find(server);
+  if (found != m_observed_limits.end() && found->second.requests_per_second) {
+    ObservedLimit& observed = found->second;
+    observed.permits = AvailablePermits(observed) - 1.0;
+    observed.permits_updated_at = m_clock.Now();
   }
 }
 
-std::optional<Duration> ServerLimits::UntilTurn(const BackendServerName& server) const {
-  const auto found = m_beliefs.find(server);
-  if (found == m_beliefs.end() || !found->second.requests_per_second) {
+std::optional<Duration> ServerLimits::TimeUntilPermit(const BackendServerName& server) const {
+  const auto found = m_observed_limits.find(server);
+  if (found == m_observed_limits.end() || !found->second.requests_per_second) {
     return Duration::zero();
   }
-  const Belief& belief = found->second;
-  if (belief.part.requests_per_second <= 0.0) {
+  const ObservedLimit& observed = found->second;
+  if (observed.share.requests_per_second <= 0.0) {
     return std::nullopt;
   }
-  const Duration until_fleet_is_known = m_started_at + kLearnsFleetIn - m_clock.Now();
-  const double missing = std::max(0.0, 1.0 - SavedNow(belief));
-  const auto until_saved =
-      std::chrono::duration_cast<Duration>(Seconds(missing / belief.part.requests_per_second));
-  return std::max({Duration::zero(), until_fleet_is_known, until_saved});
+  const Duration until_fleet_is_known = m_started_at + kFleetDiscoveryTime - m_clock.Now();
+  const double missing = std::max(0.0, 1.0 - AvailablePermits(observed));
+  const auto until_permit =
+      std::chrono::duration_cast<Duration>(Seconds(missing / observed.share.requests_per_second));
+  return std::max({Duration::zero(), until_fleet_is_known, until_permit});
 }
 
 bool ServerLimits::MaySend(const BackendServerName& server) const {
-  return UntilTurn(server) == Duration::zero();
+  return TimeUntilPermit(server) == Duration::zero();
 }
 
 ServerLimits::Limit ServerLimits::LimitOf(const BackendServerName& server) const {
-  const auto found = m_beliefs.find(server);
-  if (found == m_beliefs.end()) {
+  const auto found = m_observed_limits.find(server);
+  if (found == m_observed_limits.end()) {
     return {};
   }
-  const Belief& belief = found->second;
-  return {belief.requests_per_second, belief.part.requests_per_second,
-          m_clock.Now() - belief.known_at};
+  const ObservedLimit& observed = found->second;
+  return {observed.requests_per_second, observed.share.requests_per_second,
+          m_clock.Now() - observed.observed_at};
 }
 
 std::size_t ServerLimits::CountInForce() const {
   return static_cast<std::size_t>(std::count_if(
-      m_beliefs.begin(), m_beliefs.end(),
+      m_observed_limits.begin(), m_observed_limits.end(),
       [](const auto& entry) { return entry.second.requests_per_second.has_value(); }));
 }
 
-ServerLimitNews ServerLimits::NewsOf(const BackendServerName& server, const Belief& belief) const {
-  return {server, belief.requests_per_second,
-          std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - belief.known_at)};
+ServerLimitReport ServerLimits::ReportFor(const BackendServerName& server,
+                                          const ObservedLimit& observed) const {
+  return {
+      server, observed.requests_per_second,
+      std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.Now() - observed.observed_at)};
 }
 
-std::vector<ServerLimitNews> ServerLimits::TakeNews() {
+std::vector<ServerLimitReport> ServerLimits::TakeReports() {
   const TimePoint now = m_clock.Now();
-  std::vector<ServerLimitNews> news;
+  std::vector<ServerLimitReport> reports;
   std::vector<BackendServerName> in_force;
   std::vector<BackendServerName> ended;
-  for (const auto& [name, belief] : m_beliefs) {
-    const Duration unchanged = now - belief.changed_at;
-    if (unchanged < kToldFirst && news.size() < kMostNews) {
-      news.push_back(NewsOf(name, belief));
-    } else if (belief.requests_per_second) {
+  for (const auto& [name, observed] : m_observed_limits) {
+    const Duration unchanged = now - observed.changed_at;
+    if (unchanged < kPriorityReportTime && reports.size() < kMaxReports) {
+      reports.push_back(ReportFor(name, observed));
+    } else if (observed.requests_per_second) {
       in_force.push_back(name);
-    } else if (unchanged < kEndIsTold) {
+    } else if (unchanged < kEndReportRetention) {
       ended.push_back(name);
     }
   }
-  AddInTurn(in_force, kMostNews, m_last_told, news);
-  AddInTurn(ended, std::min(kMostNews, news.size() + kMostEndedInNews), m_last_end_told, news);
-  return news;
+  AddRoundRobin(in_force, kMaxReports, m_last_reported, reports);
+  AddRoundRobin(ended, std::min(kMaxReports, reports.size() + kMaxEndedLimitReports),
+                m_last_end_reported, reports);
+  return reports;
 }
 
-/** Until there are `most`, going on after `last`. */
-void ServerLimits::AddInTurn(std::vector<BackendServerName> servers,
-                             std::size_t most,
-                             BackendServerName& last,
-                             std::vector<ServerLimitNews>& news) const {
+/** Adds reports in name order, starting after `last`, until there are `most`. */
+void ServerLimits::AddRoundRobin(std::vector<BackendServerName> servers,
+                                 std::size_t most,
+                                 BackendServerName& last,
+                                 std::vector<ServerLimitReport>& reports) const {
   const auto next = std::upper_bound(servers.begin(), servers.end(), last);
   std::rotate(servers.begin(), next, servers.end());
   for (const BackendServerName& name : servers) {
-    if (news.size() >= most) {
+    if (reports.size() >= most) {
       return;
     }
-    news.push_back(NewsOf(name, m_beliefs.at(name)));
+    reports.push_back(ReportFor(name, m_observed_limits.at(name)));
     last = name;
   }
 }
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -19,28 +19,28 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Instances in three failure domains that send to one server as often as they may, and hear its
-    limit from its answers and from each other. */
+/** Simulates instances in three failure domains that send to one server. They learn its limit from
+    its answers and from each other's reports. */
 struct LimitedFleet {
   static constexpr Duration kStep = milliseconds(10);
-  static constexpr Duration kAnswerAfter = milliseconds(60);
-  static constexpr Duration kNewsAfter = milliseconds(80);
+  static constexpr Duration kAnswerDelay = milliseconds(60);
+  static constexpr Duration kReportDelay = milliseconds(80);
   static constexpr Duration kWindow = seconds(4);
 
   struct Member {
     Instance instance;
     std::unique_ptr<ServerLimits> limits;
     double requests_per_second = 0.0;
-    bool is_cut = false;
+    bool is_partitioned = false;
   };
-  struct Answer {
+  struct PendingAnswer {
     TimePoint due{};
     Member* member = nullptr;
     TimePoint sent_at{};
   };
-  struct News {
+  struct PendingReport {
     TimePoint due{};
-    ServerLimitNews news;
+    ServerLimitReport limit_report;
   };
 
   LimitedFleet(const LimitDivision& chosen_division, std::size_t count, double demand)
@@ -57,7 +57,7 @@
     member->instance.name = fmt::format("instance-{}", index);
     member->instance.failure_domain = fmt::format("domain-{}", index % 3);
     member->limits = std::make_unique<ServerLimits>(time, division, member->instance.name);
-    // Callers are spread unevenly: a third of the instances get half as much again.
+    // Uneven traffic: a third of the instances get 1.5 times the mean.
     member->requests_per_second = requests_per_second * (index % 3 == 0 ? 1.5 : 0.75);
     members.push_back(std::move(member));
     return *members.back();
@@ -86,41 +86,42 @@
       time.AdvanceBy(kStep);
       Deliver();
       for (const auto& member : members) {
-        SendOf(*member);
+        SendFrom(*member);
       }
     }
   }
 
-  void SendOf(Member& member) {
+  void SendFrom(Member& member) {
     const double chance = member.requests_per_second * std::chrono::duration<double>(kStep).count();
     if (RandomUnit(random) >= chance || !member.limits->MaySend("server")) {
       return;
     }
     member.limits->OnSent("server");
     sends.push_back(time.Now());
-    answers.push_back({time.Now() + kAnswerAfter, &member, time.Now()});
+    answers.push_back({time.Now() + kAnswerDelay, &member, time.Now()});
   }
 
   void Deliver() {
     while (!answers.empty() && answers.front().due <= time.Now()) {
-      const Answer answer = answers.front();
+      const PendingAnswer answer = answers.front();
       answers.pop_front();
       if (answer.member->limits->OnAnswer("server", limit, answer.sent_at)) {
-        told.push_back({time.Now() + kNewsAfter, answer.member->limits->TakeNews().front()});
+        reports_in_flight.push_back(
+            {time.Now() + kReportDelay, answer.member->limits->TakeReports().front()});
       }
     }
-    while (!told.empty() && told.front().due <= time.Now()) {
+    while (!reports_in_flight.empty() && reports_in_flight.front().due <= time.Now()) {
       for (const auto& member : members) {
-        if (!member->is_cut) {
-          member->limits->OnNews(told.front().news);
+        if (!member->is_partitioned) {
+          member->limits->OnReport(reports_in_flight.front().limit_report);
         }
       }
-      told.pop_front();
+      reports_in_flight.pop_front();
     }
   }
 
-  /** The most that the server got in any window that ends after `from`. */
-  std::size_t MostInWindow(TimePoint from) const {
+  /** Maximum number of requests in any window of kWindow that ends after `from`. */
+  std::size_t MaxInWindow(TimePoint from) const {
     std::size_t most = 0;
     for (auto last = sends.begin(); last != sends.end(); ++last) {
       const auto first = std::upper_bound(sends.begin(), last, *last - kWindow);
@@ -137,7 +138,7 @@
            std::chrono::duration<double>(time.Now() - from).count();
   }
 
-  double Allowed() const { return *limit * 1.5 * 4.0 + 5.0; }
+  double MaxAllowedInWindow() const { return *limit * 1.5 * 4.0 + 5.0; }
 
   const LimitDivision& division;
   VirtualTime time;
@@ -145,12 +146,12 @@
   std::vector<std::unique_ptr<Member>> members;
   std::optional<double> limit;
   std::vector<TimePoint> sends;
-  std::deque<Answer> answers;
-  std::deque<News> told;
+  std::deque<PendingAnswer> answers;
+  std::deque<PendingReport> reports_in_flight;
 };
 
 TEST_GROUP(Limits) {
-  HolderDivision division;
+  RendezvousLimitDivision division;
 
   static std::shared_ptr<ForwardingView> ViewOf(const std::vector<std::string>& servers) {
     auto view = std::make_shared<ForwardingView>();
@@ -160,8 +161,8 @@
     return view;
   }
 
-  /** Requests that `limits` lets through if somebody always has one. */
-  static int SendAll(ServerLimits & limits, VirtualTime & time, Duration duration) {
+  /** Sends whenever `limits` permits it and returns the number of requests sent. */
+  static int CountPermittedSends(ServerLimits & limits, VirtualTime & time, Duration duration) {
     int sent = 0;
     for (const TimePoint end = time.Now() + duration; time.Now() < end;) {
       time.AdvanceBy(milliseconds(10));
@@ -174,48 +175,47 @@
   }
 };
 
-// Guards against a server in need that gets as much as before from instances that each keep its
-// limit alone, or keep none.
-TEST(Limits, AllInstancesTogetherKeepALimitAndUseIt) {
+// Guards against instances that ignore the limit or each use it in full.
+TEST(Limits, FleetTogetherStaysWithinTheLimitAndUsesIt) {
   for (const std::size_t instances : {9, 65, 300}) {
     for (const double limit : {2.0, 12.0, 60.0}) {
       LimitedFleet fleet(division, instances, 2.5 * limit);
       fleet.Run(seconds(5));
       fleet.limit = limit;
-      const TimePoint named_at = fleet.time.Now();
+      const TimePoint limit_set_at = fleet.time.Now();
       fleet.Run(seconds(10));
       for (const auto& member : fleet.members) {
         member->requests_per_second = std::max(3.0, 2.5 * limit / instances);
       }
       fleet.Run(seconds(30));
-      CHECK_TRUE(fleet.MostInWindow(named_at + seconds(3)) <= fleet.Allowed());
-      CHECK_TRUE(fleet.SentPerSecond(named_at + seconds(10)) >= 0.9 * limit);
+      CHECK_TRUE(fleet.MaxInWindow(limit_set_at + seconds(3)) <= fleet.MaxAllowedInWindow());
+      CHECK_TRUE(fleet.SentPerSecond(limit_set_at + seconds(10)) >= 0.9 * limit);
     }
   }
 }
 
-// Guards against a whole fleet that has saved up its parts and spends them in one moment.
-TEST(Limits, ARushAfterAPauseStaysWithinTheLimit) {
+// Guards against a combined burst of all instances after an idle period.
+TEST(Limits, BurstAfterAnIdlePeriodStaysWithinTheLimit) {
   for (const std::size_t instances : {9, 65, 300}) {
     for (const double limit : {0.0, 0.5, 2.0, 12.0, 60.0}) {
       LimitedFleet fleet(division, instances, limit);
       fleet.limit = limit;
       for (const auto& member : fleet.members) {
-        member->limits->OnNews({"server", limit, milliseconds(0)});
+        member->limits->OnReport({"server", limit, milliseconds(0)});
       }
       fleet.Run(seconds(20));
       for (const auto& member : fleet.members) {
         member->requests_per_second = 100.0;
       }
-      const TimePoint rush_at = fleet.time.Now();
+      const TimePoint burst_started_at = fleet.time.Now();
       fleet.Run(seconds(10));
-      CHECK_TRUE(fleet.MostInWindow(rush_at) <= fleet.Allowed());
+      CHECK_TRUE(fleet.MaxInWindow(burst_started_at) <= fleet.MaxAllowedInWindow());
     }
   }
 }
 
-// Guards against new instances that take their parts while the old ones still spend theirs.
-TEST(Limits, InstancesThatJoinTakeTheirPartsAfterTheOthersHaveGivenThemUp) {
+// Guards against new instances that use their shares before the old ones have reduced theirs.
+TEST(Limits, JoiningInstancesUseTheirSharesAfterTheOthersReducedTheirs) {
   LimitedFleet fleet(division, 9, 30.0);
   fleet.limit = 12.0;
   fleet.Run(seconds(20));
@@ -230,16 +230,16 @@
   const auto view = fleet.ViewOf(instances);
   for (std::size_t index = 9; index < fleet.members.size(); ++index) {
     fleet.members[index]->limits->SetView(view);
-    fleet.members[index]->limits->OnNews({"server", fleet.limit, milliseconds(100)});
+    fleet.members[index]->limits->OnReport({"server", fleet.limit, milliseconds(100)});
   }
-  fleet.Run(seconds(1));  // The old ones hear of them later.
+  fleet.Run(seconds(1));  // The old instances learn of the new ones later.
   fleet.ShareView();
   fleet.Run(seconds(10));
-  CHECK_TRUE(fleet.MostInWindow(joined_at) <= fleet.Allowed());
+  CHECK_TRUE(fleet.MaxInWindow(joined_at) <= fleet.MaxAllowedInWindow());
 }
 
-// Guards against a part that two instances spend, the old holder and the new one.
-TEST(Limits, ANewHolderWaitsUntilTheOneBeforeHasHeardOfIt) {
+// Guards against the old and the new holder using the same share at the same time.
+TEST(Limits, NewHolderWaitsUntilThePreviousOneKnowsOfTheChange) {
   VirtualTime time;
   std::vector<Instance> instances(9);
   for (std::size_t index = 0; index < instances.size(); ++index) {
@@ -254,30 +254,29 @@
     ServerLimits limits(time, division, instance.name);
     limits.SetView(view_of(instances));
     time.AdvanceBy(seconds(10));
-    limits.OnNews({"server", 1.0, milliseconds(0)});
-    if (limits.UntilTurn("server")) {
-      continue;  // It holds a part from the beginning.
+    limits.OnReport({"server", 1.0, milliseconds(0)});
+    if (limits.TimeUntilPermit("server")) {
+      continue;  // It holds a share from the beginning.
     }
     time.AdvanceBy(seconds(10));
     limits.SetView(view_of({instance}));
-    CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'900)));
-    CHECK_TRUE(SendAll(limits, time, seconds(3)) > 0);
+    CHECK_EQUAL(0, CountPermittedSends(limits, time, milliseconds(1'900)));
+    CHECK_TRUE(CountPermittedSends(limits, time, seconds(3)) > 0);
   }
 }
 
-// Guards against an instance that takes a whole limit for itself before it has met its peers.
-TEST(Limits, AnInstanceThatHasJustStartedWaitsUntilItKnowsTheFleet) {
+// Guards against a new instance that uses the whole limit because it knows no peers yet.
+TEST(Limits, NewInstanceWaitsUntilItKnowsTheFleet) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
-  limits.OnNews({"server", 20.0, milliseconds(0)});
-  CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'900)));
-  CHECK_TRUE(SendAll(limits, time, seconds(4)) >= 60);
+  limits.OnReport({"server", 20.0, milliseconds(0)});
+  CHECK_EQUAL(0, CountPermittedSends(limits, time, milliseconds(1'900)));
+  CHECK_TRUE(CountPermittedSends(limits, time, seconds(4)) >= 60);
 }
 
-// Guards against a limit that is kept from the moment it was heard on, on top of what the server
-// got in the moments before.
-TEST(Limits, WhatWasSentBeforeTheLimitWasHeardCounts) {
+// Guards against a server that gets its limit on top of the requests sent just before.
+TEST(Limits, RequestsSentBeforeTheLimitWasReceivedAreCharged) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -287,24 +286,23 @@
     time.AdvanceBy(milliseconds(33));
   }
   limits.OnAnswer("server", 10.0, time.Now());
-  CHECK_EQUAL(0, SendAll(limits, time, milliseconds(1'400)));
-  CHECK_TRUE(SendAll(limits, time, seconds(3)) > 20);
+  CHECK_EQUAL(0, CountPermittedSends(limits, time, milliseconds(1'400)));
+  CHECK_TRUE(CountPermittedSends(limits, time, seconds(3)) > 20);
 }
 
-// Guards against a server that is sent to again while what it got before it named its limit is
-// still more than it may have: it had ten times its limit.
-TEST(Limits, AServerThatHadFarTooMuchGetsNothingUntilThatIsOver) {
+// Guards against sending to a server that is still working off ten times its limit.
+TEST(Limits, ServerFarAboveItsLimitGetsNothingUntilTheExcessIsOver) {
   LimitedFleet fleet(division, 9, 500.0);
   fleet.Run(seconds(10));
   fleet.limit = 50.0;
-  const TimePoint named_at = fleet.time.Now();
+  const TimePoint limit_set_at = fleet.time.Now();
   fleet.Run(seconds(12));
-  // From the first request after the pause on: until then nobody sends.
-  CHECK_TRUE(fleet.MostInWindow(named_at + seconds(1)) <= fleet.Allowed());
+  // No instance sends until the pause is over.
+  CHECK_TRUE(fleet.MaxInWindow(limit_set_at + seconds(1)) <= fleet.MaxAllowedInWindow());
 }
 
-// Guards against a limit that outlives its need, and against one that a late answer ends too early.
-TEST(Limits, TheNewestWordOfAServerCounts) {
+// Guards against a limit that is never lifted, and against one lifted by an outdated answer.
+TEST(Limits, MostRecentLimitApplies) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -313,31 +311,31 @@
   time.AdvanceBy(milliseconds(50));
   CHECK_TRUE(limits.OnAnswer("server", 2.0, before));
   CHECK_FALSE(limits.MaySend("server"));
-  CHECK_FALSE(limits.OnAnswer("server", std::nullopt, before));  // Overtaken on its way.
+  CHECK_FALSE(limits.OnAnswer("server", std::nullopt, before));  // Sent before the limit was known.
   CHECK_EQUAL(1U, limits.CountInForce());
   time.AdvanceBy(milliseconds(50));
   CHECK_FALSE(
-      limits.OnNews({"server", std::nullopt, milliseconds(60)}));  // Older than what it knows.
+      limits.OnReport({"server", std::nullopt, milliseconds(60)}));  // Older than the known limit.
   CHECK_EQUAL(1U, limits.CountInForce());
   CHECK_TRUE(limits.OnAnswer("server", std::nullopt, time.Now()));
   CHECK_EQUAL(0U, limits.CountInForce());
   CHECK_TRUE(limits.MaySend("server"));
-  CHECK_FALSE(limits.OnNews({"server", 2.0, milliseconds(50)}));
+  CHECK_FALSE(limits.OnReport({"server", 2.0, milliseconds(50)}));
   CHECK_TRUE(limits.MaySend("server"));
 }
 
-// Guards against a server that is never asked again after it has said that it takes nothing.
-TEST(Limits, AServerThatTakesNothingIsAskedNowAndThen) {
+// Guards against a server that never gets requests again after it set a limit of 0.
+TEST(Limits, ServerWithLimitZeroGetsOccasionalRequests) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("server", 0.0, time.Now());
-  const int sent = SendAll(limits, time, seconds(60));
+  const int sent = CountPermittedSends(limits, time, seconds(60));
   CHECK_TRUE(sent >= 6 && sent <= 15);
 }
 
-TEST(Limits, AStartOfTheServerEndsItsLimit) {
+TEST(Limits, RestartOfTheServerEndsItsLimit) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"server"}));
@@ -346,8 +344,8 @@
   CHECK_EQUAL(0U, limits.CountInForce());
 }
 
-// Guards against news that swallow a link when many servers are in need, and never tell of some.
-TEST(Limits, NewsAreBoundedAndTellOfEachServerInTurn) {
+// Guards against reports of unbounded size, and against bounded ones that always omit some servers.
+TEST(Limits, ReportsAreBoundedAndCoverAllServersInTurn) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   constexpr std::size_t kServers = 40;
@@ -361,20 +359,20 @@
     limits.OnAnswer(server, 2.0, time.Now());
   }
   time.AdvanceBy(seconds(5));
-  std::set<std::string> told;
+  std::set<std::string> reported_servers;
   for (int report = 0; report < 3; ++report) {
-    const auto news = limits.TakeNews();
-    CHECK_TRUE(news.size() <= ServerLimits::kMostNews);
-    for (const ServerLimitNews& row : news) {
-      told.insert(row.server);
+    const auto reports = limits.TakeReports();
+    CHECK_TRUE(reports.size() <= ServerLimits::kMaxReports);
+    for (const ServerLimitReport& row : reports) {
+      reported_servers.insert(row.server);
     }
   }
-  CHECK_EQUAL(servers.size(), told.size());
+  CHECK_EQUAL(servers.size(), reported_servers.size());
 }
 
-// Guards against an instance that never sends to a server again: it holds no part, and was out of
-// reach when the others heard that the limit had ended.
-TEST(Limits, TheEndOfALimitIsStillToldMinutesLater) {
+// Guards against an instance without a share that never learns of the end of a limit because it was
+// unreachable at the time.
+TEST(Limits, EndOfALimitIsStillReportedMinutesLater) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   limits.SetView(ViewOf({"a", "b", "c"}));
@@ -384,17 +382,17 @@
     limits.OnAnswer(server, std::nullopt, time.Now());
   }
   time.AdvanceBy(std::chrono::minutes(5));
-  std::set<std::string> told;
+  std::set<std::string> reported_servers;
   for (int report = 0; report < 3; ++report) {
-    const auto news = limits.TakeNews();
-    CHECK_EQUAL(1U, news.size());
-    CHECK_FALSE(news.front().requests_per_second.has_value());
-    told.insert(news.front().server);
+    const auto reports = limits.TakeReports();
+    CHECK_EQUAL(1U, reports.size());
+    CHECK_FALSE(reports.front().requests_per_second.has_value());
+    reported_servers.insert(reports.front().server);
   }
-  CHECK_EQUAL(3U, told.size());
+  CHECK_EQUAL(3U, reported_servers.size());
 }
 
-TEST(Limits, OutlookNamesTheFirstTurnAndWhetherThereIsAnotherServer) {
+TEST(Limits, AvailabilityGivesTheNextPermitAndWhetherAllServersAreAtTheirLimits) {
   VirtualTime time;
   ServerLimits limits(time, division, "self");
   const auto view = ViewOf({"a", "b", "c"});
@@ -402,35 +400,35 @@
   limits.SetView(view);
   time.AdvanceBy(seconds(10));
   limits.OnAnswer("a", 2.0, time.Now());
-  LimitOutlook outlook = LookAtLimits(*view, "pool", {}, limits);
-  CHECK_FALSE(outlook.all_closed);
-  CHECK_EQUAL(1U, outlook.closed.size());
+  LimitAvailability availability = FindLimitAvailability(*view, "pool", {}, limits);
+  CHECK_FALSE(availability.all_at_limit);
+  CHECK_EQUAL(1U, availability.at_limit.size());
   limits.OnAnswer("b", 4.0, time.Now());
   limits.OnAnswer("c", 1.0, time.Now());
-  outlook = LookAtLimits(*view, "pool", {}, limits);
-  CHECK_TRUE(outlook.all_closed);
-  CHECK_TRUE(outlook.next_turn == milliseconds(250));
-  outlook = LookAtLimits(*view, "pool", {"b"}, limits);
-  CHECK_TRUE(outlook.next_turn == milliseconds(500));
+  availability = FindLimitAvailability(*view, "pool", {}, limits);
+  CHECK_TRUE(availability.all_at_limit);
+  CHECK_TRUE(availability.next_permit_in == milliseconds(250));
+  availability = FindLimitAvailability(*view, "pool", {"b"}, limits);
+  CHECK_TRUE(availability.next_permit_in == milliseconds(500));
   time.AdvanceBy(milliseconds(300));
-  CHECK_FALSE(LookAtLimits(*view, "pool", {}, limits).all_closed);
+  CHECK_FALSE(FindLimitAvailability(*view, "pool", {}, limits).all_at_limit);
 }
 
-// Guards against callers who wait for a turn that comes too late for them.
-TEST(Limits, NobodyWaitsForATurnThatComesTooLate) {
-  LimitOutlook outlook;
-  CHECK_TRUE(MayWait(outlook, true, milliseconds(500)));
-  CHECK_FALSE(MayWait(outlook, false, milliseconds(150)));
-  outlook.all_closed = true;
-  CHECK_FALSE(MayWait(outlook, true, milliseconds(500)));
-  outlook.next_turn = milliseconds(60);
-  CHECK_TRUE(MayWait(outlook, false, milliseconds(150)));
-  CHECK_FALSE(MayWait(outlook, false, milliseconds(100)));
-  outlook.next_turn = milliseconds(310);
-  CHECK_FALSE(MayWait(outlook, true, milliseconds(1'000)));
+// Guards against requests that wait for a permit that comes too late for them.
+TEST(Limits, RequestsDoNotWaitForAPermitThatComesTooLate) {
+  LimitAvailability availability;
+  CHECK_TRUE(MayWait(availability, true, milliseconds(500)));
+  CHECK_FALSE(MayWait(availability, false, milliseconds(150)));
+  availability.all_at_limit = true;
+  CHECK_FALSE(MayWait(availability, true, milliseconds(500)));
+  availability.next_permit_in = milliseconds(60);
+  CHECK_TRUE(MayWait(availability, false, milliseconds(150)));
+  CHECK_FALSE(MayWait(availability, false, milliseconds(100)));
+  availability.next_permit_in = milliseconds(310);
+  CHECK_FALSE(MayWait(availability, true, milliseconds(1'000)));
 }
 
-// Guards against parts that grow while an instance restarts or is out of sight.
+// Guards against shares that grow while an instance restarts or is unreachable.
 TEST(Limits, InstancesCountForSomeSecondsAfterTheyWereLastSeen) {
   VirtualTime time;
   RecentInstances recent(time);
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/load_spreading_test.cc
@@ -2,7 +2,7 @@
 #include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
@@ -21,12 +21,12 @@
 
 constexpr int kInstances = 100;
 constexpr int kDomains = 4;
-constexpr int kChainsOfDomain = 4;
+constexpr int kChainsPerDomain = 4;
 
-/** Of 25 requests of an instance in ten seconds each lasts two: what the large deployment has. */
-constexpr Duration kBetweenRequests = milliseconds(4);
-constexpr Duration kRequestLasts = seconds(2);
-constexpr Duration kBetweenReports = milliseconds(400);
+// Load of a large deployment: each instance gets 25 requests in ten seconds.
+constexpr Duration kRequestInterval = milliseconds(4);
+constexpr Duration kRequestDuration = seconds(2);
+constexpr Duration kReportInterval = milliseconds(400);
 
 std::string DomainOf(int number) {
   return "domain" + std::to_string(number % kDomains);
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-/** A hundred instances that choose paths through sixteen equal chains, three engines each, and hear
-   of each other's loads every 400 ms. */
-TEST_GROUP(Crowd) {
+/** Simulates 100 instances that choose paths through 16 equal chains of three engines and exchange
+    load reports every 400 ms. */
+TEST_GROUP(LoadSpreading) {
   struct Chooser {
     Chooser(VirtualTime& time, int number)
         : loads(time),
@@ -48,14 +48,14 @@
     }
     LoadTracker loads;
     ServerHealth health;
-    HolderDivision division;
+    RendezvousLimitDivision division;
     ServerLimits limits;
     InterDomainLinkMeter pipe;
     RandomSource random;
     NamedConnections connections;
     PathFinder finder{loads, health, limits, pipe, connections, random};
   };
-  struct Running {
+  struct RunningRequest {
     TimePoint ends_at;
     int chooser;
     LayerPath path;
@@ -63,14 +63,14 @@
 
   VirtualTime time;
   std::vector<std::unique_ptr<Chooser>> choosers;
-  std::deque<Running> running;
+  std::deque<RunningRequest> running;
   std::map<BackendServerName, int> begun;
   ForwardingView view;
   const GenerationSize size{760, 200};
 
   void setup() override {
     std::vector<ServerEntry> servers;
-    for (int chain = 0; chain < kDomains * kChainsOfDomain; ++chain) {
+    for (int chain = 0; chain < kDomains * kChainsPerDomain; ++chain) {
       const std::string name = "c" + std::to_string(chain);
       servers.push_back(EngineServer(name + "-0", "fast", DomainOf(chain), {0, 27}));
       servers.push_back(EngineServer(name + "-1", "fast", DomainOf(chain), {27, 54}));
@@ -83,7 +83,7 @@
     }
   }
 
-  void Report() {
+  void ExchangeLoadReports() {
     LoadTracker::Uses sum;
     for (const auto& chooser : choosers) {
       for (const auto& [server, use] : chooser->loads.Own()) {
@@ -111,10 +111,10 @@
       chooser.loads.Add(part.server, 960.0 * part.layers.Count(), part.layers.first == 0);
     }
     ++begun[found->path.front().server];
-    running.push_back({time.Now() + kRequestLasts, number, found->path});
+    running.push_back({time.Now() + kRequestDuration, number, found->path});
   }
 
-  void EndThoseThatAreDone() {
+  void EndFinishedRequests() {
     while (!running.empty() && running.front().ends_at <= time.Now()) {
       for (const PathPart& part : running.front().path) {
         choosers[running.front().chooser]->loads.Remove(part.server, 960.0 * part.layers.Count(),
@@ -124,26 +124,26 @@
     }
   }
 
-  /** The most that one server begins between two reports, in parts of the mean; worst of the last
-      five seconds of eight. */
+  /** Maximum number of requests that one first server gets between two reports, relative to the
+      mean, over the last five of eight seconds. */
   double BusiestOverMean() {
     RandomSource random(7);
     double worst = 0.0;
-    const int reports = static_cast<int>(seconds(8) / kBetweenReports);
+    const int reports = static_cast<int>(seconds(8) / kReportInterval);
     for (int report = 0; report < reports; ++report) {
-      Report();
+      ExchangeLoadReports();
       begun.clear();
-      const int requests = static_cast<int>(kBetweenReports / kBetweenRequests);
+      const int requests = static_cast<int>(kReportInterval / kRequestInterval);
       for (int request = 0; request < requests; ++request) {
-        EndThoseThatAreDone();
+        EndFinishedRequests();
         Begin(static_cast<int>(RandomBelow(random, kInstances)));
-        time.AdvanceBy(kBetweenRequests);
+        time.AdvanceBy(kRequestInterval);
       }
       const auto busiest = std::max_element(
           begun.begin(), begun.end(),
           [](const auto& one, const auto& other) { return one.second < other.second; });
-      const double mean = static_cast<double>(requests) / (kDomains * kChainsOfDomain);
-      if (report * kBetweenReports >= seconds(3)) {
+      const double mean = static_cast<double>(requests) / (kDomains * kChainsPerDomain);
+      if (report * kReportInterval >= seconds(3)) {
         worst = std::max(worst, busiest->second / mean);
       }
     }
@@ -151,14 +151,13 @@
   }
 };
 
-// Symptom: first events are late on a calm day while most engines idle. Sequence: all instances
-// hear the same loads; until the next report all send to the chain that was emptiest. Cause: the
-// best path chosen by everybody. One chain of sixteen got 10.2 times the mean; 2.6 with chance.
-TEST(Crowd, NoChainGetsMostRequestsBetweenTwoReports) {
+// Guards against herding: all instances see the same loads and send to the least loaded chain until
+// the next report.
+TEST(LoadSpreading, NoChainGetsMostRequestsBetweenTwoReports) {
   CHECK_TRUE(BusiestOverMean() < 4.0);
 }
 
-TEST(Crowd, AFewFirstServersAreDrawnMostlyNear) {
+TEST(LoadSpreading, SampledFirstServersAreMostlyNear) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
   std::vector<bool> is_same_domain(20, false);
@@ -175,17 +174,15 @@
   CHECK_TRUE(*std::min_element(counts.begin(), counts.end()) > 10);
 }
 
-TEST(Crowd, AnInstanceWithoutFirstServersNearbyLooksElsewhere) {
+TEST(LoadSpreading, WithoutNearFirstServersRemoteOnesAreSampled) {
   RandomSource random(3);
   const std::vector<bool> drawn =
       FirstServerSampler(random).Draw(std::vector<bool>(12, false), std::vector<bool>(12, false));
   CHECK_EQUAL(3, std::count(drawn.begin(), drawn.end(), true));
 }
 
-// Symptom: two in five streams make a new connection. Sequence: an instance's requests go to a
-// first server drawn anew each time, and a connection that was kept is not wanted again until it is
-// too old. Cause: draws that do not know of it.
-TEST(Crowd, ANearFirstServerWithAnUnusedConnectionIsLookedAtToo) {
+// Guards against idle connections that expire because the samples rarely include their servers.
+TEST(LoadSpreading, NearFirstServerWithAnUnusedConnectionIsAlwaysSampled) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
   std::vector<bool> is_same_domain(20, false);
@@ -193,27 +190,25 @@
   std::vector<bool> has_connection(20, false);
   has_connection[4] = true;
   has_connection[15] = true;
-  int far_looks = 0;
+  int far_samples = 0;
   for (int draw = 0; draw < 50; ++draw) {
     const std::vector<bool> drawn = sampler.Draw(is_same_domain, has_connection);
     CHECK_TRUE(drawn[4]);
-    far_looks += drawn[15] ? 1 : 0;
+    far_samples += drawn[15] ? 1 : 0;
   }
-  CHECK_TRUE(far_looks < 25);
+  CHECK_TRUE(far_samples < 25);
 }
 
-TEST(Crowd, FewFirstServersAreAllLookedAt) {
+TEST(LoadSpreading, FewFirstServersAreAllSampled) {
   RandomSource random(3);
   const std::vector<bool> drawn =
       FirstServerSampler(random).Draw({true, false, false, true}, {true, false, false, false});
   CHECK_EQUAL(4, std::count(drawn.begin(), drawn.end(), true));
 }
 
-// Symptom: after all instances ended together callers are refused and answers begin late, though
-// most of the pool idles: of 955 requests 523 passed through one chain that has memory for some
-// 150. Sequence: the instances start again, callers come back at once, nobody has heard of the
-// others' requests yet. Cause: own requests taken for all there are.
-TEST(Crowd, WhoHasHeardNothingTakesItsPeersToChooseAsItDoes) {
+// Guards against overloading one chain after a restart of all instances, when none of them has yet
+// received the others' loads.
+TEST(LoadSpreading, WithoutReportsPeersAreAssumedToChooseAlike) {
   constexpr int kMiddleChains = 6;
   constexpr std::uint32_t kStages = 5;
   std::vector<ServerEntry> servers = {EngineServer("fast-0", "fast", "domain0", {0, 27}),
@@ -227,9 +222,9 @@
   }
   view = ViewOf(servers);
   view.live_instances = kInstances;
-  constexpr int kRequestsOfEach = 5;
+  constexpr int kRequestsPerInstance = 5;
   std::map<BackendServerName, double> used;
-  for (int request = 0; request < kRequestsOfEach; ++request) {
+  for (int request = 0; request < kRequestsPerInstance; ++request) {
     for (int number = 0; number < kInstances; ++number) {
       Begin(number);
       for (const PathPart& part : running.back().path) {
@@ -240,13 +235,13 @@
   const EngineProfile engine = MixedEngine();
   for (const auto& [server, token_layers] : used) {
     const double capacity = TokenLayerCapacity(engine, view.servers.at(server));
-    CHECK_TEXT(token_layers < 2.5 * capacity, server.c_str());  // 3.4 without the guess.
+    CHECK_TEXT(token_layers < 2.5 * capacity,
+               server.c_str());  // 3.4 without the estimate of peers' loads.
   }
 }
 
-// Symptom: an instance refuses requests that fit. Cause: peers that do little are taken, for ever,
-// for peers that do as much as itself.
-TEST(Crowd, PeersAreGuessedOnlyForAMomentAfterTheStart) {
+// Guards against refusing requests because idle peers are permanently estimated to be busy.
+TEST(LoadSpreading, PeersLoadsAreEstimatedOnlyShortlyAfterTheStart) {
   LoadTracker& loads = choosers[0]->loads;
   loads.Add("s", 100);
   CHECK_TRUE(loads.UseOf("s").token_layers > 1'000);
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -4,7 +4,7 @@
 #include "zinnia_decisions/forwarding/beliefs/probe_round.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
@@ -19,7 +19,7 @@
   VirtualTime time;
   LoadTracker loads{time};
   ServerHealth health{time};
-  HolderDivision division;
+  RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
   InterDomainLinkMeter pipe{time};
   RandomSource random{1};
@@ -144,9 +144,9 @@
 // through it does not count.
 TEST(Paths, BeginsElsewhereWhereAServerIsAtItsLimit) {
   time.AdvanceBy(seconds(10));
-  limits.OnNews({"x2", 2.0, {}});
+  limits.OnReport({"x2", 2.0, {}});
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
-  limits.OnNews({"x1", 2.0, {}});
+  limits.OnReport({"x1", 2.0, {}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   time.AdvanceBy(seconds(1));
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -3,7 +3,7 @@
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/limits/holder_division.h"
+#include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/reading_time.h"
@@ -22,7 +22,7 @@
   VirtualTime time;
   LoadTracker loads{time};
   ServerHealth health{time};
-  HolderDivision division;
+  RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
   InterDomainLinkMeter pipe{time};
   RandomSource random{1};
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -49,7 +49,7 @@
     }
   }
   void OnPeerServerState(const ServerStateReport&) override {}
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& from_peer) override {
+  void OnPeerServerLimits(const std::vector<ServerLimitReport>& from_peer) override {
     const bool is_new = limits.empty();
     limits = from_peer;
     if (is_new) {
@@ -57,7 +57,7 @@
     }
   }
   void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
-  std::vector<ServerLimitNews> limits;
+  std::vector<ServerLimitReport> limits;
 
   HeldStore store;
   SilentLogger logger;
--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -36,13 +36,13 @@
         stalls.push_back(stall.server);
       }
     }
-    void OnPeerServerLimits(const std::vector<ServerLimitNews>& from_peer) override {
+    void OnPeerServerLimits(const std::vector<ServerLimitReport>& from_peer) override {
       limits = from_peer;
     }
     void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) override {
       slow = slow_servers;
     }
-    std::vector<ServerLimitNews> limits;
+    std::vector<ServerLimitReport> limits;
     void OnPeerServerState(const ServerStateReport& from_peer) override {
       layers.push_back(from_peer);
     }
