--- a/packages/zinnia_decisions/forwarding/paths/paths.h
+++ b/packages/zinnia_decisions/forwarding/paths/paths.h
@@ -6,6 +6,6 @@
 #include "zinnia_decisions/forwarding/paths/kept_connections.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/plain_server_chooser.h"
-#include "zinnia_decisions/forwarding/paths/reading_time.h"
+#include "zinnia_decisions/forwarding/paths/prefill_time.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
 #include "zinnia_decisions/forwarding/paths/route_table.h"
--- a/packages/zinnia_decisions/forwarding/paths/reading_time.cc
+++ b/packages/zinnia_decisions/forwarding/paths/prefill_time.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/paths/reading_time.h"
+#include "zinnia_decisions/forwarding/paths/prefill_time.h"
 
 #include "zinnia_world/forwarding/engine_profile.h"
 
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -6,7 +6,7 @@
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/paths/reading_time.h"
+#include "zinnia_decisions/forwarding/paths/prefill_time.h"
 
 namespace zinnia {
 namespace {
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -6,7 +6,7 @@
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
-#include "zinnia_decisions/forwarding/paths/reading_time.h"
+#include "zinnia_decisions/forwarding/paths/prefill_time.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
 
 #include <algorithm>
