--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -298,7 +298,7 @@
                             const GenerationSize& size,
                             double token_layers_in_use,
                             double pace) {
-  const double ms_per_token_layer = ReadingMsPerTokenLayer(engine, accelerator) * pace;
+  const double ms_per_token_layer = PrefillMsPerTokenLayer(engine, accelerator) * pace;
   const double tokens = std::max(1.0, size.prompt_tokens + size.answer_tokens);
   const double residence_ms =
       std::max(1.0, size.answer_tokens) * engine.step_ms * kTokenTimeInSteps;
--- a/packages/zinnia_decisions/forwarding/paths/prefill_time.cc
+++ b/packages/zinnia_decisions/forwarding/paths/prefill_time.cc
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-double ReadingMsPerTokenLayer(const EngineProfile& engine, const AcceleratorProfile& accelerator) {
+double PrefillMsPerTokenLayer(const EngineProfile& engine, const AcceleratorProfile& accelerator) {
   const double read_ms =
       accelerator.read_factor * kMillisecondsPerSecond / engine.read_tokens_per_second;
   double steps_ms = 0.0;
--- a/packages/zinnia_decisions/forwarding/paths/prefill_time.h
+++ b/packages/zinnia_decisions/forwarding/paths/prefill_time.h
@@ -12,6 +12,6 @@
     and then runs its token steps. On accelerators that are slow at steps these take longer than the
     reading itself, and whoever leaves them out believes such an engine to be three times as fast.
 */
-double ReadingMsPerTokenLayer(const EngineProfile& engine, const AcceleratorProfile& accelerator);
+double PrefillMsPerTokenLayer(const EngineProfile& engine, const AcceleratorProfile& accelerator);
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -50,7 +50,7 @@
     return 0.0;
   }
   const double tokens = size.prompt_tokens + size.answer_tokens * kAnswerSoFar;
-  return tokens * part.layers.Count() * ReadingMsPerTokenLayer(engine, accelerator->second) *
+  return tokens * part.layers.Count() * PrefillMsPerTokenLayer(engine, accelerator->second) *
          m_health.Pace(part.server);
 }
 
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -51,10 +51,10 @@
 TEST(Recovery, AnEngineThatWritesReadsBetweenItsSteps) {
   EngineProfile engine = MixedEngine();
   const AcceleratorProfile& slow = engine.accelerators.at("slow");
-  const double alone = ReadingMsPerTokenLayer(engine, slow);
+  const double alone = PrefillMsPerTokenLayer(engine, slow);
   engine.steps_per_pass = 4;
   engine.read_tokens_per_pass = 512;
-  const double beside_steps = ReadingMsPerTokenLayer(engine, slow);
+  const double beside_steps = PrefillMsPerTokenLayer(engine, slow);
   // Four steps of 16.3 ms over all layers for 512 tokens that take 40 ms.
   DOUBLES_EQUAL(alone * (40.0 + 65.3) / 40.0, beside_steps, alone * 0.01);
 }
