--- a/packages/zinnia_adapters/forwarding/server_connection_pool.h
+++ b/packages/zinnia_adapters/forwarding/server_connection_pool.h
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/paths/kept_connections.h"
+#include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_world/forwarding/server_entry.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -11,7 +11,7 @@
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
-#include "zinnia_decisions/forwarding/paths/kept_connections.h"
+#include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/forwarding/paths/prefill_time.h"
 
 namespace zinnia {
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -14,7 +14,7 @@
 #include "zinnia_base/time/virtual_time.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
-#include "zinnia_decisions/forwarding/paths/kept_connections.h"
+#include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/ports/layer_orders.h"
 #include "zinnia_decisions/ports/platform_store.h"
 
