--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -21,7 +21,7 @@
 constexpr int kDomains = 5;
 constexpr int kRounds = 300;
 
-struct NoConnections final : KeptConnections {
+struct NoConnections final : IdleConnections {
   bool HasUnused(const BackendServerName&) const override { return false; }
 };
 
--- a/packages/zinnia_adapters/forwarding/server_connection_pool.h
+++ b/packages/zinnia_adapters/forwarding/server_connection_pool.h
@@ -16,7 +16,7 @@
 
 /** Kept connections to backend servers, by server. New ones are limited and cost time, so the most
     recently used is taken first. Belongs to one traffic thread. */
-class ServerConnectionPool final : public KeptConnections {
+class ServerConnectionPool final : public IdleConnections {
  public:
   ServerConnectionPool(boost::asio::io_context& loop, const Clock& clock)
       : m_loop(loop), m_clock(clock) {}
--- a/packages/zinnia_decisions/forwarding/paths/idle_connections.h
+++ b/packages/zinnia_decisions/forwarding/paths/idle_connections.h
@@ -6,9 +6,9 @@
 
 /** Which servers this instance has an unused connection to. Servers take time and a place for each
    new one, and bound how many they have from all instances together. */
-class KeptConnections {
+class IdleConnections {
  public:
-  virtual ~KeptConnections() = default;
+  virtual ~IdleConnections() = default;
   virtual bool HasUnused(const BackendServerName& server) const = 0;
 };
 
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -12,7 +12,7 @@
 
 namespace zinnia {
 
-class KeptConnections;
+class IdleConnections;
 class LoadBook;
 class PipeMeter;
 class ServerHealth;
@@ -65,7 +65,7 @@
              const ServerHealth& health,
              const ServerLimits& limits,
              const PipeMeter& pipe,
-             const KeptConnections& connections,
+             const IdleConnections& connections,
              RandomSource& random)
       : m_loads(loads),
         m_health(health),
@@ -126,7 +126,7 @@
   const ServerHealth& m_health;
   const ServerLimits& m_limits;
   const PipeMeter& m_pipe;
-  const KeptConnections& m_connections;
+  const IdleConnections& m_connections;
   RandomSource& m_random;
 };
 
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -190,7 +190,7 @@
 };
 
 /** Has unused connections to the servers named. */
-struct NamedConnections final : KeptConnections {
+struct NamedConnections final : IdleConnections {
   bool HasUnused(const BackendServerName& server) const override {
     return servers.contains(server);
   }
