--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -22,7 +22,7 @@
 constexpr int kRounds = 300;
 
 struct NoConnections final : IdleConnections {
-  bool HasUnused(const BackendServerName&) const override { return false; }
+  bool HasIdle(const BackendServerName&) const override { return false; }
 };
 
 EngineProfile Engine() {
--- a/packages/zinnia_adapters/forwarding/server_connection_pool.cc
+++ b/packages/zinnia_adapters/forwarding/server_connection_pool.cc
@@ -52,7 +52,7 @@
   return ServerConnection::Create(m_loop, m_clock, address);
 }
 
-bool ServerConnectionPool::HasUnused(const BackendServerName& server) const {
+bool ServerConnectionPool::HasIdle(const BackendServerName& server) const {
   const auto idle = m_idle.find(server);
   return idle != m_idle.end() && !idle->second.empty() && idle->second.back()->IsReusable() &&
          !IsTooOld(*idle->second.back(), kLongestIdle);
--- a/packages/zinnia_adapters/forwarding/server_connection_pool.h
+++ b/packages/zinnia_adapters/forwarding/server_connection_pool.h
@@ -30,7 +30,7 @@
   /** Gives a connection back after an answer; one that cannot be used again is dropped. */
   void Keep(const BackendServerName& server, std::shared_ptr<ServerConnection> connection);
 
-  bool HasUnused(const BackendServerName& server) const override;
+  bool HasIdle(const BackendServerName& server) const override;
 
   /** Closes those that are idle for too long, or whose server is not in `servers`. */
   void DropUnused(const std::map<BackendServerName, ServerEntry>& servers);
--- a/packages/zinnia_decisions/forwarding/paths/idle_connections.h
+++ b/packages/zinnia_decisions/forwarding/paths/idle_connections.h
@@ -9,7 +9,7 @@
 class IdleConnections {
  public:
   virtual ~IdleConnections() = default;
-  virtual bool HasUnused(const BackendServerName& server) const = 0;
+  virtual bool HasIdle(const BackendServerName& server) const = 0;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -391,7 +391,7 @@
   candidate.may_begin =
       use.begun < server.most_requests * kBegunShare && m_limits.MaySend(server.name);
   candidate.wait_ms = Milliseconds(m_health.FirstEventDelay(server.name));
-  candidate.has_connection = server.layers.first == 0 && m_connections.HasUnused(server.name);
+  candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
   return candidate;
 }
 
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -191,9 +191,7 @@
 
 /** Has unused connections to the servers named. */
 struct NamedConnections final : IdleConnections {
-  bool HasUnused(const BackendServerName& server) const override {
-    return servers.contains(server);
-  }
+  bool HasIdle(const BackendServerName& server) const override { return servers.contains(server); }
   std::set<BackendServerName> servers;
 };
 
