--- a/packages/zinnia_decisions/forwarding/placement/domain_room.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 
 #include <algorithm>
 #include <cassert>
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_decisions/forwarding/placement/spare_chooser.h"
 #include "zinnia_decisions/once/alive_guard.h"
 #include "zinnia_decisions/ports/layer_orders.h"
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_world/forwarding/engine_profile.h"
 
 namespace zinnia {
--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_decisions/forwarding/placement/spare_chooser.h"
 
 #include <algorithm>
