--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-DomainRoom::DomainRoom(const EngineProfile& profile,
-                       const FailureDomainName& domain,
-                       const std::vector<ServerEntry>& engines)
+DomainCapacity::DomainCapacity(const EngineProfile& profile,
+                               const FailureDomainName& domain,
+                               const std::vector<ServerEntry>& engines)
     : m_profile(profile), m_tokens(profile.layers, 0.0) {
   for (const ServerEntry& engine : engines) {
     if (engine.failure_domain != domain) {
@@ -46,12 +46,12 @@
   m_least = std::max(kNoRoom, MedianOf(m_tokens) * kLeastShareOfUsualRoom);
 }
 
-double DomainRoom::RoomPerLayer(const ServerEntry& engine) const {
+double DomainCapacity::RoomPerLayer(const ServerEntry& engine) const {
   const std::uint32_t count = engine.layers.Count();
   return count == 0 ? 0.0 : TokenLayerCapacity(m_profile, engine) / count;
 }
 
-std::vector<LayerRange> DomainRoom::Lacking(const LayerRange& range) const {
+std::vector<LayerRange> DomainCapacity::Lacking(const LayerRange& range) const {
   std::vector<LayerRange> lacking;
   for (std::uint32_t layer = range.first; layer < range.end && layer < m_tokens.size(); ++layer) {
     if (m_tokens[layer] >= m_least) {
@@ -65,13 +65,13 @@
   return lacking;
 }
 
-bool DomainRoom::IsMostlyEmpty() const {
+bool DomainCapacity::IsMostlyEmpty() const {
   const auto empty = std::count_if(m_tokens.begin(), m_tokens.end(),
                                    [](double tokens) { return tokens < kNoRoom; });
   return static_cast<std::size_t>(empty) * 2 > m_tokens.size();
 }
 
-bool DomainRoom::CanSpare(const ServerEntry& engine) const {
+bool DomainCapacity::CanSpare(const ServerEntry& engine) const {
   const double own = RoomPerLayer(engine);
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
     if (layer >= m_tokens.size() || m_tokens[layer] - own < m_least) {
@@ -81,7 +81,7 @@
   return true;
 }
 
-void DomainRoom::Take(const ServerEntry& engine) {
+void DomainCapacity::Take(const ServerEntry& engine) {
   assert(engine.layers.end <= m_tokens.size() && "an engine of another model");
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
     m_tokens[layer] -= RoomPerLayer(engine);
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -15,13 +15,13 @@
     A request runs through all layers, so the layer with the least room bounds how many the domain
     serves, however much memory the others have left.
 */
-class DomainRoom {
+class DomainCapacity {
  public:
   /** `engines` have the layers that they hold or are to hold; those of other failure domains are
       left out. The profile must outlive it. */
-  DomainRoom(const EngineProfile& profile,
-             const FailureDomainName& domain,
-             const std::vector<ServerEntry>& engines);
+  DomainCapacity(const EngineProfile& profile,
+                 const FailureDomainName& domain,
+                 const std::vector<ServerEntry>& engines);
 
   /** The runs of layers of `range` that are not held, or with much less room than is usual here. */
   std::vector<LayerRange> Lacking(const LayerRange& range) const;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -177,7 +177,7 @@
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> still;
   const std::vector<ServerEntry> planned = Planned(servers);
   for (const auto& [domain, empty_engine] : has_empty) {
-    const DomainRoom room(engine, domain, planned);
+    const DomainCapacity room(engine, domain, planned);
     // A domain with few layers has its chains together with others.
     const auto gaps =
         room.IsMostlyEmpty() ? std::vector<LayerRange>() : room.Lacking({0, engine.layers});
@@ -286,7 +286,7 @@
     }
     // Where others of the failure domain hold the layers too and have room, requests go on there,
     // and moving engines would only take layers from others.
-    const DomainRoom room(engine, vacancy.left.failure_domain, Planned(servers));
+    const DomainCapacity room(engine, vacancy.left.failure_domain, Planned(servers));
     for (const LayerRange& missing : room.Lacking(vacancy.left.layers)) {
       ShareOut(vacancy, missing, engine, servers);
     }
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -41,7 +41,7 @@
   std::stable_sort(candidates.begin(), candidates.end(), [&](const auto* one, const auto* other) {
     return StepFactor(profile, *one) > StepFactor(profile, *other);
   });
-  DomainRoom room(profile, left.failure_domain, pool.engines);
+  DomainCapacity room(profile, left.failure_domain, pool.engines);
   std::erase_if(candidates, [&](const ServerEntry* engine) {
     const bool is_needed = !room.CanSpare(*engine);
     if (!is_needed) {
