--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -51,7 +51,7 @@
   return count == 0 ? 0.0 : TokenLayerCapacity(m_profile, engine) / count;
 }
 
-std::vector<LayerRange> DomainCapacity::Lacking(const LayerRange& range) const {
+std::vector<LayerRange> DomainCapacity::FindShortages(const LayerRange& range) const {
   std::vector<LayerRange> lacking;
   for (std::uint32_t layer = range.first; layer < range.end && layer < m_tokens.size(); ++layer) {
     if (m_tokens[layer] >= m_least) {
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -24,7 +24,7 @@
                  const std::vector<ServerEntry>& engines);
 
   /** The runs of layers of `range` that are not held, or with much less room than is usual here. */
-  std::vector<LayerRange> Lacking(const LayerRange& range) const;
+  std::vector<LayerRange> FindShortages(const LayerRange& range) const;
 
   /** Whether most layers have no holder: then the domain has no chain of its own. */
   bool IsMostlyEmpty() const;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -180,7 +180,7 @@
     const DomainCapacity room(engine, domain, planned);
     // A domain with few layers has its chains together with others.
     const auto gaps =
-        room.IsMostlyEmpty() ? std::vector<LayerRange>() : room.Lacking({0, engine.layers});
+        room.IsMostlyEmpty() ? std::vector<LayerRange>() : room.FindShortages({0, engine.layers});
     for (const LayerRange& gap : gaps) {
       if (IsVacant(domain, gap)) {
         continue;
@@ -287,7 +287,7 @@
     // Where others of the failure domain hold the layers too and have room, requests go on there,
     // and moving engines would only take layers from others.
     const DomainCapacity room(engine, vacancy.left.failure_domain, Planned(servers));
-    for (const LayerRange& missing : room.Lacking(vacancy.left.layers)) {
+    for (const LayerRange& missing : room.FindShortages(vacancy.left.layers)) {
       ShareOut(vacancy, missing, engine, servers);
     }
   }
--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -84,13 +84,13 @@
 
 TEST(Spares, LayersWithLittleRoomAreLackingLikeThoseWithout) {
   const DomainCapacity room(profile, "k", pool.engines);
-  const auto lacking = room.Lacking({0, 80});
+  const auto lacking = room.FindShortages({0, 80});
   CHECK_EQUAL(1U, lacking.size());
   CHECK_TRUE((lacking[0] == LayerRange{40, 60}));
   pool.engines.push_back(
       EngineServer("full", "slow", "k", {40, 52}));  // Its memory is all weights.
   const DomainCapacity little(profile, "k", pool.engines);
-  CHECK_TRUE((little.Lacking({0, 80}).front() == LayerRange{40, 60}));
+  CHECK_TRUE((little.FindShortages({0, 80}).front() == LayerRange{40, 60}));
   CHECK_FALSE(little.CanSpare(Engine("middle")));
   CHECK_TRUE(little.CanSpare(Engine("slow0")));
   CHECK_TRUE(DomainCapacity(profile, "empty", pool.engines).IsMostlyEmpty());
