--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -37,7 +37,7 @@
     if (engine.failure_domain != domain) {
       continue;
     }
-    const double tokens = RoomPerLayer(engine);
+    const double tokens = TokensPerLayer(engine);
     for (std::uint32_t layer = engine.layers.first;
          layer < std::min(engine.layers.end, profile.layers); ++layer) {
       m_tokens[layer] += tokens;
@@ -46,7 +46,7 @@
   m_least = std::max(kNoRoom, MedianOf(m_tokens) * kLeastShareOfUsualRoom);
 }
 
-double DomainCapacity::RoomPerLayer(const ServerEntry& engine) const {
+double DomainCapacity::TokensPerLayer(const ServerEntry& engine) const {
   const std::uint32_t count = engine.layers.Count();
   return count == 0 ? 0.0 : TokenLayerCapacity(m_profile, engine) / count;
 }
@@ -72,7 +72,7 @@
 }
 
 bool DomainCapacity::CanSpare(const ServerEntry& engine) const {
-  const double own = RoomPerLayer(engine);
+  const double own = TokensPerLayer(engine);
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
     if (layer >= m_tokens.size() || m_tokens[layer] - own < m_least) {
       return false;
@@ -84,7 +84,7 @@
 void DomainCapacity::Take(const ServerEntry& engine) {
   assert(engine.layers.end <= m_tokens.size() && "an engine of another model");
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
-    m_tokens[layer] -= RoomPerLayer(engine);
+    m_tokens[layer] -= TokensPerLayer(engine);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -36,7 +36,7 @@
   void Take(const ServerEntry& engine);
 
  private:
-  double RoomPerLayer(const ServerEntry& engine) const;
+  double TokensPerLayer(const ServerEntry& engine) const;
 
   const EngineProfile& m_profile;
   std::vector<double> m_tokens;
