--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -65,7 +65,7 @@
   return lacking;
 }
 
-bool DomainCapacity::IsMostlyEmpty() const {
+bool DomainCapacity::IsMostlyUncovered() const {
   const auto empty = std::count_if(m_tokens.begin(), m_tokens.end(),
                                    [](double tokens) { return tokens < kNoRoom; });
   return static_cast<std::size_t>(empty) * 2 > m_tokens.size();
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -27,7 +27,7 @@
   std::vector<LayerRange> FindShortages(const LayerRange& range) const;
 
   /** Whether most layers have no holder: then the domain has no chain of its own. */
-  bool IsMostlyEmpty() const;
+  bool IsMostlyUncovered() const;
 
   /** Whether all its layers keep enough room without it. */
   bool CanSpare(const ServerEntry& engine) const;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -179,8 +179,8 @@
   for (const auto& [domain, empty_engine] : has_empty) {
     const DomainCapacity room(engine, domain, planned);
     // A domain with few layers has its chains together with others.
-    const auto gaps =
-        room.IsMostlyEmpty() ? std::vector<LayerRange>() : room.FindShortages({0, engine.layers});
+    const auto gaps = room.IsMostlyUncovered() ? std::vector<LayerRange>()
+                                               : room.FindShortages({0, engine.layers});
     for (const LayerRange& gap : gaps) {
       if (IsVacant(domain, gap)) {
         continue;
--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -93,7 +93,7 @@
   CHECK_TRUE((little.FindShortages({0, 80}).front() == LayerRange{40, 60}));
   CHECK_FALSE(little.CanSpare(Engine("middle")));
   CHECK_TRUE(little.CanSpare(Engine("slow0")));
-  CHECK_TRUE(DomainCapacity(profile, "empty", pool.engines).IsMostlyEmpty());
+  CHECK_TRUE(DomainCapacity(profile, "empty", pool.engines).IsMostlyUncovered());
 }
 
 }  // namespace zinnia
