--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -13,7 +13,7 @@
 /** A layer with less than this part of the room that the layers of its failure domain usually have
     binds all requests there: two slow engines that stand in for one fast one have room for a third
     of the tokens that the other stages hold. */
-constexpr double kLeastShareOfUsualRoom = 0.5;
+constexpr double kMinShareOfMedianCapacity = 0.5;
 
 /** Room for less than a token is none; sums are not exact. */
 constexpr double kNoRoom = 1.0;
@@ -43,7 +43,7 @@
       m_tokens[layer] += tokens;
     }
   }
-  m_least = std::max(kNoRoom, MedianOf(m_tokens) * kLeastShareOfUsualRoom);
+  m_least = std::max(kNoRoom, MedianOf(m_tokens) * kMinShareOfMedianCapacity);
 }
 
 double DomainCapacity::TokensPerLayer(const ServerEntry& engine) const {
