--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -16,7 +16,7 @@
 constexpr double kMinShareOfMedianCapacity = 0.5;
 
 /** Room for less than a token is none; sums are not exact. */
-constexpr double kNoRoom = 1.0;
+constexpr double kMinCapacityTokens = 1.0;
 
 double MedianOf(std::vector<double> values) {
   if (values.empty()) {
@@ -43,7 +43,7 @@
       m_tokens[layer] += tokens;
     }
   }
-  m_least = std::max(kNoRoom, MedianOf(m_tokens) * kMinShareOfMedianCapacity);
+  m_least = std::max(kMinCapacityTokens, MedianOf(m_tokens) * kMinShareOfMedianCapacity);
 }
 
 double DomainCapacity::TokensPerLayer(const ServerEntry& engine) const {
@@ -67,7 +67,7 @@
 
 bool DomainCapacity::IsMostlyUncovered() const {
   const auto empty = std::count_if(m_tokens.begin(), m_tokens.end(),
-                                   [](double tokens) { return tokens < kNoRoom; });
+                                   [](double tokens) { return tokens < kMinCapacityTokens; });
   return static_cast<std::size_t>(empty) * 2 > m_tokens.size();
 }
 
