--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -43,7 +43,7 @@
       m_tokens[layer] += tokens;
     }
   }
-  m_least = std::max(kMinCapacityTokens, MedianOf(m_tokens) * kMinShareOfMedianCapacity);
+  m_min_tokens = std::max(kMinCapacityTokens, MedianOf(m_tokens) * kMinShareOfMedianCapacity);
 }
 
 double DomainCapacity::TokensPerLayer(const ServerEntry& engine) const {
@@ -54,7 +54,7 @@
 std::vector<LayerRange> DomainCapacity::FindShortages(const LayerRange& range) const {
   std::vector<LayerRange> lacking;
   for (std::uint32_t layer = range.first; layer < range.end && layer < m_tokens.size(); ++layer) {
-    if (m_tokens[layer] >= m_least) {
+    if (m_tokens[layer] >= m_min_tokens) {
       continue;
     }
     if (lacking.empty() || lacking.back().end != layer) {
@@ -74,7 +74,7 @@
 bool DomainCapacity::CanSpare(const ServerEntry& engine) const {
   const double own = TokensPerLayer(engine);
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
-    if (layer >= m_tokens.size() || m_tokens[layer] - own < m_least) {
+    if (layer >= m_tokens.size() || m_tokens[layer] - own < m_min_tokens) {
       return false;
     }
   }
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -40,7 +40,7 @@
 
   const EngineProfile& m_profile;
   std::vector<double> m_tokens;
-  double m_least = 0.0;
+  double m_min_tokens = 0.0;
 };
 
 }  // namespace zinnia
