--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -7,7 +7,7 @@
 
 std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_near,
                                            const std::vector<bool>& has_connection) {
-  if (is_near.size() <= kFewFirstServers) {
+  if (is_near.size() <= kMaxUnsampledServers) {
     return std::vector<bool>(is_near.size(), true);
   }
   std::vector<std::size_t> near;
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -16,7 +16,7 @@
 class FirstServerSampler {
  public:
   /** Pools with no more are looked at whole: their requests between two reports are few. */
-  static constexpr std::size_t kFewFirstServers = 8;
+  static constexpr std::size_t kMaxUnsampledServers = 8;
 
   /** Two choices take most of the unevenness of one away. The one of another failure domain lets a
       domain that lost servers hand its requests on; bytes between domains are dear, so just one. */
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -414,7 +414,7 @@
       has_connection.push_back(candidate.has_connection);
     }
   }
-  if (firsts.size() <= FirstServerSampler::kFewFirstServers) {
+  if (firsts.size() <= FirstServerSampler::kMaxUnsampledServers) {
     return std::nullopt;
   }
   const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_near, has_connection);
