--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -21,8 +21,8 @@
   }
   std::vector<bool> drawn(is_near.size(), false);
   // A domain without first servers of its own looks at as many elsewhere.
-  const std::size_t missing = kNearLooks - std::min(kNearLooks, near.size());
-  DrawFrom(std::move(near), kNearLooks, drawn);
+  const std::size_t missing = kLocalSamples - std::min(kLocalSamples, near.size());
+  DrawFrom(std::move(near), kLocalSamples, drawn);
   DrawFrom(std::move(far), kFarLooks + missing, drawn);
   DrawFrom(std::move(connected), kConnectedLooks, drawn);
   return drawn;
