--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -23,7 +23,7 @@
   // A domain without first servers of its own looks at as many elsewhere.
   const std::size_t missing = kLocalSamples - std::min(kLocalSamples, near.size());
   DrawFrom(std::move(near), kLocalSamples, drawn);
-  DrawFrom(std::move(far), kFarLooks + missing, drawn);
+  DrawFrom(std::move(far), kRemoteSamples + missing, drawn);
   DrawFrom(std::move(connected), kConnectedLooks, drawn);
   return drawn;
 }
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -21,7 +21,7 @@
   /** Two choices take most of the unevenness of one away. The one of another failure domain lets a
       domain that lost servers hand its requests on; bytes between domains are dear, so just one. */
   static constexpr std::size_t kLocalSamples = 2;
-  static constexpr std::size_t kFarLooks = 1;
+  static constexpr std::size_t kRemoteSamples = 1;
 
   /** And one of the own domain to which there is an unused connection: these differ from instance
      to instance, so they lead no crowd anywhere. */
