--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -24,7 +24,7 @@
   const std::size_t missing = kLocalSamples - std::min(kLocalSamples, near.size());
   DrawFrom(std::move(near), kLocalSamples, drawn);
   DrawFrom(std::move(far), kRemoteSamples + missing, drawn);
-  DrawFrom(std::move(connected), kConnectedLooks, drawn);
+  DrawFrom(std::move(connected), kConnectedSamples, drawn);
   return drawn;
 }
 
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -25,7 +25,7 @@
 
   /** And one of the own domain to which there is an unused connection: these differ from instance
      to instance, so they lead no crowd anywhere. */
-  static constexpr std::size_t kConnectedLooks = 1;
+  static constexpr std::size_t kConnectedSamples = 1;
 
   explicit FirstServerSampler(RandomSource& random) : m_random(random) {}
 
