--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -379,7 +379,7 @@
   const ServerUse use = m_loads.UseOf(server.name);
   const double pace = m_health.Pace(server.name);
   const double slowness =
-      (1.0 + kFailurePenalty * m_health.FailureShare(server.name)) * ChanceFactor();
+      (1.0 + kFailurePenalty * m_health.FailureShare(server.name)) * JitterFactor();
   Candidate candidate;
   candidate.entry = &server;
   candidate.ms_per_layer =
@@ -396,7 +396,7 @@
 }
 
 /** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMostChance. */
-double PathFinder::ChanceFactor() const {
+double PathFinder::JitterFactor() const {
   const double crowd = std::min(1.0, m_loads.OthersShare() / kCrowd);
   return 1.0 + kMostChance * crowd * RandomUnit(m_random);
 }
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -114,7 +114,7 @@
                      const AcceleratorProfile& accelerator,
                      const GenerationSize& size,
                      const ServerEntry& server) const;
-  double ChanceFactor() const;
+  double JitterFactor() const;
   std::optional<SearchSpace> DrawFew(const SearchSpace& space) const;
   std::optional<FoundPath> RunIn(const ForwardingView& view,
                                  const EngineProfile& engine,
