--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -71,7 +71,7 @@
 
 /** How much slower chance may make a server look: as much as loads of equal servers differ between
     two reports, so that it decides among these and seldom takes a slow one. */
-constexpr double kMostChance = 0.5;
+constexpr double kMaxJitter = 0.5;
 
 /** A server that fails all its requests looks this many times slower. */
 constexpr double kFailurePenalty = 9.0;
@@ -395,10 +395,10 @@
   return candidate;
 }
 
-/** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMostChance. */
+/** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMaxJitter. */
 double PathFinder::JitterFactor() const {
   const double crowd = std::min(1.0, m_loads.OthersShare() / kCrowd);
-  return 1.0 + kMostChance * crowd * RandomUnit(m_random);
+  return 1.0 + kMaxJitter * crowd * RandomUnit(m_random);
 }
 
 /** Nothing if the pool is small enough to be looked at whole. */
