--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -67,7 +67,7 @@
 
 /** With so many others choosing as often as this instance, chance counts in full. Nine instances
    are told of each other's choices before they are ten. */
-constexpr double kCrowd = 50.0;
+constexpr double kFullJitterInstances = 50.0;
 
 /** How much slower chance may make a server look: as much as loads of equal servers differ between
     two reports, so that it decides among these and seldom takes a slow one. */
@@ -397,7 +397,7 @@
 
 /** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMaxJitter. */
 double PathFinder::JitterFactor() const {
-  const double crowd = std::min(1.0, m_loads.OthersShare() / kCrowd);
+  const double crowd = std::min(1.0, m_loads.OthersShare() / kFullJitterInstances);
   return 1.0 + kMaxJitter * crowd * RandomUnit(m_random);
 }
 
