--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -362,7 +362,7 @@
     return FoundPath{{*first}, 0.0};
   }
   if (!first && !constraints.only_domain) {
-    const auto few = DrawFew(space);
+    const auto few = SampleFirstServers(space);
     auto found = few ? RunIn(view, engine, size, *few, first) : std::nullopt;
     if (found) {
       return found;
@@ -402,7 +402,8 @@
 }
 
 /** Nothing if the pool is small enough to be looked at whole. */
-std::optional<PathFinder::SearchSpace> PathFinder::DrawFew(const SearchSpace& space) const {
+std::optional<PathFinder::SearchSpace> PathFinder::SampleFirstServers(
+    const SearchSpace& space) const {
   std::vector<std::size_t> firsts;
   std::vector<bool> is_near;
   std::vector<bool> has_connection;
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -115,7 +115,7 @@
                      const GenerationSize& size,
                      const ServerEntry& server) const;
   double JitterFactor() const;
-  std::optional<SearchSpace> DrawFew(const SearchSpace& space) const;
+  std::optional<SearchSpace> SampleFirstServers(const SearchSpace& space) const;
   std::optional<FoundPath> RunIn(const ForwardingView& view,
                                  const EngineProfile& engine,
                                  const GenerationSize& size,
