--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -363,12 +363,12 @@
   }
   if (!first && !constraints.only_domain) {
     const auto few = SampleFirstServers(space);
-    auto found = few ? RunIn(view, engine, size, *few, first) : std::nullopt;
+    auto found = few ? SearchPath(view, engine, size, *few, first) : std::nullopt;
     if (found) {
       return found;
     }
   }
-  return RunIn(view, engine, size, space, first);
+  return SearchPath(view, engine, size, space, first);
 }
 
 /** What the server takes for this request, by its load and what is known of it. */
@@ -432,11 +432,11 @@
   return few;
 }
 
-std::optional<FoundPath> PathFinder::RunIn(const ForwardingView& view,
-                                           const EngineProfile& engine,
-                                           const GenerationSize& size,
-                                           const SearchSpace& space,
-                                           const std::optional<PathPart>& first) const {
+std::optional<FoundPath> PathFinder::SearchPath(const ForwardingView& view,
+                                                const EngineProfile& engine,
+                                                const GenerationSize& size,
+                                                const SearchSpace& space,
+                                                const std::optional<PathPart>& first) const {
   const double pipe_use = m_pipe.OwnUse() * static_cast<double>(view.live_instances);
   Search search(engine, size, space.candidates, pipe_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -116,11 +116,11 @@
                      const ServerEntry& server) const;
   double JitterFactor() const;
   std::optional<SearchSpace> SampleFirstServers(const SearchSpace& space) const;
-  std::optional<FoundPath> RunIn(const ForwardingView& view,
-                                 const EngineProfile& engine,
-                                 const GenerationSize& size,
-                                 const SearchSpace& space,
-                                 const std::optional<PathPart>& first) const;
+  std::optional<FoundPath> SearchPath(const ForwardingView& view,
+                                      const EngineProfile& engine,
+                                      const GenerationSize& size,
+                                      const SearchSpace& space,
+                                      const std::optional<PathPart>& first) const;
 
   const LoadBook& m_loads;
   const ServerHealth& m_health;
