--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -222,7 +222,7 @@
     return;
   }
   const bool is_full =
-      LooksFull(*service->second.engine, entry->second, m_parts.loads.UseOf(accused.server));
+      IsNearlyFull(*service->second.engine, entry->second, m_parts.loads.UseOf(accused.server));
   if (is_full && accused.server == m_server) {
     return;
   }
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -320,7 +320,7 @@
   return free_bytes / (engine.cache_bytes_per_token / engine.layers);
 }
 
-bool LooksFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use) {
+bool IsNearlyFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use) {
   return use.begun >= server.most_requests * kNearlyFull ||
          use.token_layers >= TokenLayerCapacity(engine, server) * kNearlyFull;
 }
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -134,6 +134,6 @@
 double TokenLayerCapacity(const EngineProfile& engine, const ServerEntry& server);
 
 /** Whether `use` explains that the server takes no more requests. */
-bool LooksFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use);
+bool IsNearlyFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use);
 
 }  // namespace zinnia
