--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -450,7 +450,7 @@
   if (first) {
     found->path.insert(found->path.begin(), *first);
   }
-  found->pipe_ms = CountCrossings(view, found->path) * PipeMsOf(engine, size);
+  found->link_ms = CountCrossings(view, found->path) * PipeMsOf(engine, size);
   return found;
 }
 
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -44,7 +44,7 @@
   double expected_ms = 0.0;
 
   /** How long its prompt takes the pipe between failure domains, over all crossings. */
-  double pipe_ms = 0.0;
+  double link_ms = 0.0;
 };
 
 /** Chooses the servers that run a request's layers: the path of least expected time whose servers
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -60,7 +60,7 @@
                                const LayerPath& kept,
                                std::optional<FoundPath> found,
                                std::optional<RecoveryPath>& best) const {
-  if (!found || found->pipe_ms > 0) {
+  if (!found || found->link_ms > 0) {
     return;
   }
   double longest = 0.0;
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -108,7 +108,7 @@
   CHECK_TRUE(recovery.has_value());
   CHECK_FALSE(recovery->keeps_first);
   STRCMP_EQUAL("y1", recovery->found.path.front().server.c_str());
-  DOUBLES_EQUAL(0, recovery->found.pipe_ms, 1e-9);
+  DOUBLES_EQUAL(0, recovery->found.link_ms, 1e-9);
 }
 
 }  // namespace zinnia
