--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -134,7 +134,7 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-double PipeMsOf(const EngineProfile& engine, const GenerationSize& size) {
+double LinkTransferMs(const EngineProfile& engine, const GenerationSize& size) {
   if (engine.failure_domain_link_mbps <= 0) {
     return 0.0;
   }
@@ -149,7 +149,7 @@
     return kNever;
   }
   return size.answer_tokens * kCrossingMs + kCrossingAversionMs +
-         PipeMsOf(engine, size) / (1.0 - pipe_use);
+         LinkTransferMs(engine, size) / (1.0 - pipe_use);
 }
 
 void Search::CollectBoundaries(std::uint32_t first_layer) {
@@ -450,7 +450,7 @@
   if (first) {
     found->path.insert(found->path.begin(), *first);
   }
-  found->link_ms = CountCrossings(view, found->path) * PipeMsOf(engine, size);
+  found->link_ms = CountCrossings(view, found->path) * LinkTransferMs(engine, size);
   return found;
 }
 
