--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -89,11 +89,11 @@
   Search(const EngineProfile& engine,
          const GenerationSize& size,
          std::vector<Candidate> candidates,
-         double pipe_use)
+         double link_use)
       : m_engine(engine),
         m_size(size),
         m_candidates(std::move(candidates)),
-        m_crossing_cost(CrossingCost(engine, size, pipe_use)) {}
+        m_crossing_cost(CrossingCost(engine, size, link_use)) {}
 
   /** Numbers failure domains; the caller of Run uses the same numbers. */
   static std::size_t DomainNumber(std::map<FailureDomainName, std::size_t>& numbers,
@@ -109,7 +109,7 @@
  private:
   static double CrossingCost(const EngineProfile& engine,
                              const GenerationSize& size,
-                             double pipe_use);
+                             double link_use);
   void CollectBoundaries(std::uint32_t first_layer);
   void Relax(std::size_t boundary, std::size_t domain, bool whole_ranges_only);
   double Cost(const Candidate& server, std::uint32_t layers, bool crossing) const;
@@ -144,12 +144,12 @@
 
 double Search::CrossingCost(const EngineProfile& engine,
                             const GenerationSize& size,
-                            double pipe_use) {
-  if (pipe_use > kMostPipeUse) {
+                            double link_use) {
+  if (link_use > kMostPipeUse) {
     return kNever;
   }
   return size.answer_tokens * kCrossingMs + kCrossingAversionMs +
-         LinkTransferMs(engine, size) / (1.0 - pipe_use);
+         LinkTransferMs(engine, size) / (1.0 - link_use);
 }
 
 void Search::CollectBoundaries(std::uint32_t first_layer) {
@@ -437,8 +437,8 @@
                                                 const GenerationSize& size,
                                                 const SearchSpace& space,
                                                 const std::optional<PathPart>& first) const {
-  const double pipe_use = m_pipe.OwnUse() * static_cast<double>(view.live_instances);
-  Search search(engine, size, space.candidates, pipe_use);
+  const double link_use = m_pipe.OwnUse() * static_cast<double>(view.live_instances);
+  Search search(engine, size, space.candidates, link_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
   auto found = search.Run(first_layer, space.start_domain, space.domains.size(), false);
   if (found && VisitsTwice(found->path)) {
