--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -45,7 +45,7 @@
 
 /** Above this use of the pipe by all instances no request crosses: the wait for a first token grows
     without bound as it fills. */
-constexpr double kMostPipeUse = 0.6;
+constexpr double kMaxLinkUse = 0.6;
 
 /** A first event that is late costs most of a request's worth, a slow answer nothing. */
 constexpr double kWaitWeight = 8.0;
@@ -145,7 +145,7 @@
 double Search::CrossingCost(const EngineProfile& engine,
                             const GenerationSize& size,
                             double link_use) {
-  if (link_use > kMostPipeUse) {
+  if (link_use > kMaxLinkUse) {
     return kNever;
   }
   return size.answer_tokens * kCrossingMs + kCrossingAversionMs +
