--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -63,7 +63,7 @@
 
 /** Reading counted as this busy at most: beyond it the wait has no bound, and a request still needs
     some path. */
-constexpr double kMostReadingUse = 0.95;
+constexpr double kMaxPrefillUse = 0.95;
 
 /** With so many others choosing as often as this instance, chance counts in full. Nine instances
    are told of each other's choices before they are ten. */
@@ -303,7 +303,7 @@
   const double residence_ms =
       std::max(1.0, size.answer_tokens) * engine.step_ms * kTokenTimeInSteps;
   const double prompts_in_use = token_layers_in_use * size.prompt_tokens / tokens;
-  const double use = std::min(prompts_in_use * ms_per_token_layer / residence_ms, kMostReadingUse);
+  const double use = std::min(prompts_in_use * ms_per_token_layer / residence_ms, kMaxPrefillUse);
   return size.prompt_tokens * ms_per_token_layer / (1.0 - use);
 }
 
