--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -30,7 +30,7 @@
 
 /** Part of the requests that may begin at an engine that is used: others' last choices are only
     estimated, and what comes above the bound is refused. */
-constexpr double kBegunShare = 0.95;
+constexpr double kMaxStartedShare = 0.95;
 
 /** A server with this part of its memory or places in use may refuse for that alone. */
 constexpr double kNearlyFull = 0.7;
@@ -389,7 +389,7 @@
   candidate.free_token_layers =
       TokenLayerCapacity(engine, server) * kReservableShare - use.token_layers;
   candidate.may_begin =
-      use.begun < server.most_requests * kBegunShare && m_limits.MaySend(server.name);
+      use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
   candidate.wait_ms = Milliseconds(m_health.FirstEventDelay(server.name));
   candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
   return candidate;
