--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -59,7 +59,7 @@
 
 /** Time of a token at full load in units of the profile's step. Gives the rate of prompts from the
     requests in flight. */
-constexpr double kTokenTimeInSteps = 11.5;
+constexpr double kLoadedTokenSteps = 11.5;
 
 /** Reading counted as this busy at most: beyond it the wait has no bound, and a request still needs
     some path. */
@@ -301,7 +301,7 @@
   const double ms_per_token_layer = PrefillMsPerTokenLayer(engine, accelerator) * pace;
   const double tokens = std::max(1.0, size.prompt_tokens + size.answer_tokens);
   const double residence_ms =
-      std::max(1.0, size.answer_tokens) * engine.step_ms * kTokenTimeInSteps;
+      std::max(1.0, size.answer_tokens) * engine.step_ms * kLoadedTokenSteps;
   const double prompts_in_use = token_layers_in_use * size.prompt_tokens / tokens;
   const double use = std::min(prompts_in_use * ms_per_token_layer / residence_ms, kMaxPrefillUse);
   return size.prompt_tokens * ms_per_token_layer / (1.0 - use);
