--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -55,7 +55,7 @@
 constexpr double kNewConnectionMs = 200.0;
 
 /** A request that arrives at a busy stage waits for half of the pass that is running. */
-constexpr double kWaitForPass = 0.5;
+constexpr double kPassWaitShare = 0.5;
 
 /** Time of a token at full load in units of the profile's step. Gives the rate of prompts from the
     requests in flight. */
@@ -287,7 +287,7 @@
       engine.step_ms_per_request + engine.step_ms_per_thousand_tokens * context;
   const double in_one_pass = 1.0 + requests * static_cast<double>(held_layers) / engine.layers;
   const double step = (engine.step_ms + per_request * in_one_pass) *
-                      (1.0 + kWaitForPass * std::min(1.0, in_one_pass - 1.0));
+                      (1.0 + kPassWaitShare * std::min(1.0, in_one_pass - 1.0));
   return size.answer_tokens * step * accelerator.step_factor / engine.layers;
 }
 
