--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -41,7 +41,7 @@
 
 /** Crossings are avoided beyond their own time: each takes a part of the one pipe that others wait
     for. A whole path in another failure domain costs nothing of it. */
-constexpr double kCrossingAversionMs = 400.0;
+constexpr double kCrossingPenaltyMs = 400.0;
 
 /** Above this use of the pipe by all instances no request crosses: the wait for a first token grows
     without bound as it fills. */
@@ -148,7 +148,7 @@
   if (link_use > kMaxLinkUse) {
     return kNever;
   }
-  return size.answer_tokens * kCrossingMs + kCrossingAversionMs +
+  return size.answer_tokens * kCrossingMs + kCrossingPenaltyMs +
          LinkTransferMs(engine, size) / (1.0 - link_use);
 }
 
