--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -37,7 +37,7 @@
 
 /** Time of one hop inside and between failure domains, per token; from the published delays. */
 constexpr double kHopMs = 0.15;
-constexpr double kCrossingMs = 0.9;
+constexpr double kInterDomainHopMs = 0.9;
 
 /** Crossings are avoided beyond their own time: each takes a part of the one pipe that others wait
     for. A whole path in another failure domain costs nothing of it. */
@@ -148,7 +148,7 @@
   if (link_use > kMaxLinkUse) {
     return kNever;
   }
-  return size.answer_tokens * kCrossingMs + kCrossingPenaltyMs +
+  return size.answer_tokens * kInterDomainHopMs + kCrossingPenaltyMs +
          LinkTransferMs(engine, size) / (1.0 - link_use);
 }
 
