--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -170,7 +170,7 @@
          (crossing ? m_crossing_cost : m_size.answer_tokens * kHopMs);
 }
 
-double CostOfBeginning(const Candidate& server) {
+double StartCost(const Candidate& server) {
   return server.wait_ms * kWaitWeight + (server.has_connection ? 0.0 : kNewConnectionMs);
 }
 
@@ -202,8 +202,8 @@
       }
       // Entering the first server from the callers' side takes no engine's pipe.
       const bool crossing = candidate.domain != domain && from > 0;
-      const double cost = so_far + Cost(candidate, layers, crossing) +
-                          (from == 0 ? CostOfBeginning(candidate) : 0.0);
+      const double cost =
+          so_far + Cost(candidate, layers, crossing) + (from == 0 ? StartCost(candidate) : 0.0);
       Step& step = At(to, candidate.domain);
       if (cost < step.cost) {
         step = {cost, boundary, domain, &candidate};
