--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -253,7 +253,7 @@
   return found;
 }
 
-bool VisitsTwice(const LayerPath& path) {
+bool HasRepeatedServer(const LayerPath& path) {
   std::set<BackendServerName> seen;
   return std::any_of(path.begin(), path.end(),
                      [&](const PathPart& part) { return !seen.insert(part.server).second; });
@@ -441,7 +441,7 @@
   Search search(engine, size, space.candidates, link_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
   auto found = search.Run(first_layer, space.start_domain, space.domains.size(), false);
-  if (found && VisitsTwice(found->path)) {
+  if (found && HasRepeatedServer(found->path)) {
     found = search.Run(first_layer, space.start_domain, space.domains.size(), true);
   }
   if (!found) {
