--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -26,7 +26,7 @@
 /** Part of a server's memory that requests may reserve. More than all of it: a reservation counts
     the whole expected answer, of which half is there on average. Too much costs: an engine out of
     memory throws its newest request out and reads it again. */
-constexpr double kReservableShare = 1.08;
+constexpr double kMaxReservedShare = 1.08;
 
 /** Part of the requests that may begin at an engine that is used: others' last choices are only
     estimated, and what comes above the bound is refused. */
@@ -387,7 +387,7 @@
   candidate.first_event_ms_per_layer =
       FirstEventMsPerLayer(engine, accelerator, size, use.token_layers, pace) * slowness;
   candidate.free_token_layers =
-      TokenLayerCapacity(engine, server) * kReservableShare - use.token_layers;
+      TokenLayerCapacity(engine, server) * kMaxReservedShare - use.token_layers;
   candidate.may_begin =
       use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
   candidate.wait_ms = Milliseconds(m_health.FirstEventDelay(server.name));
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -83,8 +83,8 @@
              EngineServer("e", "middle", "x", {60, 80})};
   const double tokens = size.prompt_tokens + size.answer_tokens;
   const double room_for_layers = 25;
-  constexpr double kReservableShare = 1.08;
-  const double capacity = TokenLayerCapacity(MixedEngine(), servers[0]) * kReservableShare;
+  constexpr double kMaxReservedShare = 1.08;
+  const double capacity = TokenLayerCapacity(MixedEngine(), servers[0]) * kMaxReservedShare;
   loads.Add("a", capacity - tokens * room_for_layers);
   const auto found = finder.Find(ViewOf(servers), "pool", size, "x", {});
   CHECK_TRUE(found.has_value());
