--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -85,7 +85,7 @@
                                                     const GenerationSize& size,
                                                     const LayerPath& present,
                                                     const std::set<BackendServerName>& avoided,
-                                                    bool may_start_again) {
+                                                    bool may_restart) {
   const auto found_service = view.rules->services.find(service);
   if (found_service == view.rules->services.end() || !found_service->second.engine) {
     return std::nullopt;
@@ -100,7 +100,7 @@
                m_paths.Find(view, service, size, domain, avoided, {present.front(), domain}), best);
     }
   }
-  if (may_start_again) {
+  if (may_restart) {
     for (const FailureDomainName& domain : DomainsOf(view, service)) {
       Consider(view, engine, size, {},
                m_paths.Find(view, service, size, domain, avoided, {std::nullopt, domain}), best);
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -46,14 +46,14 @@
                   const ServerHealth& health)
       : m_paths(paths), m_loads(loads), m_health(health), m_backlog(clock) {}
 
-  /** `present` is the path that broke; empty if its first server is lost too. `may_start_again`: a
+  /** `present` is the path that broke; empty if its first server is lost too. `may_restart`: a
       retry can be spent. Notes the reading that the choice causes. */
   std::optional<RecoveryPath> Choose(const ForwardingView& view,
                                      const ServiceName& service,
                                      const GenerationSize& size,
                                      const LayerPath& present,
                                      const std::set<BackendServerName>& avoided,
-                                     bool may_start_again);
+                                     bool may_restart);
 
  private:
   void Consider(const ForwardingView& view,
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -40,8 +40,8 @@
       EngineServer("y4", "middle", "y", {60, 80})};
   LayerPath broken = {{"x1", {}, {0, 40}}, {"x2", {}, {40, 80}}};
 
-  std::optional<RecoveryPath> Choose(bool may_start_again) {
-    return chooser.Choose(ViewOf(servers), "pool", size, broken, {}, may_start_again);
+  std::optional<RecoveryPath> Choose(bool may_restart) {
+    return chooser.Choose(ViewOf(servers), "pool", size, broken, {}, may_restart);
   }
 };
 
