--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -13,7 +13,7 @@
 
 /** Starting again needs another connection and the first server's queue; keeping it is one order.
  */
-constexpr double kStartAgainMs = 10.0;
+constexpr double kRestartMs = 10.0;
 
 /** Engines read prompts in pieces and pass each on, so later stages wait for about this part of
    what the others read. */
@@ -74,7 +74,7 @@
     sum += reading;
   }
   const bool keeps_first = !kept.empty();
-  const double pause = longest + sum * kUnoverlappedReading + (keeps_first ? 0.0 : kStartAgainMs);
+  const double pause = longest + sum * kUnoverlappedReading + (keeps_first ? 0.0 : kRestartMs);
   if (!best || pause < best->expected_pause_ms) {
     best = RecoveryPath{std::move(*found), keeps_first, pause};
   }
