--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -17,7 +17,7 @@
 
 /** Engines read prompts in pieces and pass each on, so later stages wait for about this part of
    what the others read. */
-constexpr double kUnoverlappedReading = 0.3;
+constexpr double kUnoverlappedPrefill = 0.3;
 
 /** Of a stream's answer so much is there on average when its path breaks. */
 constexpr double kAnswerSoFar = 0.5;
@@ -74,7 +74,7 @@
     sum += reading;
   }
   const bool keeps_first = !kept.empty();
-  const double pause = longest + sum * kUnoverlappedReading + (keeps_first ? 0.0 : kRestartMs);
+  const double pause = longest + sum * kUnoverlappedPrefill + (keeps_first ? 0.0 : kRestartMs);
   if (!best || pause < best->expected_pause_ms) {
     best = RecoveryPath{std::move(*found), keeps_first, pause};
   }
