--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -20,7 +20,7 @@
 constexpr double kUnoverlappedPrefill = 0.3;
 
 /** Of a stream's answer so much is there on average when its path breaks. */
-constexpr double kAnswerSoFar = 0.5;
+constexpr double kMeanAnswerShare = 0.5;
 
 bool Keeps(const LayerPath& kept, const PathPart& part) {
   return std::find(kept.begin(), kept.end(), part) != kept.end();
@@ -49,7 +49,7 @@
   if (accelerator == engine.accelerators.end()) {
     return 0.0;
   }
-  const double tokens = size.prompt_tokens + size.answer_tokens * kAnswerSoFar;
+  const double tokens = size.prompt_tokens + size.answer_tokens * kMeanAnswerShare;
   return tokens * part.layers.Count() * PrefillMsPerTokenLayer(engine, accelerator->second) *
          m_health.Pace(part.server);
 }
