--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -15,7 +15,7 @@
 
 /** A chain is worth forming when its memory is this many times the weights: what is left holds
     requests, and a chain without room serves nobody. */
-constexpr double kLeastMemoryOverWeights = 1.25;
+constexpr double kMinMemoryToWeights = 1.25;
 
 /** Chains of so many times the weights' memory, where a group has enough for several. One chain of
     everything leaves more memory for requests, but they all begin at one engine, which takes only
@@ -48,7 +48,7 @@
 }
 
 bool IsEnough(const EngineProfile& engine, const Chain& chain) {
-  return MemoryOf(engine, chain) >= kLeastMemoryOverWeights * engine.layers * engine.layer_mb;
+  return MemoryOf(engine, chain) >= kMinMemoryToWeights * engine.layers * engine.layer_mb;
 }
 
 std::uint32_t MostLayers(const EngineProfile& engine, const ServerEntry& server) {
