--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -20,7 +20,7 @@
 /** Chains of so many times the weights' memory, where a group has enough for several. One chain of
     everything leaves more memory for requests, but they all begin at one engine, which takes only
    so many, and pass through more stages; a lost stage stops them all. */
-constexpr double kGoodMemoryOverWeights = 1.6;
+constexpr double kTargetMemoryToWeights = 1.6;
 
 /** The part of a late engine's memory that weights may take; about what planned chains have. */
 constexpr double kWeightShareOfSpare = 0.6;
@@ -112,7 +112,7 @@
 std::vector<Chain> SplitGroup(const EngineProfile& engine, const Chain& group) {
   const double weights = engine.layers * engine.layer_mb;
   const auto count = std::max<std::size_t>(
-      1, static_cast<std::size_t>(MemoryOf(engine, group) / (kGoodMemoryOverWeights * weights)));
+      1, static_cast<std::size_t>(MemoryOf(engine, group) / (kTargetMemoryToWeights * weights)));
   std::vector<Chain> chains(count);
   for (const ServerEntry* server : group) {
     const auto smallest =
