--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -23,7 +23,7 @@
 constexpr double kTargetMemoryToWeights = 1.6;
 
 /** The part of a late engine's memory that weights may take; about what planned chains have. */
-constexpr double kWeightShareOfSpare = 0.6;
+constexpr double kLateEngineWeightShare = 0.6;
 
 /** The same for an engine that holds ranges of its failure domain's chain a second time. The more
     layers, the more losses it stands in for; what is left must hold the requests of one chain. */
@@ -266,7 +266,7 @@
   if (most == 0) {
     return std::nullopt;
   }
-  const auto usual = static_cast<std::uint32_t>(most * kWeightShareOfSpare);
+  const auto usual = static_cast<std::uint32_t>(most * kLateEngineWeightShare);
   const std::uint32_t count = std::clamp(usual, 1U, most);
   const std::vector<double> room = RoomByLayer(engine, holders);
   std::set<std::uint32_t> starts = {0, engine.layers - count};
