--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -27,7 +27,7 @@
 
 /** The same for an engine that holds ranges of its failure domain's chain a second time. The more
     layers, the more losses it stands in for; what is left must hold the requests of one chain. */
-constexpr double kWeightShareOfSecondHolder = 0.82;
+constexpr double kSecondHolderWeightShare = 0.82;
 
 using Chain = std::vector<const ServerEntry*>;
 
@@ -158,7 +158,7 @@
   std::vector<std::uint32_t> most;
   std::uint32_t sum = 0;
   for (const ServerEntry* server : left_over) {
-    const double share = MemoryOf(engine, *server) * kWeightShareOfSecondHolder / engine.layer_mb;
+    const double share = MemoryOf(engine, *server) * kSecondHolderWeightShare / engine.layer_mb;
     most.push_back(std::min(static_cast<std::uint32_t>(share), engine.layers));
     sum += most.back();
   }
