--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -51,7 +51,7 @@
   return MemoryOf(engine, chain) >= kMinMemoryToWeights * engine.layers * engine.layer_mb;
 }
 
-std::uint32_t MostLayers(const EngineProfile& engine, const ServerEntry& server) {
+std::uint32_t MaxLayers(const EngineProfile& engine, const ServerEntry& server) {
   if (engine.layer_mb <= 0) {
     return engine.layers;
   }
@@ -73,8 +73,7 @@
   for (std::size_t index = 0; index < chain.size(); ++index) {
     exact_end += engine.layers * MemoryOf(engine, *chain[index]) / memory;
     auto end = static_cast<std::uint32_t>(std::lround(exact_end));
-    end =
-        std::clamp(end, first, std::min(first + MostLayers(engine, *chain[index]), engine.layers));
+    end = std::clamp(end, first, std::min(first + MaxLayers(engine, *chain[index]), engine.layers));
     if (index + 1 == chain.size()) {
       end = engine.layers;
     }
@@ -199,7 +198,7 @@
                                             const std::vector<ServerEntry>& servers) {
   std::map<FailureDomainName, Chain> by_domain;
   for (const ServerEntry& server : servers) {
-    if (MostLayers(engine, server) > 0) {
+    if (MaxLayers(engine, server) > 0) {
       by_domain[server.failure_domain].push_back(&server);
     }
   }
@@ -262,7 +261,7 @@
 std::optional<LayerRange> LayerPlanner::RangeFor(const EngineProfile& engine,
                                                  const ServerEntry& server,
                                                  const std::vector<ServerEntry>& holders) {
-  const std::uint32_t most = std::min(MostLayers(engine, server), engine.layers);
+  const std::uint32_t most = std::min(MaxLayers(engine, server), engine.layers);
   if (most == 0) {
     return std::nullopt;
   }
