--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -47,7 +47,7 @@
       [&](double sum, const ServerEntry* server) { return sum + MemoryOf(engine, *server); });
 }
 
-bool IsEnough(const EngineProfile& engine, const Chain& chain) {
+bool CanFormChain(const EngineProfile& engine, const Chain& chain) {
   return MemoryOf(engine, chain) >= kMinMemoryToWeights * engine.layers * engine.layer_mb;
 }
 
@@ -92,13 +92,13 @@
   });
   Chain chain;
   std::size_t taken = 0;
-  while (taken < pool.size() && !IsEnough(engine, chain)) {
+  while (taken < pool.size() && !CanFormChain(engine, chain)) {
     const std::string& group = pool[taken]->accelerator;
     while (taken < pool.size() && pool[taken]->accelerator == group) {
       chain.push_back(pool[taken++]);
     }
   }
-  if (!IsEnough(engine, chain)) {
+  if (!CanFormChain(engine, chain)) {
     return {};
   }
   pool.erase(pool.begin(), pool.begin() + static_cast<std::ptrdiff_t>(taken));
@@ -236,7 +236,7 @@
   }
   // What is left in single failure domains forms chains across them, in the order of the domains,
   // so that a token crosses between them as rarely as possible.
-  if (IsEnough(engine, rest)) {
+  if (CanFormChain(engine, rest)) {
     for (const Chain& part : SplitGroup(engine, rest)) {
       place(part);
     }
