--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -179,8 +179,8 @@
 }
 
 /** For each layer the tokens that its holders have room for together. */
-std::vector<double> RoomByLayer(const EngineProfile& engine,
-                                const std::vector<ServerEntry>& holders) {
+std::vector<double> CapacityByLayer(const EngineProfile& engine,
+                                    const std::vector<ServerEntry>& holders) {
   std::vector<double> room(engine.layers, 0.0);
   for (const ServerEntry& holder : holders) {
     const std::uint32_t count = holder.layers.Count();
@@ -267,7 +267,7 @@
   }
   const auto usual = static_cast<std::uint32_t>(most * kLateEngineWeightShare);
   const std::uint32_t count = std::clamp(usual, 1U, most);
-  const std::vector<double> room = RoomByLayer(engine, holders);
+  const std::vector<double> room = CapacityByLayer(engine, holders);
   std::set<std::uint32_t> starts = {0, engine.layers - count};
   for (const ServerEntry& holder : holders) {
     if (holder.layers.Count() == 0) {
