--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -17,7 +17,7 @@
 constexpr Duration kSettleTime = std::chrono::milliseconds(700);
 
 /** After this an order without an answer is sent again. */
-constexpr Duration kOrderAgainAfter = std::chrono::seconds(2);
+constexpr Duration kOrderRetryInterval = std::chrono::seconds(2);
 
 /** After this an accepted order that shows no effect is sent again; the longest loads take four
     seconds, twice that when five share the weights' store. */
@@ -379,7 +379,7 @@
       continue;
     }
     Assignment& assignment = found->second;
-    const Duration again = assignment.accepted ? kAcceptedAgainAfter : kOrderAgainAfter;
+    const Duration again = assignment.accepted ? kAcceptedAgainAfter : kOrderRetryInterval;
     const bool due = !assignment.sent_at || now - *assignment.sent_at >= again;
     if (!due || !MayOrder()) {
       continue;
