--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -21,7 +21,7 @@
 
 /** After this an accepted order that shows no effect is sent again; the longest loads take four
     seconds, twice that when five share the weights' store. */
-constexpr Duration kAcceptedAgainAfter = std::chrono::seconds(9);
+constexpr Duration kAcceptedOrderRetryInterval = std::chrono::seconds(9);
 
 /** A vacant range is shared out among spares after this time: a crashed engine is back in some four
     seconds and then loads for three, while spares load small ranges in less than one. */
@@ -379,7 +379,7 @@
       continue;
     }
     Assignment& assignment = found->second;
-    const Duration again = assignment.accepted ? kAcceptedAgainAfter : kOrderRetryInterval;
+    const Duration again = assignment.accepted ? kAcceptedOrderRetryInterval : kOrderRetryInterval;
     const bool due = !assignment.sent_at || now - *assignment.sent_at >= again;
     if (!due || !MayOrder()) {
       continue;
