--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -25,7 +25,7 @@
 
 /** A vacant range is shared out among spares after this time: a crashed engine is back in some four
     seconds and then loads for three, while spares load small ranges in less than one. */
-constexpr Duration kRepairAfter = std::chrono::milliseconds(400);
+constexpr Duration kRepairDelay = std::chrono::milliseconds(400);
 
 /** Layers without a holder for this long are vacant, though nobody was seen to leave: an engine
    that changes its layers shows none for less. */
@@ -281,7 +281,7 @@
 void LayerPlacer::RepairWithSpares(const EngineProfile& engine,
                                    const std::vector<ServerEntry>& servers) {
   for (Vacancy& vacancy : m_vacancies) {
-    if (m_parts.clock.Now() - vacancy.since < kRepairAfter) {
+    if (m_parts.clock.Now() - vacancy.since < kRepairDelay) {
       continue;
     }
     // Where others of the failure domain hold the layers too and have room, requests go on there,
