--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -29,7 +29,7 @@
 
 /** Layers without a holder for this long are vacant, though nobody was seen to leave: an engine
    that changes its layers shows none for less. */
-constexpr Duration kGapBelieved = std::chrono::milliseconds(1'000);
+constexpr Duration kGapDelay = std::chrono::milliseconds(1'000);
 
 /** The same while an engine of the failure domain holds nothing: it may be loading them, for an
     earlier holder of the orders, and the longest loads take four seconds. */
@@ -188,7 +188,7 @@
       const auto key = std::make_pair(domain, gap.first);
       const auto known = m_gaps_since.find(key);
       const TimePoint since = known == m_gaps_since.end() ? now : known->second;
-      if (now - since < (empty_engine ? kGapBesideEmptyEngine : kGapBelieved)) {
+      if (now - since < (empty_engine ? kGapBesideEmptyEngine : kGapDelay)) {
         still[key] = since;
         continue;
       }
