--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -33,7 +33,7 @@
 
 /** The same while an engine of the failure domain holds nothing: it may be loading them, for an
     earlier holder of the orders, and the longest loads take four seconds. */
-constexpr Duration kGapBesideEmptyEngine = std::chrono::seconds(5);
+constexpr Duration kGapDelayWithEmptyEngine = std::chrono::seconds(5);
 
 /** An engine that comes while nothing is vacant waits so long for a range: when engines are
    replaced, the new one comes first and the old one leaves a moment later. */
@@ -188,7 +188,7 @@
       const auto key = std::make_pair(domain, gap.first);
       const auto known = m_gaps_since.find(key);
       const TimePoint since = known == m_gaps_since.end() ? now : known->second;
-      if (now - since < (empty_engine ? kGapBesideEmptyEngine : kGapDelay)) {
+      if (now - since < (empty_engine ? kGapDelayWithEmptyEngine : kGapDelay)) {
         still[key] = since;
         continue;
       }
