--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -37,7 +37,7 @@
 
 /** An engine that comes while nothing is vacant waits so long for a range: when engines are
    replaced, the new one comes first and the old one leaves a moment later. */
-constexpr Duration kWaitForVacancy = std::chrono::milliseconds(1'500);
+constexpr Duration kReplacementWait = std::chrono::milliseconds(1'500);
 
 /** Old vacancies go when there are more; no pool waits for so many replacements. */
 constexpr std::size_t kMostVacancies = 64;
@@ -359,7 +359,7 @@
       continue;
     }
     const TimePoint since = m_empty_since.emplace(server.name, m_parts.clock.Now()).first->second;
-    if (m_parts.clock.Now() - since < kWaitForVacancy) {
+    if (m_parts.clock.Now() - since < kReplacementWait) {
       continue;
     }
     if (const auto range = LayerPlanner::RangeFor(engine, server, holders)) {
