--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -40,7 +40,7 @@
 constexpr Duration kReplacementWait = std::chrono::milliseconds(1'500);
 
 /** Old vacancies go when there are more; no pool waits for so many replacements. */
-constexpr std::size_t kMostVacancies = 64;
+constexpr std::size_t kMaxUncoveredRanges = 64;
 
 }  // namespace
 
@@ -127,7 +127,7 @@
       std::erase(vacancy.shared_by, name);
     }
   }
-  if (m_vacancies.size() > kMostVacancies) {
+  if (m_vacancies.size() > kMaxUncoveredRanges) {
     m_vacancies.erase(m_vacancies.begin());
   }
 }
