--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -112,23 +112,23 @@
     }
     // A stalled engine's range was given out when it fell silent.
     bool known_vacant = m_stalled.erase(name) > 0;
-    for (Vacancy& vacancy : m_vacancies) {
+    for (Vacancy& vacancy : m_uncovered) {
       if (vacancy.taken_by == name) {
         vacancy.taken_by.reset();
         known_vacant = true;
       }
     }
     if (left.layers.Count() > 0 && !known_vacant) {
-      m_vacancies.push_back({std::move(left), m_parts.clock.Now(), {}});
+      m_uncovered.push_back({std::move(left), m_parts.clock.Now(), {}});
     }
     m_repairing.erase(name);
     m_extras.erase(name);
-    for (Vacancy& vacancy : m_vacancies) {
+    for (Vacancy& vacancy : m_uncovered) {
       std::erase(vacancy.shared_by, name);
     }
   }
-  if (m_vacancies.size() > kMaxUncoveredRanges) {
-    m_vacancies.erase(m_vacancies.begin());
+  if (m_uncovered.size() > kMaxUncoveredRanges) {
+    m_uncovered.erase(m_uncovered.begin());
   }
 }
 
@@ -158,7 +158,7 @@
 }
 
 bool LayerPlacer::IsVacant(const FailureDomainName& domain, const LayerRange& layers) const {
-  return std::any_of(m_vacancies.begin(), m_vacancies.end(), [&](const Vacancy& vacancy) {
+  return std::any_of(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& vacancy) {
     return vacancy.left.failure_domain == domain && vacancy.left.layers.first < layers.end &&
            layers.first < vacancy.left.layers.end;
   });
@@ -199,7 +199,7 @@
       m_logger.Log(LogLevel::kInfo, "layers_missing",
                    {{"failure_domain", domain},
                     {"layers", std::to_string(gap.first) + "-" + std::to_string(gap.end)}});
-      m_vacancies.push_back({std::move(left), now, {}});
+      m_uncovered.push_back({std::move(left), now, {}});
     }
   }
   m_gaps_since = std::move(still);
@@ -214,11 +214,11 @@
   };
   for (const ServerEntry& server : servers) {
     const auto own =
-        std::find_if(m_vacancies.begin(), m_vacancies.end(), [&](const Vacancy& candidate) {
+        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& candidate) {
           return !candidate.taken_by && !server.registration.empty() &&
                  candidate.left.registration == server.registration;
         });
-    if (is_free(server) && own != m_vacancies.end()) {
+    if (is_free(server) && own != m_uncovered.end()) {
       TakeOver(server, *own);
     }
   }
@@ -227,11 +227,11 @@
       continue;
     }
     const auto vacancy =
-        std::find_if(m_vacancies.begin(), m_vacancies.end(), [&](const Vacancy& candidate) {
+        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& candidate) {
           return !candidate.taken_by && candidate.left.accelerator == server.accelerator &&
                  candidate.left.failure_domain == server.failure_domain;
         });
-    if (vacancy != m_vacancies.end()) {
+    if (vacancy != m_uncovered.end()) {
       TakeOver(server, *vacancy);
     }
   }
@@ -246,7 +246,7 @@
    the order went out, they left a range without a holder for as long. */
 void LayerPlacer::EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers) {
   for (const ServerEntry& server : servers) {
-    std::erase_if(m_vacancies, [&](const Vacancy& vacancy) {
+    std::erase_if(m_uncovered, [&](const Vacancy& vacancy) {
       const bool is_loaded =
           vacancy.taken_by == server.name && server.layers == vacancy.left.layers;
       if (is_loaded) {
@@ -275,12 +275,12 @@
       !m_stalled.insert(server).second) {
     return;
   }
-  m_vacancies.push_back({seen->second, m_parts.clock.Now(), {}});
+  m_uncovered.push_back({seen->second, m_parts.clock.Now(), {}});
 }
 
 void LayerPlacer::RepairWithSpares(const EngineProfile& engine,
                                    const std::vector<ServerEntry>& servers) {
-  for (Vacancy& vacancy : m_vacancies) {
+  for (Vacancy& vacancy : m_uncovered) {
     if (m_parts.clock.Now() - vacancy.since < kRepairDelay) {
       continue;
     }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -110,7 +110,7 @@
   std::map<BackendServerName, Assignment> m_assignments;
   std::map<BackendServerName, ServerEntry> m_seen;
   std::map<BackendServerName, TimePoint> m_empty_since;
-  std::vector<Vacancy> m_vacancies;
+  std::vector<Vacancy> m_uncovered;
 
   /** Since when layers, by the first of them, lack a holder in a failure domain. */
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> m_gaps_since;
