--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -78,7 +78,7 @@
       servers.push_back(server);
     }
   }
-  NoteVacancies(view);
+  DetectDepartures(view);
   m_seen.clear();
   std::erase_if(m_empty_since,
                 [&](const auto& entry) { return !view.servers.contains(entry.first); });
@@ -97,7 +97,7 @@
          (m_settings.engines_check_fencing || m_parts.clock.Now() >= m_role.UncheckedFrom());
 }
 
-void LayerPlacer::NoteVacancies(const ForwardingView& view) {
+void LayerPlacer::DetectDepartures(const ForwardingView& view) {
   for (const auto& [name, server] : m_seen) {
     const auto now = view.servers.find(name);
     if (now != view.servers.end() && !now->second.draining) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -81,7 +81,7 @@
       way. */
   bool MayOrder() const;
   void Assign(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
-  void NoteVacancies(const ForwardingView& view);
+  void DetectDepartures(const ForwardingView& view);
   void NoteEmptied(const ServerEntry& before, const ServerEntry& now);
   void NoteGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsVacant(const FailureDomainName& domain, const LayerRange& layers) const;
