--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -101,7 +101,7 @@
   for (const auto& [name, server] : m_seen) {
     const auto now = view.servers.find(name);
     if (now != view.servers.end() && !now->second.draining) {
-      NoteEmptied(server, now->second);
+      RestoreLayersOf(server, now->second);
       continue;
     }
     const auto assigned = m_assignments.find(name);
@@ -134,7 +134,7 @@
 
 /** A server that held layers holds none: it started again while the store is away, so that only its
     own word shows it. Its range would wait as a gap for seconds; it is to have it back at once. */
-void LayerPlacer::NoteEmptied(const ServerEntry& before, const ServerEntry& now) {
+void LayerPlacer::RestoreLayersOf(const ServerEntry& before, const ServerEntry& now) {
   if (before.layers.Count() == 0 || now.layers.Count() > 0) {
     return;
   }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -82,7 +82,7 @@
   bool MayOrder() const;
   void Assign(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   void DetectDepartures(const ForwardingView& view);
-  void NoteEmptied(const ServerEntry& before, const ServerEntry& now);
+  void RestoreLayersOf(const ServerEntry& before, const ServerEntry& now);
   void NoteGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsVacant(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignVacated(const std::vector<ServerEntry>& servers);
