--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -167,7 +167,7 @@
 /** Finds vacancies that this instance has not seen arise: an engine left while nobody held the
     orders, or before the holder started. One missing layer takes a whole failure domain's chain out
     of service, and nothing else would show it. */
-void LayerPlacer::NoteGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers) {
+void LayerPlacer::DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers) {
   const TimePoint now = m_parts.clock.Now();
   std::map<FailureDomainName, bool> has_empty;
   for (const ServerEntry& server : servers) {
@@ -341,7 +341,7 @@
     return;
   }
   EndVacanciesThatAreLoaded(servers);
-  NoteGaps(engine, servers);
+  DetectGaps(engine, servers);
   AssignVacated(servers);
   RepairWithSpares(engine, servers);
   std::vector<ServerEntry> holders;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -83,7 +83,7 @@
   void Assign(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   void DetectDepartures(const ForwardingView& view);
   void RestoreLayersOf(const ServerEntry& before, const ServerEntry& now);
-  void NoteGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
+  void DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsVacant(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignVacated(const std::vector<ServerEntry>& servers);
   void TakeOver(const ServerEntry& server, Vacancy& vacancy);
