--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -157,7 +157,7 @@
   return any_holds || m_parts.clock.Now() - m_last_change >= kSettleTime;
 }
 
-bool LayerPlacer::IsVacant(const FailureDomainName& domain, const LayerRange& layers) const {
+bool LayerPlacer::IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const {
   return std::any_of(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& vacancy) {
     return vacancy.left.failure_domain == domain && vacancy.left.layers.first < layers.end &&
            layers.first < vacancy.left.layers.end;
@@ -182,7 +182,7 @@
     const auto gaps = room.IsMostlyUncovered() ? std::vector<LayerRange>()
                                                : room.FindShortages({0, engine.layers});
     for (const LayerRange& gap : gaps) {
-      if (IsVacant(domain, gap)) {
+      if (IsUncovered(domain, gap)) {
         continue;
       }
       const auto key = std::make_pair(domain, gap.first);
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -84,7 +84,7 @@
   void DetectDepartures(const ForwardingView& view);
   void RestoreLayersOf(const ServerEntry& before, const ServerEntry& now);
   void DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
-  bool IsVacant(const FailureDomainName& domain, const LayerRange& layers) const;
+  bool IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignVacated(const std::vector<ServerEntry>& servers);
   void TakeOver(const ServerEntry& server, Vacancy& vacancy);
   void EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers);
