--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -208,7 +208,7 @@
 /** A server that came back after a crash, or its replacement, takes the range that was left, also
     when slower ones share it by now: they are spares again. A server that started again goes first
     for what it held itself: its neighbours are fitted to that range. */
-void LayerPlacer::AssignVacated(const std::vector<ServerEntry>& servers) {
+void LayerPlacer::AssignUncovered(const std::vector<ServerEntry>& servers) {
   const auto is_free = [&](const ServerEntry& server) {
     return server.layers.Count() == 0 && !m_assignments.contains(server.name);
   };
@@ -342,7 +342,7 @@
   }
   EndVacanciesThatAreLoaded(servers);
   DetectGaps(engine, servers);
-  AssignVacated(servers);
+  AssignUncovered(servers);
   RepairWithSpares(engine, servers);
   std::vector<ServerEntry> holders;
   for (const ServerEntry& server : servers) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -85,7 +85,7 @@
   void RestoreLayersOf(const ServerEntry& before, const ServerEntry& now);
   void DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const;
-  void AssignVacated(const std::vector<ServerEntry>& servers);
+  void AssignUncovered(const std::vector<ServerEntry>& servers);
   void TakeOver(const ServerEntry& server, Vacancy& vacancy);
   void EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers);
   void SendSparesBack(const Vacancy& vacancy);
