--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -219,7 +219,7 @@
                  candidate.left.registration == server.registration;
         });
     if (is_free(server) && own != m_uncovered.end()) {
-      TakeOver(server, *own);
+      AssignRange(server, *own);
     }
   }
   for (const ServerEntry& server : servers) {
@@ -232,12 +232,12 @@
                  candidate.left.failure_domain == server.failure_domain;
         });
     if (vacancy != m_uncovered.end()) {
-      TakeOver(server, *vacancy);
+      AssignRange(server, *vacancy);
     }
   }
 }
 
-void LayerPlacer::TakeOver(const ServerEntry& server, Vacancy& vacancy) {
+void LayerPlacer::AssignRange(const ServerEntry& server, Vacancy& vacancy) {
   m_assignments[server.name].layers = vacancy.left.layers;
   vacancy.taken_by = server.name;
 }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -86,7 +86,7 @@
   void DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignUncovered(const std::vector<ServerEntry>& servers);
-  void TakeOver(const ServerEntry& server, Vacancy& vacancy);
+  void AssignRange(const ServerEntry& server, Vacancy& vacancy);
   void EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers);
   void SendSparesBack(const Vacancy& vacancy);
   LayerRange PlannedLayers(const ServerEntry& server) const;
