--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -244,7 +244,7 @@
 
 /** Loading a range takes up to four seconds. Until then the spares stand in for it: sent back when
    the order went out, they left a range without a holder for as long. */
-void LayerPlacer::EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers) {
+void LayerPlacer::RemoveLoadedRanges(const std::vector<ServerEntry>& servers) {
   for (const ServerEntry& server : servers) {
     std::erase_if(m_uncovered, [&](const Vacancy& vacancy) {
       const bool is_loaded =
@@ -340,7 +340,7 @@
     }
     return;
   }
-  EndVacanciesThatAreLoaded(servers);
+  RemoveLoadedRanges(servers);
   DetectGaps(engine, servers);
   AssignUncovered(servers);
   RepairWithSpares(engine, servers);
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -87,7 +87,7 @@
   bool IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignUncovered(const std::vector<ServerEntry>& servers);
   void AssignRange(const ServerEntry& server, Vacancy& vacancy);
-  void EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers);
+  void RemoveLoadedRanges(const std::vector<ServerEntry>& servers);
   void SendSparesBack(const Vacancy& vacancy);
   LayerRange PlannedLayers(const ServerEntry& server) const;
 
