--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -250,7 +250,7 @@
       const bool is_loaded =
           vacancy.taken_by == server.name && server.layers == vacancy.left.layers;
       if (is_loaded) {
-        SendSparesBack(vacancy);
+        RestoreSpares(vacancy);
       }
       return is_loaded;
     });
@@ -259,7 +259,7 @@
 
 /** What they held before is what others may need next; left where they are, each loss would leave
    the pool with fewer holders of some layer. */
-void LayerPlacer::SendSparesBack(const Vacancy& vacancy) {
+void LayerPlacer::RestoreSpares(const Vacancy& vacancy) {
   for (const BackendServerName& name : vacancy.shared_by) {
     const auto spare = m_repairing.find(name);
     if (spare != m_repairing.end()) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -88,7 +88,7 @@
   void AssignUncovered(const std::vector<ServerEntry>& servers);
   void AssignRange(const ServerEntry& server, Vacancy& vacancy);
   void RemoveLoadedRanges(const std::vector<ServerEntry>& servers);
-  void SendSparesBack(const Vacancy& vacancy);
+  void RestoreSpares(const Vacancy& vacancy);
   LayerRange PlannedLayers(const ServerEntry& server) const;
 
   /** With the layers that they hold or are to hold, without those that stalled. */
