--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -124,7 +124,7 @@
     m_repairing.erase(name);
     m_extras.erase(name);
     for (Vacancy& vacancy : m_uncovered) {
-      std::erase(vacancy.shared_by, name);
+      std::erase(vacancy.spares, name);
     }
   }
   if (m_uncovered.size() > kMaxUncoveredRanges) {
@@ -260,7 +260,7 @@
 /** What they held before is what others may need next; left where they are, each loss would leave
    the pool with fewer holders of some layer. */
 void LayerPlacer::RestoreSpares(const Vacancy& vacancy) {
-  for (const BackendServerName& name : vacancy.shared_by) {
+  for (const BackendServerName& name : vacancy.spares) {
     const auto spare = m_repairing.find(name);
     if (spare != m_repairing.end()) {
       m_assignments[name] = {spare->second, {}, false};
@@ -325,7 +325,7 @@
   for (const SpareShare& share : SpareChooser::ShareOut(engine, pool, vacancy.left, missing)) {
     m_assignments[share.server] = {share.layers, {}, false};
     m_repairing[share.server] = held.at(share.server);
-    vacancy.shared_by.push_back(share.server);
+    vacancy.spares.push_back(share.server);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -71,7 +71,7 @@
     std::optional<BackendServerName> taken_by;
 
     /** The servers that share it meanwhile. */
-    std::vector<BackendServerName> shared_by;
+    std::vector<BackendServerName> spares;
   };
 
   bool IsSettled(const std::vector<ServerEntry>& servers);
