--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -121,7 +121,7 @@
     if (left.layers.Count() > 0 && !known_vacant) {
       m_uncovered.push_back({std::move(left), m_parts.clock.Now(), {}});
     }
-    m_repairing.erase(name);
+    m_layers_before_repair.erase(name);
     m_extras.erase(name);
     for (Vacancy& vacancy : m_uncovered) {
       std::erase(vacancy.spares, name);
@@ -261,10 +261,10 @@
    the pool with fewer holders of some layer. */
 void LayerPlacer::RestoreSpares(const Vacancy& vacancy) {
   for (const BackendServerName& name : vacancy.spares) {
-    const auto spare = m_repairing.find(name);
-    if (spare != m_repairing.end()) {
+    const auto spare = m_layers_before_repair.find(name);
+    if (spare != m_layers_before_repair.end()) {
       m_assignments[name] = {spare->second, {}, false};
-      m_repairing.erase(spare);
+      m_layers_before_repair.erase(spare);
     }
   }
 }
@@ -318,13 +318,13 @@
   std::map<BackendServerName, LayerRange> held;
   for (const ServerEntry& server : servers) {
     held[server.name] = server.layers;
-    if (server.layers.Count() == 0 || m_repairing.contains(server.name)) {
+    if (server.layers.Count() == 0 || m_layers_before_repair.contains(server.name)) {
       pool.busy.insert(server.name);
     }
   }
   for (const SpareShare& share : SpareChooser::ShareOut(engine, pool, vacancy.left, missing)) {
     m_assignments[share.server] = {share.layers, {}, false};
-    m_repairing[share.server] = held.at(share.server);
+    m_layers_before_repair[share.server] = held.at(share.server);
     vacancy.spares.push_back(share.server);
   }
 }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -119,7 +119,7 @@
   std::set<BackendServerName> m_extras;
 
   /** Spares that took over a part of a vacant range, and what they held before. */
-  std::map<BackendServerName, LayerRange> m_repairing;
+  std::map<BackendServerName, LayerRange> m_layers_before_repair;
 
   /** Engines whose ranges were taken for vacant while they are still on record. */
   std::set<BackendServerName> m_stalled;
