--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -175,7 +175,7 @@
     has_empty[server.failure_domain] = has_empty[server.failure_domain] || is_empty;
   }
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> still;
-  const std::vector<ServerEntry> planned = Planned(servers);
+  const std::vector<ServerEntry> planned = WithPlannedLayers(servers);
   for (const auto& [domain, empty_engine] : has_empty) {
     const DomainCapacity room(engine, domain, planned);
     // A domain with few layers has its chains together with others.
@@ -286,14 +286,15 @@
     }
     // Where others of the failure domain hold the layers too and have room, requests go on there,
     // and moving engines would only take layers from others.
-    const DomainCapacity room(engine, vacancy.left.failure_domain, Planned(servers));
+    const DomainCapacity room(engine, vacancy.left.failure_domain, WithPlannedLayers(servers));
     for (const LayerRange& missing : room.FindShortages(vacancy.left.layers)) {
       ShareOut(vacancy, missing, engine, servers);
     }
   }
 }
 
-std::vector<ServerEntry> LayerPlacer::Planned(const std::vector<ServerEntry>& servers) const {
+std::vector<ServerEntry> LayerPlacer::WithPlannedLayers(
+    const std::vector<ServerEntry>& servers) const {
   std::vector<ServerEntry> planned;
   for (const ServerEntry& server : servers) {
     if (!m_stalled.contains(server.name)) {
@@ -314,7 +315,7 @@
                            const LayerRange& missing,
                            const EngineProfile& engine,
                            const std::vector<ServerEntry>& servers) {
-  SparePool pool{Planned(servers), {}, m_extras};
+  SparePool pool{WithPlannedLayers(servers), {}, m_extras};
   std::map<BackendServerName, LayerRange> held;
   for (const ServerEntry& server : servers) {
     held[server.name] = server.layers;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -92,7 +92,7 @@
   LayerRange PlannedLayers(const ServerEntry& server) const;
 
   /** With the layers that they hold or are to hold, without those that stalled. */
-  std::vector<ServerEntry> Planned(const std::vector<ServerEntry>& servers) const;
+  std::vector<ServerEntry> WithPlannedLayers(const std::vector<ServerEntry>& servers) const;
   void ShareOut(Vacancy& vacancy,
                 const LayerRange& missing,
                 const EngineProfile& engine,
