--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -112,7 +112,7 @@
     }
     // A stalled engine's range was given out when it fell silent.
     bool known_vacant = m_stalled.erase(name) > 0;
-    for (Vacancy& vacancy : m_uncovered) {
+    for (UncoveredRange& vacancy : m_uncovered) {
       if (vacancy.taken_by == name) {
         vacancy.taken_by.reset();
         known_vacant = true;
@@ -123,7 +123,7 @@
     }
     m_layers_before_repair.erase(name);
     m_extras.erase(name);
-    for (Vacancy& vacancy : m_uncovered) {
+    for (UncoveredRange& vacancy : m_uncovered) {
       std::erase(vacancy.spares, name);
     }
   }
@@ -158,7 +158,7 @@
 }
 
 bool LayerPlacer::IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const {
-  return std::any_of(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& vacancy) {
+  return std::any_of(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& vacancy) {
     return vacancy.left.failure_domain == domain && vacancy.left.layers.first < layers.end &&
            layers.first < vacancy.left.layers.end;
   });
@@ -214,7 +214,7 @@
   };
   for (const ServerEntry& server : servers) {
     const auto own =
-        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& candidate) {
+        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
           return !candidate.taken_by && !server.registration.empty() &&
                  candidate.left.registration == server.registration;
         });
@@ -227,7 +227,7 @@
       continue;
     }
     const auto vacancy =
-        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const Vacancy& candidate) {
+        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
           return !candidate.taken_by && candidate.left.accelerator == server.accelerator &&
                  candidate.left.failure_domain == server.failure_domain;
         });
@@ -237,7 +237,7 @@
   }
 }
 
-void LayerPlacer::AssignRange(const ServerEntry& server, Vacancy& vacancy) {
+void LayerPlacer::AssignRange(const ServerEntry& server, UncoveredRange& vacancy) {
   m_assignments[server.name].layers = vacancy.left.layers;
   vacancy.taken_by = server.name;
 }
@@ -246,7 +246,7 @@
    the order went out, they left a range without a holder for as long. */
 void LayerPlacer::RemoveLoadedRanges(const std::vector<ServerEntry>& servers) {
   for (const ServerEntry& server : servers) {
-    std::erase_if(m_uncovered, [&](const Vacancy& vacancy) {
+    std::erase_if(m_uncovered, [&](const UncoveredRange& vacancy) {
       const bool is_loaded =
           vacancy.taken_by == server.name && server.layers == vacancy.left.layers;
       if (is_loaded) {
@@ -259,7 +259,7 @@
 
 /** What they held before is what others may need next; left where they are, each loss would leave
    the pool with fewer holders of some layer. */
-void LayerPlacer::RestoreSpares(const Vacancy& vacancy) {
+void LayerPlacer::RestoreSpares(const UncoveredRange& vacancy) {
   for (const BackendServerName& name : vacancy.spares) {
     const auto spare = m_layers_before_repair.find(name);
     if (spare != m_layers_before_repair.end()) {
@@ -280,7 +280,7 @@
 
 void LayerPlacer::RepairWithSpares(const EngineProfile& engine,
                                    const std::vector<ServerEntry>& servers) {
-  for (Vacancy& vacancy : m_uncovered) {
+  for (UncoveredRange& vacancy : m_uncovered) {
     if (m_parts.clock.Now() - vacancy.since < kRepairDelay) {
       continue;
     }
@@ -311,7 +311,7 @@
   return assigned == m_assignments.end() ? server.layers : assigned->second.layers;
 }
 
-void LayerPlacer::ShareOut(Vacancy& vacancy,
+void LayerPlacer::ShareOut(UncoveredRange& vacancy,
                            const LayerRange& missing,
                            const EngineProfile& engine,
                            const std::vector<ServerEntry>& servers) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -63,7 +63,7 @@
   };
 
   /** A range whose holder left, until a server like it holds it. */
-  struct Vacancy {
+  struct UncoveredRange {
     ServerEntry left;
     TimePoint since{};
 
@@ -86,14 +86,14 @@
   void DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignUncovered(const std::vector<ServerEntry>& servers);
-  void AssignRange(const ServerEntry& server, Vacancy& vacancy);
+  void AssignRange(const ServerEntry& server, UncoveredRange& vacancy);
   void RemoveLoadedRanges(const std::vector<ServerEntry>& servers);
-  void RestoreSpares(const Vacancy& vacancy);
+  void RestoreSpares(const UncoveredRange& vacancy);
   LayerRange PlannedLayers(const ServerEntry& server) const;
 
   /** With the layers that they hold or are to hold, without those that stalled. */
   std::vector<ServerEntry> WithPlannedLayers(const std::vector<ServerEntry>& servers) const;
-  void ShareOut(Vacancy& vacancy,
+  void ShareOut(UncoveredRange& vacancy,
                 const LayerRange& missing,
                 const EngineProfile& engine,
                 const std::vector<ServerEntry>& servers);
@@ -110,7 +110,7 @@
   std::map<BackendServerName, Assignment> m_assignments;
   std::map<BackendServerName, ServerEntry> m_seen;
   std::map<BackendServerName, TimePoint> m_empty_since;
-  std::vector<Vacancy> m_uncovered;
+  std::vector<UncoveredRange> m_uncovered;
 
   /** Since when layers, by the first of them, lack a holder in a failure domain. */
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> m_gaps_since;
