--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -196,7 +196,7 @@
       }
       const bool whole = layer == std::min(held.end, m_engine.layers);
       const std::uint32_t layers = layer - from;
-      if ((from == 0 && !candidate.may_begin) || (whole_ranges_only && !whole) ||
+      if ((from == 0 && !candidate.can_start_request) || (whole_ranges_only && !whole) ||
           tokens * layers > candidate.free_token_layers) {
         continue;
       }
@@ -388,7 +388,7 @@
       FirstEventMsPerLayer(engine, accelerator, size, use.token_layers, pace) * slowness;
   candidate.free_token_layers =
       TokenLayerCapacity(engine, server) * kMaxReservedShare - use.token_layers;
-  candidate.may_begin =
+  candidate.can_start_request =
       use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
   candidate.wait_ms = Milliseconds(m_health.FirstEventDelay(server.name));
   candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
@@ -409,7 +409,7 @@
   std::vector<bool> has_connection;
   for (std::size_t index = 0; index < space.candidates.size(); ++index) {
     const Candidate& candidate = space.candidates[index];
-    if (candidate.entry->layers.first == 0 && candidate.may_begin) {
+    if (candidate.entry->layers.first == 0 && candidate.can_start_request) {
       firsts.push_back(index);
       is_near.push_back(candidate.domain == space.start_domain);
       has_connection.push_back(candidate.has_connection);
@@ -422,7 +422,7 @@
   SearchSpace few = space;
   std::set<std::size_t> domains;
   for (std::size_t first = 0; first < firsts.size(); ++first) {
-    few.candidates[firsts[first]].may_begin = drawn[first];
+    few.candidates[firsts[first]].can_start_request = drawn[first];
     if (drawn[first]) {
       domains.insert(few.candidates[firsts[first]].domain);
     }
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -99,7 +99,7 @@
     bool has_connection = false;
 
     /** Whether one more request may begin there. */
-    bool may_begin = true;
+    bool can_start_request = true;
   };
 
  private:
