--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -113,8 +113,8 @@
     // A stalled engine's range was given out when it fell silent.
     bool known_vacant = m_stalled.erase(name) > 0;
     for (UncoveredRange& vacancy : m_uncovered) {
-      if (vacancy.taken_by == name) {
-        vacancy.taken_by.reset();
+      if (vacancy.assigned_to == name) {
+        vacancy.assigned_to.reset();
         known_vacant = true;
       }
     }
@@ -215,7 +215,7 @@
   for (const ServerEntry& server : servers) {
     const auto own =
         std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
-          return !candidate.taken_by && !server.registration.empty() &&
+          return !candidate.assigned_to && !server.registration.empty() &&
                  candidate.left.registration == server.registration;
         });
     if (is_free(server) && own != m_uncovered.end()) {
@@ -228,7 +228,7 @@
     }
     const auto vacancy =
         std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
-          return !candidate.taken_by && candidate.left.accelerator == server.accelerator &&
+          return !candidate.assigned_to && candidate.left.accelerator == server.accelerator &&
                  candidate.left.failure_domain == server.failure_domain;
         });
     if (vacancy != m_uncovered.end()) {
@@ -239,7 +239,7 @@
 
 void LayerPlacer::AssignRange(const ServerEntry& server, UncoveredRange& vacancy) {
   m_assignments[server.name].layers = vacancy.left.layers;
-  vacancy.taken_by = server.name;
+  vacancy.assigned_to = server.name;
 }
 
 /** Loading a range takes up to four seconds. Until then the spares stand in for it: sent back when
@@ -248,7 +248,7 @@
   for (const ServerEntry& server : servers) {
     std::erase_if(m_uncovered, [&](const UncoveredRange& vacancy) {
       const bool is_loaded =
-          vacancy.taken_by == server.name && server.layers == vacancy.left.layers;
+          vacancy.assigned_to == server.name && server.layers == vacancy.left.layers;
       if (is_loaded) {
         RestoreSpares(vacancy);
       }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -68,7 +68,7 @@
     TimePoint since{};
 
     /** Who is to hold it and is loading it. */
-    std::optional<BackendServerName> taken_by;
+    std::optional<BackendServerName> assigned_to;
 
     /** The servers that share it meanwhile. */
     std::vector<BackendServerName> spares;
