--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -81,7 +81,7 @@
   return true;
 }
 
-void DomainCapacity::Take(const ServerEntry& engine) {
+void DomainCapacity::Remove(const ServerEntry& engine) {
   assert(engine.layers.end <= m_tokens.size() && "an engine of another model");
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
     m_tokens[layer] -= TokensPerLayer(engine);
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -33,7 +33,7 @@
   bool CanSpare(const ServerEntry& engine) const;
 
   /** Counts without it from now on. */
-  void Take(const ServerEntry& engine);
+  void Remove(const ServerEntry& engine);
 
  private:
   double TokensPerLayer(const ServerEntry& engine) const;
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -45,7 +45,7 @@
   std::erase_if(candidates, [&](const ServerEntry* engine) {
     const bool is_needed = !room.CanSpare(*engine);
     if (!is_needed) {
-      room.Take(*engine);
+      room.Remove(*engine);
     }
     return is_needed;
   });
