--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -70,7 +70,7 @@
       : m_loads(loads),
         m_health(health),
         m_limits(limits),
-        m_pipe(pipe),
+        m_link(pipe),
         m_connections(connections),
         m_random(random) {}
 
@@ -125,7 +125,7 @@
   const LoadBook& m_loads;
   const ServerHealth& m_health;
   const ServerLimits& m_limits;
-  const PipeMeter& m_pipe;
+  const PipeMeter& m_link;
   const IdleConnections& m_connections;
   RandomSource& m_random;
 };
