--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -171,7 +171,8 @@
 }
 
 double StartCost(const Candidate& server) {
-  return server.wait_ms * kWaitWeight + (server.has_connection ? 0.0 : kNewConnectionMs);
+  return server.first_event_delay_ms * kWaitWeight +
+         (server.has_connection ? 0.0 : kNewConnectionMs);
 }
 
 void Search::Relax(std::size_t boundary, std::size_t domain, bool whole_ranges_only) {
@@ -390,7 +391,7 @@
       TokenLayerCapacity(engine, server) * kMaxReservedShare - use.token_layers;
   candidate.can_start_request =
       use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
-  candidate.wait_ms = Milliseconds(m_health.FirstEventDelay(server.name));
+  candidate.first_event_delay_ms = Milliseconds(m_health.FirstEventDelay(server.name));
   candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
   return candidate;
 }
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -93,7 +93,7 @@
     double free_token_layers = 0.0;
 
     /** How long first events took there lately. */
-    double wait_ms = 0.0;
+    double first_event_delay_ms = 0.0;
 
     /** Whether a request that begins there needs no new connection. */
     bool has_connection = false;
