--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -79,11 +79,11 @@
     }
   }
   DetectDepartures(view);
-  m_seen.clear();
+  m_last_servers.clear();
   std::erase_if(m_empty_since,
                 [&](const auto& entry) { return !view.servers.contains(entry.first); });
   for (const ServerEntry& server : servers) {
-    m_seen[server.name] = server;
+    m_last_servers[server.name] = server;
   }
   if (!MayOrder() || !IsSettled(servers)) {
     return;
@@ -98,7 +98,7 @@
 }
 
 void LayerPlacer::DetectDepartures(const ForwardingView& view) {
-  for (const auto& [name, server] : m_seen) {
+  for (const auto& [name, server] : m_last_servers) {
     const auto now = view.servers.find(name);
     if (now != view.servers.end() && !now->second.draining) {
       RestoreLayersOf(server, now->second);
@@ -270,8 +270,8 @@
 }
 
 void LayerPlacer::NoteStalled(const BackendServerName& server) {
-  const auto seen = m_seen.find(server);
-  if (seen == m_seen.end() || seen->second.layers.Count() == 0 ||
+  const auto seen = m_last_servers.find(server);
+  if (seen == m_last_servers.end() || seen->second.layers.Count() == 0 ||
       !m_stalled.insert(server).second) {
     return;
   }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -108,7 +108,7 @@
   const ServiceName m_service;
   OrderRole m_role;
   std::map<BackendServerName, Assignment> m_assignments;
-  std::map<BackendServerName, ServerEntry> m_seen;
+  std::map<BackendServerName, ServerEntry> m_last_servers;
   std::map<BackendServerName, TimePoint> m_empty_since;
   std::vector<UncoveredRange> m_uncovered;
 
