--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -396,12 +396,12 @@
                   {"fencing_number", std::to_string(m_role.Epoch())}});
     m_orders.Place(server, assignment.layers, m_role.Epoch(),
                    WhileAlive(m_alive, [this, name = server.name](const Result<void>& result) {
-                     OnAnswer(name, result);
+                     OnOrderResult(name, result);
                    }));
   }
 }
 
-void LayerPlacer::OnAnswer(const BackendServerName& server, const Result<void>& result) {
+void LayerPlacer::OnOrderResult(const BackendServerName& server, const Result<void>& result) {
   const auto found = m_assignments.find(server);
   if (result) {
     if (found != m_assignments.end()) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -99,7 +99,7 @@
                 const std::vector<ServerEntry>& servers);
   void RepairWithSpares(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   void SendOrders(const std::vector<ServerEntry>& servers);
-  void OnAnswer(const BackendServerName& server, const Result<void>& result);
+  void OnOrderResult(const BackendServerName& server, const Result<void>& result);
 
   const OrderRoleParts m_parts;
   const OrderSettings m_settings;
