--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -159,8 +159,9 @@
 
 bool LayerPlacer::IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const {
   return std::any_of(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& vacancy) {
-    return vacancy.left.failure_domain == domain && vacancy.left.layers.first < layers.end &&
-           layers.first < vacancy.left.layers.end;
+    return vacancy.last_holder.failure_domain == domain &&
+           vacancy.last_holder.layers.first < layers.end &&
+           layers.first < vacancy.last_holder.layers.end;
   });
 }
 
@@ -216,7 +217,7 @@
     const auto own =
         std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
           return !candidate.assigned_to && !server.registration.empty() &&
-                 candidate.left.registration == server.registration;
+                 candidate.last_holder.registration == server.registration;
         });
     if (is_free(server) && own != m_uncovered.end()) {
       AssignRange(server, *own);
@@ -228,8 +229,9 @@
     }
     const auto vacancy =
         std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
-          return !candidate.assigned_to && candidate.left.accelerator == server.accelerator &&
-                 candidate.left.failure_domain == server.failure_domain;
+          return !candidate.assigned_to &&
+                 candidate.last_holder.accelerator == server.accelerator &&
+                 candidate.last_holder.failure_domain == server.failure_domain;
         });
     if (vacancy != m_uncovered.end()) {
       AssignRange(server, *vacancy);
@@ -238,7 +240,7 @@
 }
 
 void LayerPlacer::AssignRange(const ServerEntry& server, UncoveredRange& vacancy) {
-  m_assignments[server.name].layers = vacancy.left.layers;
+  m_assignments[server.name].layers = vacancy.last_holder.layers;
   vacancy.assigned_to = server.name;
 }
 
@@ -248,7 +250,7 @@
   for (const ServerEntry& server : servers) {
     std::erase_if(m_uncovered, [&](const UncoveredRange& vacancy) {
       const bool is_loaded =
-          vacancy.assigned_to == server.name && server.layers == vacancy.left.layers;
+          vacancy.assigned_to == server.name && server.layers == vacancy.last_holder.layers;
       if (is_loaded) {
         RestoreSpares(vacancy);
       }
@@ -286,8 +288,9 @@
     }
     // Where others of the failure domain hold the layers too and have room, requests go on there,
     // and moving engines would only take layers from others.
-    const DomainCapacity room(engine, vacancy.left.failure_domain, WithPlannedLayers(servers));
-    for (const LayerRange& missing : room.FindShortages(vacancy.left.layers)) {
+    const DomainCapacity room(engine, vacancy.last_holder.failure_domain,
+                              WithPlannedLayers(servers));
+    for (const LayerRange& missing : room.FindShortages(vacancy.last_holder.layers)) {
       ShareOut(vacancy, missing, engine, servers);
     }
   }
@@ -323,7 +326,8 @@
       pool.busy.insert(server.name);
     }
   }
-  for (const SpareShare& share : SpareChooser::ShareOut(engine, pool, vacancy.left, missing)) {
+  for (const SpareShare& share :
+       SpareChooser::ShareOut(engine, pool, vacancy.last_holder, missing)) {
     m_assignments[share.server] = {share.layers, {}, false};
     m_layers_before_repair[share.server] = held.at(share.server);
     vacancy.spares.push_back(share.server);
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -64,7 +64,7 @@
 
   /** A range whose holder left, until a server like it holds it. */
   struct UncoveredRange {
-    ServerEntry left;
+    ServerEntry last_holder;
     TimePoint since{};
 
     /** Who is to hold it and is loading it. */
