--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -291,7 +291,7 @@
     const DomainCapacity room(engine, vacancy.last_holder.failure_domain,
                               WithPlannedLayers(servers));
     for (const LayerRange& missing : room.FindShortages(vacancy.last_holder.layers)) {
-      ShareOut(vacancy, missing, engine, servers);
+      CoverWithSpares(vacancy, missing, engine, servers);
     }
   }
 }
@@ -314,10 +314,10 @@
   return assigned == m_assignments.end() ? server.layers : assigned->second.layers;
 }
 
-void LayerPlacer::ShareOut(UncoveredRange& vacancy,
-                           const LayerRange& missing,
-                           const EngineProfile& engine,
-                           const std::vector<ServerEntry>& servers) {
+void LayerPlacer::CoverWithSpares(UncoveredRange& vacancy,
+                                  const LayerRange& missing,
+                                  const EngineProfile& engine,
+                                  const std::vector<ServerEntry>& servers) {
   SparePool pool{WithPlannedLayers(servers), {}, m_extras};
   std::map<BackendServerName, LayerRange> held;
   for (const ServerEntry& server : servers) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -93,10 +93,10 @@
 
   /** With the layers that they hold or are to hold, without those that stalled. */
   std::vector<ServerEntry> WithPlannedLayers(const std::vector<ServerEntry>& servers) const;
-  void ShareOut(UncoveredRange& vacancy,
-                const LayerRange& missing,
-                const EngineProfile& engine,
-                const std::vector<ServerEntry>& servers);
+  void CoverWithSpares(UncoveredRange& vacancy,
+                       const LayerRange& missing,
+                       const EngineProfile& engine,
+                       const std::vector<ServerEntry>& servers);
   void RepairWithSpares(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   void SendOrders(const std::vector<ServerEntry>& servers);
   void OnOrderResult(const BackendServerName& server, const Result<void>& result);
