--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -327,7 +327,7 @@
     }
   }
   for (const SpareShare& share :
-       SpareChooser::ShareOut(engine, pool, vacancy.last_holder, missing)) {
+       SpareChooser::DivideRange(engine, pool, vacancy.last_holder, missing)) {
     m_assignments[share.server] = {share.layers, {}, false};
     m_layers_before_repair[share.server] = held.at(share.server);
     vacancy.spares.push_back(share.server);
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -54,10 +54,10 @@
 
 }  // namespace
 
-std::vector<SpareShare> SpareChooser::ShareOut(const EngineProfile& profile,
-                                               const SparePool& pool,
-                                               const ServerEntry& left,
-                                               const LayerRange& missing) {
+std::vector<SpareShare> SpareChooser::DivideRange(const EngineProfile& profile,
+                                                  const SparePool& pool,
+                                                  const ServerEntry& left,
+                                                  const LayerRange& missing) {
   Spares spares = SparesFor(profile, pool, left);
   const auto alike = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
     return spare->accelerator == left.accelerator;
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
@@ -38,10 +38,10 @@
 class SpareChooser {
  public:
   /** Nothing if the spares' memory does not suffice. `left` is the holder that was lost. */
-  static std::vector<SpareShare> ShareOut(const EngineProfile& profile,
-                                          const SparePool& pool,
-                                          const ServerEntry& left,
-                                          const LayerRange& missing);
+  static std::vector<SpareShare> DivideRange(const EngineProfile& profile,
+                                             const SparePool& pool,
+                                             const ServerEntry& left,
+                                             const LayerRange& missing);
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -31,7 +31,7 @@
   }
 
   std::vector<SpareShare> ShareOut() {
-    return SpareChooser::ShareOut(profile, pool, left, left.layers);
+    return SpareChooser::DivideRange(profile, pool, left, left.layers);
   }
 };
 
