--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -20,7 +20,7 @@
     }
   }
   std::vector<bool> drawn(is_near.size(), false);
-  // A domain without first servers of its own looks at as many elsewhere.
+  // A domain with too few first servers draws the remainder from other domains.
   const std::size_t missing = kLocalSamples - std::min(kLocalSamples, near.size());
   DrawFrom(std::move(near), kLocalSamples, drawn);
   DrawFrom(std::move(far), kRemoteSamples + missing, drawn);
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -7,30 +7,30 @@
 
 namespace zinnia {
 
-/** Draws the first servers that one request looks at, where a pool has many.
+/** Samples the first servers considered for one request in a large pool.
 
-    Loads of other instances are known some hundred milliseconds late, and meanwhile all that look
-   at all servers agree on the best. Of a few drawn ones the best is nearly as good, and no server
-   gets more than its part of the requests between two reports.
+    Load reports from other instances arrive some hundred milliseconds late. If every instance
+    compared all servers, they would all choose the same one until the next report. Choosing the
+    best of a small random sample spreads requests at little cost in quality.
 */
 class FirstServerSampler {
  public:
-  /** Pools with no more are looked at whole: their requests between two reports are few. */
+  /** Pools up to this size are compared in full. */
   static constexpr std::size_t kMaxUnsampledServers = 8;
 
-  /** Two choices take most of the unevenness of one away. The one of another failure domain lets a
-      domain that lost servers hand its requests on; bytes between domains are dear, so just one. */
+  /** Two local samples even out most of the load. One remote sample lets a failure domain that lost
+      servers pass requests on without using much of the inter-domain link. */
   static constexpr std::size_t kLocalSamples = 2;
   static constexpr std::size_t kRemoteSamples = 1;
 
-  /** And one of the own domain to which there is an unused connection: these differ from instance
-     to instance, so they lead no crowd anywhere. */
+  /** Additional samples among the local servers with an idle connection. These servers differ from
+      instance to instance, so they attract no common load. */
   static constexpr std::size_t kConnectedSamples = 1;
 
   explicit FirstServerSampler(RandomSource& random) : m_random(random) {}
 
-  /** Takes whether each first server is of the own failure domain, and whether there is an unused
-      connection to it; gives whether it is looked at. */
+  /** Returns which first servers to consider. `is_near` tells which servers are in the caller's
+      failure domain, `has_connection` which of them have an idle connection. */
   std::vector<bool> Draw(const std::vector<bool>& is_near, const std::vector<bool>& has_connection);
 
  private:
