--- a/packages/zinnia_decisions/forwarding/paths/idle_connections.h
+++ b/packages/zinnia_decisions/forwarding/paths/idle_connections.h
@@ -4,8 +4,8 @@
 
 namespace zinnia {
 
-/** Which servers this instance has an unused connection to. Servers take time and a place for each
-   new one, and bound how many they have from all instances together. */
+/** Tells which servers this instance has idle connections to. Opening a connection takes time, and
+    a server limits the number of its connections over all instances. */
 class IdleConnections {
  public:
   virtual ~IdleConnections() = default;
