--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -23,57 +23,53 @@
 constexpr double kBytesPerMegabyte = 1e6;
 constexpr double kTokensPerThousand = 1'000.0;
 
-/** Part of a server's memory that requests may reserve. More than all of it: a reservation counts
-    the whole expected answer, of which half is there on average. Too much costs: an engine out of
-    memory throws its newest request out and reads it again. */
+/** Share of a server's memory that requests may reserve. Above 1 because a reservation counts the
+    whole expected answer, of which on average half is generated. Higher values make engines evict
+    requests and prefill them again. */
 constexpr double kMaxReservedShare = 1.08;
 
-/** Part of the requests that may begin at an engine that is used: others' last choices are only
-    estimated, and what comes above the bound is refused. */
+/** Share of a server's request limit that is used. The rest absorbs requests that other instances
+    sent since their last report. */
 constexpr double kMaxStartedShare = 0.95;
 
-/** A server with this part of its memory or places in use may refuse for that alone. */
+/** Share of memory or request slots in use above which a server may refuse for lack of capacity. */
 constexpr double kNearlyFull = 0.7;
 
-/** Time of one hop inside and between failure domains, per token; from the published delays. */
+/** Time of one hop per token, inside a failure domain and between two. */
 constexpr double kHopMs = 0.15;
 constexpr double kInterDomainHopMs = 0.9;
 
-/** Crossings are avoided beyond their own time: each takes a part of the one pipe that others wait
-    for. A whole path in another failure domain costs nothing of it. */
+/** Added cost of a crossing, for the time that other requests wait for the shared inter-domain
+    link. */
 constexpr double kCrossingPenaltyMs = 400.0;
 
-/** Above this use of the pipe by all instances no request crosses: the wait for a first token grows
-    without bound as it fills. */
+/** Link use above which no request crosses: queueing delay grows without bound near saturation. */
 constexpr double kMaxLinkUse = 0.6;
 
-/** A first event that is late costs most of a request's worth, a slow answer nothing. */
+/** Weight of first-event delay relative to generation time. */
 constexpr double kWaitWeight = 8.0;
 
-/** A new connection counts as so much expected time, a small part of a usual answer's: of two paths
-    about equally fast a request takes the one whose first server it need not connect to. */
+/** Cost of opening a connection. Decides between paths of similar speed. */
 constexpr double kNewConnectionMs = 200.0;
 
-/** A request that arrives at a busy stage waits for half of the pass that is running. */
+/** A request that arrives at a busy stage waits for half of the running pass on average. */
 constexpr double kPassWaitShare = 0.5;
 
-/** Time of a token at full load in units of the profile's step. Gives the rate of prompts from the
-    requests in flight. */
+/** Time per token at full load in units of the profile's step time. Converts requests in flight to
+    a prompt rate. */
 constexpr double kLoadedTokenSteps = 11.5;
 
-/** Reading counted as this busy at most: beyond it the wait has no bound, and a request still needs
-    some path. */
+/** Upper bound on the assumed prefill utilisation, which keeps the estimated wait finite. */
 constexpr double kMaxPrefillUse = 0.95;
 
-/** With so many others choosing as often as this instance, chance counts in full. Nine instances
-   are told of each other's choices before they are ten. */
+/** Number of other instances at which jitter reaches its full size. */
 constexpr double kFullJitterInstances = 50.0;
 
-/** How much slower chance may make a server look: as much as loads of equal servers differ between
-    two reports, so that it decides among these and seldom takes a slow one. */
+/** Largest relative cost increase by jitter. About as large as the load difference of equal servers
+    between two reports. */
 constexpr double kMaxJitter = 0.5;
 
-/** A server that fails all its requests looks this many times slower. */
+/** Relative cost increase of a server at which every request fails. */
 constexpr double kFailurePenalty = 9.0;
 
 struct Step {
@@ -83,7 +79,7 @@
   const Candidate* server = nullptr;
 };
 
-/** One search over (boundary, failure domain). */
+/** One search over pairs of layer boundary and failure domain. */
 class Search {
  public:
   Search(const EngineProfile& engine,
@@ -95,7 +91,7 @@
         m_candidates(std::move(candidates)),
         m_crossing_cost(CrossingCost(engine, size, link_use)) {}
 
-  /** Numbers failure domains; the caller of Run uses the same numbers. */
+  /** Returns the index of a failure domain, as used by Run(). */
   static std::size_t DomainNumber(std::map<FailureDomainName, std::size_t>& numbers,
                                   const FailureDomainName& domain) {
     return numbers.emplace(domain, numbers.size()).first->second;
@@ -184,8 +180,8 @@
   const double tokens = m_size.prompt_tokens + m_size.answer_tokens;
   for (const Candidate& candidate : m_candidates) {
     const LayerRange& held = candidate.entry->layers;
-    // Whoever ran the layers before could have run these in the same part, if it had memory for
-    // both.
+    // A server that has just run the preceding layers would have run these in the same part if it
+    // had memory for both.
     const bool ran_before = At(boundary, domain).server == &candidate;
     if (ran_before || held.first > from || held.end <= from) {
       continue;
@@ -201,7 +197,7 @@
           tokens * layers > candidate.free_token_layers) {
         continue;
       }
-      // Entering the first server from the callers' side takes no engine's pipe.
+      // The hop from the caller to the first server does not use the inter-domain link.
       const bool crossing = candidate.domain != domain && from > 0;
       const double cost =
           so_far + Cost(candidate, layers, crossing) + (from == 0 ? StartCost(candidate) : 0.0);
@@ -260,7 +256,8 @@
                      [&](const PathPart& part) { return !seen.insert(part.server).second; });
 }
 
-/** The first server of a rerouted request may have left the view; its hop is then not counted. */
+/** Counts the crossings between failure domains. Hops from or to a server that is not in the view
+    are ignored; the first server of a rerouted request may have left it. */
 double CountCrossings(const ForwardingView& view, const LayerPath& path) {
   double crossings = 0;
   const ServerEntry* previous = nullptr;
@@ -276,8 +273,8 @@
   return crossings;
 }
 
-/** `requests` run at a server that holds `held_layers`. They are spread over the stages of their
-    paths, so a pass there meets about the part of them that its layers are of all. */
+/** Returns the generation time per layer. Requests are spread over the stages of their paths, so a
+    pass processes about the share `held_layers / engine.layers` of `requests`. */
 double MsPerLayer(const EngineProfile& engine,
                   const AcceleratorProfile& accelerator,
                   const GenerationSize& size,
@@ -292,8 +289,8 @@
   return size.answer_tokens * step * accelerator.step_factor / engine.layers;
 }
 
-/** Prompts are read one after the other between the steps. `pace` times slower, a server may take
-    in less than arrives, and the time of steps alone does not show it. */
+/** Returns the prefill time per layer, including the wait for other prompts. Prompts are processed
+    one after the other, so a server with a high slowdown factor `pace` may become saturated. */
 double FirstEventMsPerLayer(const EngineProfile& engine,
                             const AcceleratorProfile& accelerator,
                             const GenerationSize& size,
@@ -372,7 +369,7 @@
   return SearchPath(view, engine, size, space, first);
 }
 
-/** What the server takes for this request, by its load and what is known of it. */
+/** Returns the server's expected costs for this request, from its load and health. */
 PathFinder::Candidate PathFinder::Describe(const EngineProfile& engine,
                                            const AcceleratorProfile& accelerator,
                                            const GenerationSize& size,
@@ -396,13 +393,14 @@
   return candidate;
 }
 
-/** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMaxJitter. */
+/** Returns a random factor between 1 and 1 + kMaxJitter that spreads the choices of instances with
+    the same load reports. Always 1 for a single instance. */
 double PathFinder::JitterFactor() const {
   const double crowd = std::min(1.0, m_loads.OthersShare() / kFullJitterInstances);
   return 1.0 + kMaxJitter * crowd * RandomUnit(m_random);
 }
 
-/** Nothing if the pool is small enough to be looked at whole. */
+/** Returns nothing if the pool is small enough to be searched in full. */
 std::optional<PathFinder::SearchSpace> PathFinder::SampleFirstServers(
     const SearchSpace& space) const {
   std::vector<std::size_t> firsts;
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -23,44 +23,43 @@
 struct ServerEntry;
 struct ServerUse;
 
-/** What a request takes of the engines. */
+/** Size of a request, in tokens. */
 struct GenerationSize {
   double prompt_tokens = 0.0;
-  double answer_tokens = 0.0;  // Expected, and reserved in memory.
+  double answer_tokens = 0.0;  // Expected; memory is reserved for them.
 };
 
-/** What a search for a path is bound to. */
+/** Restrictions on a path search. */
 struct PathConstraints {
-  /** The first part of a request that is on its way and keeps its first server. */
+  /** First part of a running request, which keeps its first server. */
   std::optional<PathPart> first = std::nullopt;
 
-  /** All servers must be of this failure domain. */
+  /** Restricts the path to servers of this failure domain. */
   std::optional<FailureDomainName> only_domain = std::nullopt;
 };
 
-/** A path and the memory that it takes at each part, in token layers. */
+/** A path and its expected cost. */
 struct FoundPath {
   LayerPath path;
   double expected_ms = 0.0;
 
-  /** How long its prompt takes the pipe between failure domains, over all crossings. */
+  /** Time the prompt occupies the inter-domain link, summed over all crossings. */
   double link_ms = 0.0;
 };
 
-/** Chooses the servers that run a request's layers: the path of least expected time whose servers
-    all have memory for it.
+/** Finds the path with the lowest expected time whose servers all have memory for the request.
 
-    Where many instances choose from the same news of loads, all would take the same best path until
-    the next news, and first events would be late on a calm day. So in large pools each request
-    looks at a few first servers, drawn anew, most of them near, and the more others choose at the
-    same time the more it lets chance decide between servers that are nearly equal.
+    The search runs over the boundaries of the held layer ranges and the failure domain reached, so
+    its cost does not grow with the number of paths. A server may run any part of the range it
+    holds.
 
-    A server may run any part of the range that it holds. The search goes over the boundaries of
-    held ranges and the failure domain reached, so its cost does not grow with the number of paths.
+    Instances that choose from the same load reports would all take the same path until the next
+    report. Large pools are therefore sampled per request, and random jitter that grows with the
+    number of instances decides between servers of nearly equal cost.
 */
 class PathFinder {
  public:
-  /** All must outlive it. */
+  /** All references must outlive the object. */
   PathFinder(const LoadBook& loads,
              const ServerHealth& health,
              const ServerLimits& limits,
@@ -74,7 +73,7 @@
         m_connections(connections),
         m_random(random) {}
 
-  /** Nothing if no path has room. `avoided` servers are left out. */
+  /** Returns nothing if no path has enough capacity. Servers in `avoided` are not used. */
   std::optional<FoundPath> Find(const ForwardingView& view,
                                 const ServiceName& service,
                                 const GenerationSize& size,
@@ -82,28 +81,28 @@
                                 const std::set<BackendServerName>& avoided,
                                 const PathConstraints& constraints = {}) const;
 
-  /** A server as one search sees it. */
+  /** A server with the values that one search needs. */
   struct Candidate {
     const ServerEntry* entry = nullptr;
     std::size_t domain = 0;
     double ms_per_layer = 0.0;
 
-    /** For the request's prompt: reading it, and waiting while others' are read. */
+    /** Time to prefill the request's prompt, including the wait for other prompts. */
     double first_event_ms_per_layer = 0.0;
     double free_token_layers = 0.0;
 
-    /** How long first events took there lately. */
+    /** Recently observed delay of first events at this server. */
     double first_event_delay_ms = 0.0;
 
-    /** Whether a request that begins there needs no new connection. */
+    /** Whether an idle connection to this server exists. */
     bool has_connection = false;
 
-    /** Whether one more request may begin there. */
+    /** Whether the server accepts another request as its first server. */
     bool can_start_request = true;
   };
 
  private:
-  /** The servers that a search looks at. */
+  /** Servers considered by a search. */
   struct SearchSpace {
     std::vector<Candidate> candidates;
     std::map<FailureDomainName, std::size_t> domains;
@@ -130,10 +129,10 @@
   RandomSource& m_random;
 };
 
-/** The cache memory of a server in token layers. */
+/** Returns the cache memory of a server in token-layers. */
 double TokenLayerCapacity(const EngineProfile& engine, const ServerEntry& server);
 
-/** Whether `use` explains that the server takes no more requests. */
+/** Returns whether `use` is high enough to explain that the server refuses requests. */
 bool IsNearlyFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use);
 
 }  // namespace zinnia
