--- a/packages/zinnia_decisions/forwarding/paths/paths.h
+++ b/packages/zinnia_decisions/forwarding/paths/paths.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Which servers a request goes to, and where a running stream goes on when one of them is lost. */
+/** Choice of servers for new requests and for streams that lost a server. */
 
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/idle_connections.h"
