--- a/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
@@ -11,13 +11,13 @@
 namespace zinnia {
 namespace {
 
-/** An excluded server counts as this full: behind every other, but still there. */
+/** Added to the load of an excluded server, so that it is chosen only if no other is left. */
 constexpr double kExcludedPenalty = 1e6;
 
-/** A server that fails all its requests counts as this many times as full. */
+/** Relative load increase of a server at which every request fails. */
 constexpr double kFailurePenalty = 20.0;
 
-/** Spreads servers of equal load without outweighing one request more. */
+/** Random spread between equally loaded servers. Smaller than the load of one request. */
 constexpr double kTieBreak = 0.05;
 
 }  // namespace
--- a/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.h
@@ -13,20 +13,20 @@
 class ServerLimits;
 struct ForwardingView;
 
-/** Chooses a server of a plain service: the one with the most room among those that traffic finds
-    good, at random among equals. */
+/** Chooses a server of a plain service: the one with the lowest relative load, weighted by its
+    failure rate, at random among equals. */
 class PlainServerChooser {
  public:
-  /** All must outlive it. */
+  /** All references must outlive the object. */
   PlainServerChooser(const LoadBook& loads,
                      const ServerHealth& health,
                      const ServerLimits& limits,
                      RandomSource& random)
       : m_loads(loads), m_health(health), m_limits(limits), m_random(random) {}
 
-  /** Nothing if no server takes requests, or each is at the limit that it named. Excluded servers
-     are used if no other is left: with all of them suspected, the suspicion is more likely wrong
-     than all servers dead. */
+  /** Returns nothing if every server is draining, avoided or at its limit. Excluded servers are
+      used only if no other is left: if all are excluded, a wrong exclusion is more likely than a
+      failure of all servers. */
   std::optional<BackendServerName> Choose(const ForwardingView& view,
                                           const ServiceName& service,
                                           const std::set<BackendServerName>& avoided) const;
