--- a/packages/zinnia_decisions/forwarding/paths/prefill_time.h
+++ b/packages/zinnia_decisions/forwarding/paths/prefill_time.h
@@ -5,12 +5,12 @@
 struct AcceleratorProfile;
 struct EngineProfile;
 
-/** How long an engine that also writes answers takes to read one token through one layer, in
-    milliseconds.
+/** Returns the time in milliseconds that a busy engine takes to prefill one token through one
+    layer.
 
-    It reads in pieces between the steps of those answers: a pass reads a bounded number of tokens
-    and then runs its token steps. On accelerators that are slow at steps these take longer than the
-    reading itself, and whoever leaves them out believes such an engine to be three times as fast.
+    A busy engine prefills a bounded number of tokens per pass and then runs generation steps for
+    its other requests. On accelerators with slow steps these take longer than the prefill itself,
+    so they are included.
 */
 double PrefillMsPerTokenLayer(const EngineProfile& engine, const AcceleratorProfile& accelerator);
 
