--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -11,15 +11,14 @@
 namespace zinnia {
 namespace {
 
-/** Starting again needs another connection and the first server's queue; keeping it is one order.
- */
+/** Cost of a restart: a new connection and the queue of another first server. */
 constexpr double kRestartMs = 10.0;
 
-/** Engines read prompts in pieces and pass each on, so later stages wait for about this part of
-   what the others read. */
+/** Share of the other parts' prefill that a part waits for. The rest overlaps, as engines pass
+    prompts on in chunks. */
 constexpr double kUnoverlappedPrefill = 0.3;
 
-/** Of a stream's answer so much is there on average when its path breaks. */
+/** Average share of a stream's answer that is generated when its path breaks. */
 constexpr double kMeanAnswerShare = 0.5;
 
 bool Keeps(const LayerPath& kept, const PathPart& part) {
@@ -107,7 +106,7 @@
     }
   }
   if (best) {
-    // The other instances move their streams of the same server at the same moment.
+    // The other instances reroute their streams of the lost server at the same time.
     const double instances = 1.0 + m_loads.OthersShare();
     for (const PathPart& part : best->found.path) {
       if (!best->keeps_first || !Keeps(present, part)) {
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -15,39 +15,38 @@
 class ServerHealth;
 struct ForwardingView;
 
-/** Where a stream goes on. */
+/** Path on which a stream resumes. */
 struct RecoveryPath {
   FoundPath found;
 
-  /** The first server stays: only the new parts read the tokens so far. Otherwise the stream starts
-      again after its last event, at other servers, and costs a retry. */
+  /** Whether the first server is kept, so that only the new parts prefill the tokens generated so
+      far. Otherwise the stream restarts after its last event on other servers, which costs a retry.
+  */
   bool keeps_first = false;
 
-  /** Until all tokens so far are read and events come again. */
+  /** Expected time until events arrive again. */
   double expected_pause_ms = 0.0;
 };
 
-/** Chooses where a running stream goes on after a server of its path was lost.
+/** Chooses the path on which a running stream resumes after it lost a server.
 
-    What fails without it: all streams of a lost server keep their first server and go round the gap
-    by the same spare holders, or over the pipe between failure domains, and stand still until all
-    of them have been read there, one after the other. One notices answers that are late by one
-    pause, all at the moment of a loss. Whole paths in other failure domains read faster together,
-    so streams are spread by who is through first.
+    Streams that all keep their first server and use the same replacement would queue there for
+    prefill, one after the other. The chooser tracks the prefill it has caused and spreads streams
+    by the shortest expected pause, also over complete paths in other failure domains.
 
-    Never proposes a path over the pipe; callers fall back on PathFinder where nothing else is left.
+    Never returns a path over the inter-domain link; callers fall back to PathFinder.
 */
 class RecoveryChooser {
  public:
-  /** All must outlive it. */
+  /** All references must outlive the object. */
   RecoveryChooser(const Clock& clock,
                   const PathFinder& paths,
                   const LoadBook& loads,
                   const ServerHealth& health)
       : m_paths(paths), m_loads(loads), m_health(health), m_backlog(clock) {}
 
-  /** `present` is the path that broke; empty if its first server is lost too. `may_restart`: a
-      retry can be spent. Notes the reading that the choice causes. */
+  /** Adds the prefill of the chosen path to the backlog. `present` is the broken path, empty if its
+      first server is lost too. `may_restart` tells whether a retry is available. */
   std::optional<RecoveryPath> Choose(const ForwardingView& view,
                                      const ServiceName& service,
                                      const GenerationSize& size,
