--- a/packages/zinnia_decisions/forwarding/paths/route_table.h
+++ b/packages/zinnia_decisions/forwarding/paths/route_table.h
@@ -12,19 +12,19 @@
 
 struct ForwardingRules;
 
-/** Finds the route of a request: among those of its host, the one with the longest prefix of the
-    path. Hosts compare without case and without a port. */
+/** Finds the route of a request: the one with the longest matching path prefix among the routes of
+    its host. Hosts are compared without case and port. */
 class RouteTable {
  public:
   explicit RouteTable(const ForwardingRules& rules);
 
-  /** Null if no route fits. `path` may carry a query. */
+  /** Returns null if no route matches. `path` may include a query. */
   std::shared_ptr<const ForwardRoute> Find(std::string_view host, std::string_view path) const;
 
  private:
   using Routes = std::vector<std::shared_ptr<const ForwardRoute>>;
 
-  /** By host; the longest prefixes first. */
+  /** Keyed by host. Routes with longer prefixes come first. */
   std::map<std::string, Routes> m_routes_by_host;
 };
 
