--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -10,12 +10,11 @@
 namespace zinnia {
 namespace {
 
-/** A layer with less than this part of the room that the layers of its failure domain usually have
-    binds all requests there: two slow engines that stand in for one fast one have room for a third
-    of the tokens that the other stages hold. */
+/** A layer below this share of the median capacity limits the requests of the whole domain, for
+    example where two slow engines replace a fast one. */
 constexpr double kMinShareOfMedianCapacity = 0.5;
 
-/** Room for less than a token is none; sums are not exact. */
+/** Capacity below one token counts as zero, since sums of doubles are inexact. */
 constexpr double kMinCapacityTokens = 1.0;
 
 double MedianOf(std::vector<double> values) {
--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.h
@@ -10,29 +10,31 @@
 struct EngineProfile;
 struct ServerEntry;
 
-/** How many tokens the engines of one failure domain have room for in each layer.
+/** Token capacity of the engines of one failure domain, by layer.
 
-    A request runs through all layers, so the layer with the least room bounds how many the domain
-    serves, however much memory the others have left.
+    A request runs through all layers, so the layer with the lowest capacity limits how many
+    requests the domain can serve.
 */
 class DomainCapacity {
  public:
-  /** `engines` have the layers that they hold or are to hold; those of other failure domains are
-      left out. The profile must outlive it. */
+  /** `engines` carry the layers they hold or are assigned. Engines of other failure domains are
+      ignored. The profile must outlive the object. */
   DomainCapacity(const EngineProfile& profile,
                  const FailureDomainName& domain,
                  const std::vector<ServerEntry>& engines);
 
-  /** The runs of layers of `range` that are not held, or with much less room than is usual here. */
+  /** Returns the contiguous layer ranges within `range` whose capacity is far below the median of
+      this domain, or zero. */
   std::vector<LayerRange> FindShortages(const LayerRange& range) const;
 
-  /** Whether most layers have no holder: then the domain has no chain of its own. */
+  /** Returns whether more than half of the layers have no holder, so that the domain has no chain
+      of its own. */
   bool IsMostlyUncovered() const;
 
-  /** Whether all its layers keep enough room without it. */
+  /** Returns whether all layers of the engine keep enough capacity without it. */
   bool CanSpare(const ServerEntry& engine) const;
 
-  /** Counts without it from now on. */
+  /** Subtracts the capacity of the engine. */
   void Remove(const ServerEntry& engine);
 
  private:
