--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -12,34 +12,34 @@
 namespace zinnia {
 namespace {
 
-/** A pool is planned whole only when no engine has come for this long: engines of one start
-   register within a second, and a plan for the first few would fit none of the rest. */
+/** The first plan of a pool waits until no engine has registered for this long, so that it includes
+    all engines of a simultaneous start. */
 constexpr Duration kSettleTime = std::chrono::milliseconds(700);
 
-/** After this an order without an answer is sent again. */
+/** Time until an unanswered order is sent again. */
 constexpr Duration kOrderRetryInterval = std::chrono::seconds(2);
 
-/** After this an accepted order that shows no effect is sent again; the longest loads take four
-    seconds, twice that when five share the weights' store. */
+/** Time until an accepted order without effect is sent again. Twice the longest load time, as
+    engines that load at the same time share the bandwidth of the weight store. */
 constexpr Duration kAcceptedOrderRetryInterval = std::chrono::seconds(9);
 
-/** A vacant range is shared out among spares after this time: a crashed engine is back in some four
-    seconds and then loads for three, while spares load small ranges in less than one. */
+/** Time until spares cover an uncovered range. Spares load small ranges in less than a second, a
+    restarted engine takes several. */
 constexpr Duration kRepairDelay = std::chrono::milliseconds(400);
 
-/** Layers without a holder for this long are vacant, though nobody was seen to leave: an engine
-   that changes its layers shows none for less. */
+/** Time after which layers without a holder count as uncovered if no engine was seen to leave.
+    Longer than an engine shows no layers while it changes them. */
 constexpr Duration kGapDelay = std::chrono::milliseconds(1'000);
 
-/** The same while an engine of the failure domain holds nothing: it may be loading them, for an
-    earlier holder of the orders, and the longest loads take four seconds. */
+/** The same while an engine of the failure domain holds no layers: it may be loading them on an
+    order of the previous holder. Longer than the longest load. */
 constexpr Duration kGapDelayWithEmptyEngine = std::chrono::seconds(5);
 
-/** An engine that comes while nothing is vacant waits so long for a range: when engines are
-   replaced, the new one comes first and the old one leaves a moment later. */
+/** Time that a new engine waits for a range to become uncovered. In a replacement the new engine
+    registers shortly before the old one leaves. */
 constexpr Duration kReplacementWait = std::chrono::milliseconds(1'500);
 
-/** Old vacancies go when there are more; no pool waits for so many replacements. */
+/** Limit on the recorded ranges; the oldest is dropped first. */
 constexpr std::size_t kMaxUncoveredRanges = 64;
 
 }  // namespace
@@ -110,7 +110,7 @@
       left.layers = assigned->second.layers;
       m_assignments.erase(assigned);
     }
-    // A stalled engine's range was given out when it fell silent.
+    // The range of a stalled engine was already recorded when it stalled.
     bool known_vacant = m_stalled.erase(name) > 0;
     for (UncoveredRange& vacancy : m_uncovered) {
       if (vacancy.assigned_to == name) {
@@ -132,8 +132,9 @@
   }
 }
 
-/** A server that held layers holds none: it started again while the store is away, so that only its
-    own word shows it. Its range would wait as a gap for seconds; it is to have it back at once. */
+/** Assigns an engine that has become empty its previous layers at once. While the store is
+    unavailable, a restarted engine keeps its entry, and its range would otherwise count as a gap
+    only seconds later. */
 void LayerPlacer::RestoreLayersOf(const ServerEntry& before, const ServerEntry& now) {
   if (before.layers.Count() == 0 || now.layers.Count() > 0) {
     return;
@@ -165,9 +166,9 @@
   });
 }
 
-/** Finds vacancies that this instance has not seen arise: an engine left while nobody held the
-    orders, or before the holder started. One missing layer takes a whole failure domain's chain out
-    of service, and nothing else would show it. */
+/** Records uncovered ranges whose holder this instance did not see leave, because it left while no
+    instance held the order role or before this one acquired it. A single missing layer takes the
+    chain of the failure domain out of service. */
 void LayerPlacer::DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers) {
   const TimePoint now = m_parts.clock.Now();
   std::map<FailureDomainName, bool> has_empty;
@@ -179,7 +180,7 @@
   const std::vector<ServerEntry> planned = WithPlannedLayers(servers);
   for (const auto& [domain, empty_engine] : has_empty) {
     const DomainCapacity room(engine, domain, planned);
-    // A domain with few layers has its chains together with others.
+    // A domain that holds few layers forms chains with other domains.
     const auto gaps = room.IsMostlyUncovered() ? std::vector<LayerRange>()
                                                : room.FindShortages({0, engine.layers});
     for (const LayerRange& gap : gaps) {
@@ -206,9 +207,8 @@
   m_gaps_since = std::move(still);
 }
 
-/** A server that came back after a crash, or its replacement, takes the range that was left, also
-    when slower ones share it by now: they are spares again. A server that started again goes first
-    for what it held itself: its neighbours are fitted to that range. */
+/** Assigns uncovered ranges to restarted or new engines, also if spares cover them. Restarted
+    engines get their own ranges back first, so that the ranges of a chain keep fitting together. */
 void LayerPlacer::AssignUncovered(const std::vector<ServerEntry>& servers) {
   const auto is_free = [&](const ServerEntry& server) {
     return server.layers.Count() == 0 && !m_assignments.contains(server.name);
@@ -244,8 +244,8 @@
   vacancy.assigned_to = server.name;
 }
 
-/** Loading a range takes up to four seconds. Until then the spares stand in for it: sent back when
-   the order went out, they left a range without a holder for as long. */
+/** Drops ranges that their new holder has loaded and returns their spares. The spares stay until
+    then, since a load takes seconds. */
 void LayerPlacer::RemoveLoadedRanges(const std::vector<ServerEntry>& servers) {
   for (const ServerEntry& server : servers) {
     std::erase_if(m_uncovered, [&](const UncoveredRange& vacancy) {
@@ -259,8 +259,8 @@
   }
 }
 
-/** What they held before is what others may need next; left where they are, each loss would leave
-   the pool with fewer holders of some layer. */
+/** Assigns spares their previous layers, so that the pool keeps its second holders for later
+    losses. */
 void LayerPlacer::RestoreSpares(const UncoveredRange& vacancy) {
   for (const BackendServerName& name : vacancy.spares) {
     const auto spare = m_layers_before_repair.find(name);
@@ -286,8 +286,7 @@
     if (m_parts.clock.Now() - vacancy.since < kRepairDelay) {
       continue;
     }
-    // Where others of the failure domain hold the layers too and have room, requests go on there,
-    // and moving engines would only take layers from others.
+    // Layers that other engines of the failure domain hold with enough capacity need no spares.
     const DomainCapacity room(engine, vacancy.last_holder.failure_domain,
                               WithPlannedLayers(servers));
     for (const LayerRange& missing : room.FindShortages(vacancy.last_holder.layers)) {
@@ -308,7 +307,7 @@
   return planned;
 }
 
-/** The layers that it holds, or is to hold. */
+/** Returns the layers that the server is assigned, else those it holds. */
 LayerRange LayerPlacer::PlannedLayers(const ServerEntry& server) const {
   const auto assigned = m_assignments.find(server.name);
   return assigned == m_assignments.end() ? server.layers : assigned->second.layers;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -18,18 +18,20 @@
 class LayerOrders;
 class Logger;
 
-/** Keeps the layers of one pool placed, while this instance holds the right to give orders to it.
-
-    An engine that comes gets the range that another one left, or what the pool lacks most. A range
-    that stays without a holder breaks the chain of its failure domain; slower engines of the same
-    failure domain then share it. An order that was carried out much too late shows in the engine's
-    entry and is followed by the right one again. Layers that its domain holds with little room
-   count as missing, and spares go back when a range has its holder again. After everything
-   restarted at once, engines still hold their layers, and nothing is ordered.
+/** Assigns layer ranges to the engines of one pool while this instance holds the order role of the
+    pool.
+
+    A new engine gets the range of an engine that left, or the range with the least capacity. A
+    range that stays uncovered breaks the chain of its failure domain, so slower engines of that
+    domain cover it until it has a holder again; then they return to their previous layers. Layers
+    with little capacity are treated like uncovered ones.
+
+    An order that took effect too late shows in the view and is followed by the current one. Engines
+    that still hold layers after a restart of all instances get no orders.
 */
 class LayerPlacer {
  public:
-  /** All must outlive it. */
+  /** All references must outlive the object. */
   LayerPlacer(const OrderRoleParts& parts,
               const OrderSettings& settings,
               LayerOrders& orders,
@@ -37,16 +39,17 @@
               ServiceName service);
   ~LayerPlacer();
 
-  /** Call it about once in `settings.tick`, and whenever the view has changed. */
+  /** Call about once per `settings.tick` and after each change of the view. */
   void Tick(const ForwardingView& view);
 
-  /** Renews the right to give orders, or seeks it if it `may_seek`: looking costs a call. */
+  /** Renews the order role. If `may_seek`, also tries to acquire it, which costs a store call. */
   void TickRole(bool may_seek);
 
-  /** Traffic found that an engine does not go on. Its range counts as vacant from now on. */
+  /** Reports that an engine has stopped responding. Its range counts as uncovered from now on. */
   void NoteStalled(const BackendServerName& server);
 
-  /** Whether some peer says that the store serves it; see OrderRole::NoteStoreServesOthers. */
+  /** Tells whether a peer reports that the store serves it; see OrderRole::NoteStoreServesOthers.
+   */
   void NoteStoreServesOthers(bool serves) { m_role.NoteStoreServesOthers(serves); }
 
   bool HoldsRole() const { return m_role.IsHeld(); }
@@ -62,23 +65,23 @@
     bool accepted = false;
   };
 
-  /** A range whose holder left, until a server like it holds it. */
+  /** A layer range whose holder left, until another server has loaded it. */
   struct UncoveredRange {
     ServerEntry last_holder;
     TimePoint since{};
 
-    /** Who is to hold it and is loading it. */
+    /** The server that is loading the range. */
     std::optional<BackendServerName> assigned_to;
 
-    /** The servers that share it meanwhile. */
+    /** Servers that cover the range until then. */
     std::vector<BackendServerName> spares;
   };
 
   bool IsSettled(const std::vector<ServerEntry>& servers);
 
-  /** Engines that do not check fencing numbers would carry out an earlier holder's order after this
-      one's, and keep layers that nobody counts on. They get orders once none of his can be on its
-      way. */
+  /** Returns whether orders may be sent now. Engines that do not check fencing numbers could carry
+      out an order of the previous holder after one of this holder. They get orders only when no
+      order of the previous holder can still be in flight. */
   bool MayOrder() const;
   void Assign(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   void DetectDepartures(const ForwardingView& view);
@@ -91,7 +94,7 @@
   void RestoreSpares(const UncoveredRange& vacancy);
   LayerRange PlannedLayers(const ServerEntry& server) const;
 
-  /** With the layers that they hold or are to hold, without those that stalled. */
+  /** Returns the servers that are not stalled, with the layers they hold or are assigned. */
   std::vector<ServerEntry> WithPlannedLayers(const std::vector<ServerEntry>& servers) const;
   void CoverWithSpares(UncoveredRange& vacancy,
                        const LayerRange& missing,
@@ -112,16 +115,16 @@
   std::map<BackendServerName, TimePoint> m_empty_since;
   std::vector<UncoveredRange> m_uncovered;
 
-  /** Since when layers, by the first of them, lack a holder in a failure domain. */
+  /** Since when a gap exists, by failure domain and first layer of the gap. */
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> m_gaps_since;
 
-  /** Engines that came late and got what the pool lacked, so that no chain rests on them. */
+  /** Engines that arrived after the pool was planned. No chain depends on them. */
   std::set<BackendServerName> m_extras;
 
-  /** Spares that took over a part of a vacant range, and what they held before. */
+  /** Layers that spares held before they were assigned a part of an uncovered range. */
   std::map<BackendServerName, LayerRange> m_layers_before_repair;
 
-  /** Engines whose ranges were taken for vacant while they are still on record. */
+  /** Stalled engines that are still in the view and whose ranges count as uncovered. */
   std::set<BackendServerName> m_stalled;
   std::size_t m_last_count = 0;
   TimePoint m_last_change{};
