--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -13,20 +13,19 @@
 namespace zinnia {
 namespace {
 
-/** A chain is worth forming when its memory is this many times the weights: what is left holds
-    requests, and a chain without room serves nobody. */
+/** Smallest ratio of memory to weights of a chain. The memory beyond the weights holds requests. */
 constexpr double kMinMemoryToWeights = 1.25;
 
-/** Chains of so many times the weights' memory, where a group has enough for several. One chain of
-    everything leaves more memory for requests, but they all begin at one engine, which takes only
-   so many, and pass through more stages; a lost stage stops them all. */
+/** Ratio of memory to weights at which a group is split into several chains. A single large chain
+    has more memory for requests, but is limited by its first engine, has more hops, and fails as a
+    whole. */
 constexpr double kTargetMemoryToWeights = 1.6;
 
-/** The part of a late engine's memory that weights may take; about what planned chains have. */
+/** Share of a late engine's memory used for weights. About that of planned chains. */
 constexpr double kLateEngineWeightShare = 0.6;
 
-/** The same for an engine that holds ranges of its failure domain's chain a second time. The more
-    layers, the more losses it stands in for; what is left must hold the requests of one chain. */
+/** Share of a second holder's memory used for weights. More layers cover more losses; the rest must
+    hold the requests of one chain. */
 constexpr double kSecondHolderWeightShare = 0.82;
 
 using Chain = std::vector<const ServerEntry*>;
@@ -64,7 +63,7 @@
   }
 }
 
-/** Splits all layers over the chain by memory, whole layers, never more than fit. */
+/** Distributes all layers over the chain in proportion to memory, without exceeding any engine. */
 LayerPlanner::Ranges SplitLayers(const EngineProfile& engine, const Chain& chain) {
   const double memory = MemoryOf(engine, chain);
   LayerPlanner::Ranges ranges;
@@ -85,7 +84,8 @@
   return ranges;
 }
 
-/** Takes whole groups of equal accelerators, the fastest first, until the chain is large enough. */
+/** Takes whole groups of equal accelerators, fastest first, until they can form a chain. Returns an
+    empty chain if they cannot. */
 Chain TakeChain(const EngineProfile& engine, Chain& pool) {
   std::stable_sort(pool.begin(), pool.end(), [&](const auto* left, const auto* right) {
     return AcceleratorOf(engine, *left)->step_factor < AcceleratorOf(engine, *right)->step_factor;
@@ -105,9 +105,7 @@
   return chain;
 }
 
-/** Deals the engines of a group out to as many chains as it has good memory for, the fast ones
- * evenly.
- */
+/** Splits a group into as many chains as its memory allows, balanced by memory. */
 std::vector<Chain> SplitGroup(const EngineProfile& engine, const Chain& group) {
   const double weights = engine.layers * engine.layer_mb;
   const auto count = std::max<std::size_t>(
@@ -123,8 +121,8 @@
   return chains;
 }
 
-/** Where second holders of `count` layers stand in for most of the chain's stages. Of equal places
-    the one whose layers the pool holds least often. */
+/** Returns the first layer at which second holders of `count` layers cover the most stages. Ties go
+    to the layers with the fewest holders. */
 std::uint32_t BestFirstLayer(const EngineProfile& engine,
                              const std::vector<LayerRange>& stages,
                              const std::vector<std::uint32_t>& holders,
@@ -148,8 +146,8 @@
   return best;
 }
 
-/** Ranges for the engines that a failure domain has beside its chains: its layers a second time, as
-    many of them as fit. */
+/** Returns ranges for the engines left over in a failure domain with chains: as many of its layers
+    as fit, each once. */
 LayerPlanner::Ranges PlanSecondHolders(const EngineProfile& engine,
                                        const Chain& left_over,
                                        const std::vector<LayerRange>& stages,
@@ -178,7 +176,7 @@
   return ranges;
 }
 
-/** For each layer the tokens that its holders have room for together. */
+/** Returns the token capacity of each layer over all holders. */
 std::vector<double> CapacityByLayer(const EngineProfile& engine,
                                     const std::vector<ServerEntry>& holders) {
   std::vector<double> room(engine.layers, 0.0);
@@ -234,8 +232,8 @@
       CountHolders(range, holder_counts);
     }
   }
-  // What is left in single failure domains forms chains across them, in the order of the domains,
-  // so that a token crosses between them as rarely as possible.
+  // Engines left over in domains without a chain form chains across domains, ordered by domain to
+  // keep crossings few.
   if (CanFormChain(engine, rest)) {
     for (const Chain& part : SplitGroup(engine, rest)) {
       place(part);
--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.h
@@ -12,28 +12,28 @@
 struct EngineProfile;
 struct ServerEntry;
 
-/** Decides which layers each engine of a pool is to hold.
+/** Plans which layers each engine of a pool holds.
 
-    A pool that holds nothing is planned whole: chains of engines that hold every layer once, the
-    fastest accelerators of one failure domain together, since each hop and each crossing between
-    failure domains costs every token. Inside a chain layers go by memory, so that all stages run
-    out of room for requests at the same load. Engines that are left over in a failure domain with
-    a chain hold its ranges a second time, so that requests go round a lost stage at once, without
-    a load and without the pipe between failure domains.
+    An empty pool is planned as a whole. Chains of engines that hold every layer once are formed
+    from the fastest accelerators of one failure domain, since hops and crossings between domains
+    add latency to every token. Layers are distributed by memory, so that all stages reach their
+    capacity at the same load. Remaining engines of a domain with a chain become second holders of
+    its ranges, so that requests can bypass a lost stage without a load and without using the
+    inter-domain link.
 
-    Engines that come later get the range that the pool lacks most; engines that hold a range keep
-    it, as loading costs seconds.
+    Engines that arrive later get the range with the least capacity. Engines that hold a range keep
+    it, since loading takes seconds.
 */
 class LayerPlanner {
  public:
   using Ranges = std::map<BackendServerName, LayerRange>;
 
-  /** Ranges for all engines of a pool of which none holds any layer. Engines that cannot complete a
-      chain get spare ranges. */
+  /** Returns ranges for the engines of a pool in which no engine holds layers. Engines that do not
+      complete a chain get the ranges with the least capacity. */
   static Ranges PlanPool(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
 
-  /** The range for one engine without layers, beside those that hold or load some (`planned` has
-      the ranges of those that load). Nothing if it cannot hold a layer. */
+  /** Returns the range for one engine without layers, or nothing if it cannot hold a layer.
+      `holders` are the engines that hold layers or are assigned some, with these ranges. */
   static std::optional<LayerRange> RangeFor(const EngineProfile& engine,
                                             const ServerEntry& server,
                                             const std::vector<ServerEntry>& holders);
