--- a/packages/zinnia_decisions/forwarding/placement/placement.h
+++ b/packages/zinnia_decisions/forwarding/placement/placement.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Which engine is to hold which layers, and the orders that make it so. */
+/** Planning of layer ranges and the orders that assign them. */
 
 #include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_decisions/forwarding/placement/layer_placer.h"
