--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -9,8 +9,8 @@
 namespace zinnia {
 namespace {
 
-/** Part of a spare's memory that weights of a vacant range may take at first choice, and at most.
-    A spare that takes a range alone may fill its memory as its last holder did. */
+/** Shares of a spare's memory that the weights of a missing range may take: the target, the upper
+    limit, and the share for a spare that covers the range alone. */
 constexpr double kUsualWeightShare = 0.5;
 constexpr double kMostWeightShare = 0.8;
 constexpr double kWholeMemory = 1.0;
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
@@ -11,33 +11,33 @@
 
 struct EngineProfile;
 
-/** What a spare takes of a missing range. */
+/** The part of a missing range assigned to one spare. */
 struct SpareShare {
   BackendServerName server;
   LayerRange layers;
 };
 
-/** The engines of a pool as a choice of spares sees them. */
+/** The engines from which spares are chosen. */
 struct SparePool {
-  /** With the layers that they hold or are to hold; without those that do not serve. */
+  /** Engines in service, with the layers they hold or are assigned. */
   std::vector<ServerEntry> engines;
 
-  /** Not to be taken: they are moving already, or hold nothing yet. */
+  /** Engines that cannot be spares: they already cover a range or hold no layers. */
   std::set<BackendServerName> busy;
 
-  /** Came late and got what the pool lacked, so that no chain rests on them. */
+  /** Engines that arrived after the pool was planned. No chain depends on them. */
   std::set<BackendServerName> extras;
 };
 
-/** Which engines share a range whose holder was lost, until it has one again.
+/** Chooses engines that cover a range whose holder was lost.
 
-    Only engines that their failure domain can do without, and the slowest first: they are the
-    cheapest to take out of service. One that is as fast as the lost one would only move the gap to
-    another chain, unless it is an extra, which then takes the range alone.
+    Spares are engines that their failure domain can do without, slowest first, since these reduce
+    capacity least. An engine as fast as the lost one is not used, as that would move the gap to
+    another chain; an extra of the same kind covers the range alone.
 */
 class SpareChooser {
  public:
-  /** Nothing if the spares' memory does not suffice. `left` is the holder that was lost. */
+  /** Returns nothing if the spares do not have enough memory. `left` is the lost holder. */
   static std::vector<SpareShare> DivideRange(const EngineProfile& profile,
                                              const SparePool& pool,
                                              const ServerEntry& left,
