--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -52,16 +52,16 @@
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
 }
 
-TEST(Paths, GoesWhollyElsewhereRatherThanAcross) {
+TEST(Paths, PrefersACompletePathInAnotherDomainToACrossing) {
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find({"x2"}).c_str());
 }
 
-TEST(Paths, CrossesWhenNoDomainIsWhole) {
+TEST(Paths, CrossesWhenNoDomainHasACompletePath) {
   STRCMP_EQUAL("x1 y3 y4 ", Find({"x2", "y1"}).c_str());
 }
 
-// Symptom: callers leave before their first token while engines idle. Sequence: two domains lose a
-// stage, every request crosses. Cause: the pipe between domains taken as free.
+// Guards against paths that use the inter-domain link although the caller asked for a single
+// failure domain.
 TEST(Paths, KeepsToOneFailureDomainWhereAsked) {
   const auto found =
       finder.Find(ViewOf(servers), "pool", size, "x", {}, {std::nullopt, FailureDomainName("y")});
@@ -73,11 +73,9 @@
           .has_value());
 }
 
-// Symptom: engines refuse paths, and orders to change one, that name a server twice in a row (fifty
-// refused orders on a day of bulk returns, some of them for this). Sequence: a server has memory
-// for the request on some of its layers and not on all, and other servers' ranges begin within
-// them. Cause: the search takes it for two parts, each of which fits.
-TEST(Paths, AServerWithoutMemoryForAllItsLayersDoesNotRunThemInTwoParts) {
+// Guards against paths that name a server twice in a row, which engines refuse, where the server
+// has memory for each of two parts but not for both.
+TEST(Paths, DoesNotSplitTheLayersOfAServerIntoTwoParts) {
   servers = {EngineServer("a", "fast", "x", {0, 30}), EngineServer("b", "slow", "x", {10, 20}),
              EngineServer("c", "slow", "x", {20, 30}), EngineServer("d", "fast", "x", {30, 60}),
              EngineServer("e", "middle", "x", {60, 80})};
@@ -95,10 +93,9 @@
   }
 }
 
-// Symptom: first events wait at a stage while an equal one is free. Sequence: a few long prompts
-// are being read at one of two engines that hold the same layers. Cause: paths chosen by the time
-// of steps, which go by the number of requests and not by what is read.
-TEST(Paths, LeavesAServerThatHasMoreToRead) {
+// Guards against path costs that count requests in flight but not the prompt tokens waiting for
+// prefill.
+TEST(Paths, AvoidsTheServerWithMoreTokensToPrefill) {
   servers = {EngineServer("x1", "fast", "x", {0, 29}), EngineServer("x2", "middle", "x", {29, 46}),
              EngineServer("x3", "middle", "x", {46, 63}),
              EngineServer("x4", "middle", "x", {63, 80}),
@@ -109,7 +106,7 @@
   STRCMP_EQUAL("x1 x2 x3 x5 ", Find().c_str());
 }
 
-TEST(Paths, OfTwoAboutEqualFirstServersTakesTheOneItIsConnectedTo) {
+TEST(Paths, PrefersAnIdleConnectionAmongSimilarFirstServers) {
   servers = {EngineServer("x1", "fast", "x", {0, 40}), EngineServer("x2", "fast", "x", {40, 80}),
              EngineServer("x3", "fast", "x", {0, 40})};
   connections.servers = {"x3"};
@@ -118,31 +115,30 @@
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
 }
 
-TEST(Paths, RefusesToCrossAFullPipe) {
+TEST(Paths, DoesNotCrossASaturatedLink) {
   pipe.Add(700);
   STRCMP_EQUAL("none", Find({"x2", "y1"}).c_str());
   time.AdvanceBy(seconds(2));
   STRCMP_EQUAL("x1 y3 y4 ", Find({"x2", "y1"}).c_str());
 }
 
-TEST(Paths, LeavesServersWithoutMemory) {
+TEST(Paths, AvoidsServersWithoutMemory) {
   const double room = TokenLayerCapacity(MixedEngine(), servers[1]);
   loads.SetDomainUses("peer", {{"x2", {100, room}}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
 }
 
-// Symptom: half of the requests are refused though memory is free. Sequence: one long chain has
-// room for 700 requests, its first engine takes 192. Cause: only memory counted.
-TEST(Paths, LeavesFirstServersThatTakeNoMoreRequests) {
+// Guards against choosing a first server by free memory alone.
+TEST(Paths, AvoidsFirstServersWithoutFreeRequestSlots) {
   loads.SetDomainUses("peer", {{"x1", {190, 0, 190}}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   loads.SetDomainUses("peer", {{"x1", {190, 0, 20}}});
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
 }
 
-// Guards against requests that begin at a server which has as many as it takes; work that passes
-// through it does not count.
-TEST(Paths, BeginsElsewhereWhereAServerIsAtItsLimit) {
+// Guards against starting requests at a server that has reached its limit. Requests that only pass
+// through it do not count.
+TEST(Paths, AvoidsFirstServersAtTheirReportedLimit) {
   time.AdvanceBy(seconds(10));
   limits.OnNews({"x2", 2.0, {}});
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
@@ -152,14 +148,14 @@
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
 }
 
-TEST(Paths, LeavesExcludedServersUntilTheirTimeIsOver) {
+TEST(Paths, AvoidsServersUntilTheirExclusionEnds) {
   health.Exclude("x1", seconds(1));
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   time.AdvanceBy(seconds(2));
   STRCMP_EQUAL("x1 x2 ", Find().c_str());
 }
 
-TEST(Paths, LeavesServersThatSayTheyAreSlow) {
+TEST(Paths, AvoidsServersThatReportASlowdown) {
   health.NotePace({"x2", 8.0, {}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
   time.AdvanceBy(seconds(4));
@@ -172,9 +168,7 @@
   STRCMP_EQUAL("x1 x3 x4 ", Find({"x2"}).c_str());
 }
 
-// Symptom: a process ends with std::out_of_range. Sequence: the first server of a running request
-// leaves the view, then a later stage stalls and the request is rerouted. Cause: crossings counted
-// by looking up every server of the path in the view.
+// Guards against std::out_of_range if the first server of a rerouted request has left the view.
 TEST(Paths, ReroutesARequestWhoseFirstServerHasLeft) {
   const PathPart gone{"left", {"10.0.0.9", 1}, {0, 40}};
   const auto found = finder.Find(ViewOf(servers), "pool", size, "x", {}, {gone});
@@ -201,18 +195,16 @@
   }
 };
 
-// Symptom: every stream of a lost stage pauses for 300 ms. Sequence: stage b dies; streams over a
-// and c go on. Cause: each stream judged alone, and by its engine's late report.
-TEST(Silence, ManySilentStreamsThroughOneServerMakeItSuspect) {
+// Guards against judging each stream alone, which detects a lost stage only after a long pause.
+TEST(Silence, SuspectsTheServerThatSilentStreamsShare) {
   STRCMP_EQUAL("b ", Suspects({Stream(one, 80), Stream(one, 90), Stream(one, 100), Stream(one, 85),
                                Stream(other, 10)})
                          .c_str());
 }
 
-// Symptom: streams of a dead rack stand still for a quarter of a second before anybody acts.
-// Sequence: three servers of a path of four die together; all four are probed and one answers.
-// Cause: a round in which most are silent taken for the instance's own way being cut.
-TEST(Silence, OneAnswerOrOtherStreamsShowThatTheWayWorks) {
+// Guards against taking a rack failure for a network fault of the instance itself when most but not
+// all probes fail.
+TEST(Silence, OneAnswerOrActiveStreamShowsThatTheNetworkWorks) {
   ProbeRound rack(4, false);
   rack.OnAnswer("a", false);
   rack.OnAnswer("b", false);
@@ -226,17 +218,15 @@
   CHECK_EQUAL(1U, whole_path.Dead().size());
 }
 
-// Symptom: an instance that is cut off takes the servers of the whole fleet out of use. Sequence:
-// all its streams fall silent, none of their servers answers. Cause: its own cut taken for their
-// death.
-TEST(Silence, WithoutAnySignOfLifeNobodyIsNamed) {
+// Guards against an isolated instance excluding every server of the fleet.
+TEST(Silence, ReportsNoServerDeadIfNoneAnswers) {
   ProbeRound round(2, false);
   round.OnAnswer("a", false);
   round.OnAnswer("b", false);
   CHECK_TRUE(round.Dead().empty());
 }
 
-TEST(Silence, StreamsOfOtherPathsThatFlowAreSeen) {
+TEST(Silence, DetectsActiveStreamsOnOtherPaths) {
   const std::vector<StreamProgress> silent = {Stream(one, 80), Stream(one, 90)};
   const std::vector<PathPart> suspects = {one.front()};
   CHECK_FALSE(SilenceDetector::OthersFlow(silent, suspects, now));
@@ -246,11 +236,11 @@
       SilenceDetector::OthersFlow({Stream(one, 80), Stream(elsewhere, 300)}, suspects, now));
 }
 
-TEST(Silence, AllServersOfASilentPathAreSuspectTogether) {
+TEST(Silence, SuspectsAllServersOfASilentPath) {
   STRCMP_EQUAL("a b ", Suspects({Stream(one, 80), Stream(one, 90), Stream(one, 80)}).c_str());
 }
 
-TEST(Silence, OnePauseOfOneStreamIsNothing) {
+TEST(Silence, IgnoresTheSilenceOfFewStreams) {
   STRCMP_EQUAL("", Suspects({Stream(one, 150), Stream(one, 20)}).c_str());
   STRCMP_EQUAL("", Suspects({Stream(one, 20), Stream(one, 150)}).c_str());
   STRCMP_EQUAL("", Suspects({Stream(one, 300)}).c_str());
@@ -279,7 +269,8 @@
     }
   }
 
-  /** How many servers of a domain hold each layer, at least. */
+  /** Returns the smallest number of holders of any layer in a domain, or in all if `domain` is
+      empty. */
   std::uint32_t LeastCover(const LayerPlanner::Ranges& ranges, const std::string& domain) {
     std::vector<std::uint32_t> cover(engine.layers, 0);
     for (const ServerEntry& server : servers) {
@@ -295,12 +286,9 @@
   }
 };
 
-// Symptom: a failure domain refuses for two seconds, or sends all its requests over the pipe, when
-// one stage of its chain is lost. Sequence: the engines beside the chains form one long chain over
-// all domains, and each repair takes some of them out of it for good. Cause: no domain held any of
-// its ranges twice. Mean worth of five days with trouble or full load on four seeds: 0.731 before,
-// 0.751 with second holders.
-TEST(LayerPlans, EnginesBesideAChainHoldItsRangesAgain) {
+// Guards against a domain without second holders, which refuses requests or uses the inter-domain
+// link when one stage of its chain is lost.
+TEST(LayerPlans, EnginesBesideAChainBecomeSecondHolders) {
   AddServers(2, "fast", "u");
   AddServers(2, "middle", "u");
   AddServers(5, "slow", "u");
@@ -326,7 +314,7 @@
   CHECK_EQUAL(2, stood_in_for);
 }
 
-TEST(LayerPlans, EachDomainGetsAWholeChainOfItsFastest) {
+TEST(LayerPlans, EachDomainGetsAChainOfItsFastestEngines) {
   AddServers(1, "fast", "k");
   AddServers(3, "middle", "k");
   AddServers(8, "slow", "k");
@@ -347,7 +335,7 @@
   }
 }
 
-TEST(LayerPlans, AGroupWithMemoryForSeveralChainsFormsThem) {
+TEST(LayerPlans, SplitsALargeGroupIntoSeveralChains) {
   AddServers(2, "fast", "k");
   AddServers(9, "middle", "k");
   const auto ranges = LayerPlanner::PlanPool(engine, servers);
@@ -365,7 +353,7 @@
   CHECK_EQUAL(1U, LeastCover(ranges, ""));
 }
 
-TEST(LayerPlans, ALateEngineTakesWhatThePoolLacksMost) {
+TEST(LayerPlans, ALateEngineGetsTheRangeWithTheLeastCapacity) {
   const std::vector<ServerEntry> holders = {EngineServer("a", "fast", "k", {0, 40}),
                                             EngineServer("b", "fast", "k", {40, 80}),
                                             EngineServer("c", "fast", "k", {0, 40})};
