--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Engines hold what they were ordered to. */
+  /** Makes the engines hold the layers they were ordered to hold. */
   void CarryOut() {
     for (ServerEntry& server : servers) {
       const auto ordered = orders.placed.find(server.name);
@@ -71,7 +71,7 @@
   }
 };
 
-TEST(Placement, OrdersEachEngineOnceAndThenNothing) {
+TEST(Placement, OrdersEachEngineOnce) {
   Run(seconds(2));
   CarryOut();
   const int ordered = orders.count;
@@ -80,10 +80,8 @@
   CHECK_EQUAL(ordered, orders.count);
 }
 
-// Symptom: seconds without service after every restart of all instances. Sequence: all processes
-// end, engines keep their layers, a new holder plans the pool afresh. Cause: planning without
-// looking at what engines hold.
-TEST(Placement, ANewHolderLeavesEnginesThatHoldLayersAlone) {
+// Guards against replanning a pool whose engines still hold layers after all instances restart.
+TEST(Placement, ANewHolderKeepsTheLayersThatEnginesHold) {
   Run(seconds(2));
   CarryOut();
   orders.count = 0;
@@ -94,10 +92,9 @@
   CHECK_EQUAL(0, orders.count);
 }
 
-// Symptom: an engine holds layers that no route counts on. Sequence: a holder of the orders is
-// frozen with one on its way, another takes over and orders the same engine, the late order
-// arrives. Cause: the engine does not check fencing numbers, and the new holder did not wait.
-TEST(Placement, ANewHolderWaitsForOldOrdersWhereEnginesDoNotCheckFencing) {
+// Guards against a late order of the previous holder overriding one of the new holder on engines
+// that do not check fencing numbers.
+TEST(Placement, WithoutFencingANewHolderWaitsForOldOrders) {
   Run(seconds(2));
   CarryOut();
   placer->Stop();
@@ -116,7 +113,7 @@
   CHECK_TRUE(orders.count > 0);
 }
 
-TEST(Placement, AReplacementTakesTheRangeThatWasLeft) {
+TEST(Placement, AReplacementGetsTheRangeOfTheLostEngine) {
   Run(seconds(2));
   CarryOut();
   const LayerRange left = RangeOf("fast0");
@@ -126,10 +123,9 @@
   CHECK_TRUE(left == orders.placed["fast9"]);
 }
 
-// Symptom: refusals for eight seconds after several engines came back empty. Sequence: engines of
-// one kind crash together and start again under their registrations, in another order. Cause: each
-// took the first vacant range of its kind, and chains were cut into parts that no neighbour fits.
-TEST(Placement, EnginesThatStartAgainGetTheirOwnRangesBack) {
+// Guards against restarted engines swapping their ranges, which leaves chains with ranges that do
+// not fit together.
+TEST(Placement, RestartedEnginesGetTheirOwnRangesBack) {
   Run(seconds(2));
   CarryOut();
   Run(seconds(1));
@@ -138,7 +134,7 @@
   CHECK_TRUE(of_fast0 != of_fast1);
   for (ServerEntry& server : servers) {
     if (server.accelerator == "fast") {
-      // Sorted by name, the later starts come in the other order than the earlier ones.
+      // The names sort in the opposite order of the earlier ones.
       server.name = server.name == "fast0" ? "b-start" : "a-start";
       server.layers = {};
     }
@@ -149,9 +145,9 @@
   CHECK_TRUE(of_fast1 == orders.placed.at("a-start"));
 }
 
-// Symptom: a range without a holder for five seconds. Sequence: the store is away, an engine starts
-// again, and refuses what it does not hold. Cause: only entries that vanish counted as losses.
-TEST(Placement, AnEngineThatSaysItIsEmptyGetsItsRangeBackAtOnce) {
+// Guards against detecting a loss only by a missing entry: during a store outage a restarted engine
+// keeps its entry and reports no layers.
+TEST(Placement, AnEmptiedEngineGetsItsRangeBackAtOnce) {
   Run(seconds(2));
   CarryOut();
   Run(seconds(1));
@@ -164,9 +160,8 @@
   CHECK_TRUE(held == orders.placed["middle0"]);
 }
 
-// Symptom: a domain serves nothing until its lost engine is back. Sequence: an engine of the chain
-// is lost for good, slower ones hold spare ranges elsewhere. Cause: ranges left vacant.
-TEST(Placement, SlowerEnginesShareARangeThatStaysVacant) {
+// Guards against leaving a range uncovered until the lost engine is back.
+TEST(Placement, SlowerEnginesCoverAnUncoveredRange) {
   Run(seconds(2));
   CarryOut();
   const LayerRange left = RangeOf("middle0");
@@ -182,10 +177,8 @@
   CHECK_EQUAL(left.Count(), covered);
 }
 
-// Symptom: a failure domain serves nothing for the rest of the day. Sequence: the holder of the
-// orders is killed, an engine leaves, another instance becomes the holder. Cause: ranges counted as
-// vacant only by who saw their engine leave.
-TEST(Placement, AHolderThatDidNotSeeAnEngineLeaveFindsItsRangeMissing) {
+// Guards against missing ranges whose engine left while no instance held the order role.
+TEST(Placement, ANewHolderDetectsAnUncoveredRange) {
   Run(seconds(2));
   CarryOut();
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
@@ -205,8 +198,8 @@
   CHECK_EQUAL(80, std::count(held.begin(), held.end(), true));
 }
 
-// Symptom: loads that help nobody. Sequence: a new holder finds layers missing while an engine that
-// was ordered to hold them still loads. Cause: engines that hold nothing taken for idle.
+// Guards against covering layers that an engine is still loading on an order of the previous
+// holder.
 TEST(Placement, ANewHolderWaitsForAnEngineThatMayBeLoading) {
   Run(seconds(2));
   CarryOut();
@@ -226,10 +219,9 @@
   }
 }
 
-// Symptom: no lost range is given out for eight seconds. Sequence: the store goes away, the
-// holder's lease ends by its clock, an engine is lost. Cause: the lease taken for more than it is
-// where engines check fencing numbers and nobody can take over.
-TEST(Placement, TheHolderGoesOnWhileTheStoreIsAway) {
+// Guards against stopping at the end of the lease during a store outage, in which no other instance
+// can acquire the role and engines check fencing numbers.
+TEST(Placement, TheHolderContinuesDuringAStoreOutage) {
   settings.outage_grace = seconds(20);
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
@@ -245,11 +237,9 @@
   CHECK_FALSE(placer->HoldsRole());
 }
 
-// Symptom: nothing is placed for ten seconds of an outage of the store, while engines leave.
-// Sequence: engines do not check fencing numbers, the store goes away, the lease ends by the
-// holder's clock. Cause: the lease's end taken for a danger also when nobody can take over. Mean
-// worth of such a day, four seeds: 0.647 before, 0.653 so, which is within noise.
-TEST(Placement, WhereFencingIsNotCheckedTheHolderGoesOnWhileNobodyCanTakeOver) {
+// The same if engines do not check fencing numbers: the holder may continue only while no instance
+// can reach the store.
+TEST(Placement, WithoutFencingTheHolderContinuesWhileTheStoreServesNobody) {
   settings.outage_grace = seconds(20);
   settings.engines_check_fencing = false;
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
@@ -268,10 +258,8 @@
   CHECK_FALSE(orders.placed.empty());
 }
 
-// Symptom: two engines load the same range while another one lacks. Sequence: an engine is lost, a
-// new one is loading its range, and the lost one starts again. Cause: its own range given to it
-// though it is taken.
-TEST(Placement, AServerThatComesBackLeavesItsRangeToWhoLoadsIt) {
+// Guards against assigning a range to its restarted holder while a replacement is loading it.
+TEST(Placement, ARestartedServerDoesNotGetARangeThatAnotherLoads) {
   Run(seconds(2));
   CarryOut();
   Run(seconds(1));
@@ -287,10 +275,8 @@
   CHECK_FALSE(orders.placed.contains("fast0@later"));
 }
 
-// Symptom: one loss takes every spare of its domain. Sequence: spares are ordered to share a range;
-// until they have loaded, the range still shows no holder, and more are ordered at each tick.
-// Cause: what engines hold counted, not what they are to hold.
-TEST(Placement, ARangeIsSharedOutOnceWhileItsSparesLoad) {
+// Guards against assigning further spares to a range while the first ones are still loading it.
+TEST(Placement, ARangeIsAssignedToSparesOnlyOnce) {
   for (int index = 6; index < 8; ++index) {
     servers.push_back(EngineServer("slow" + std::to_string(index), "slow", "k"));
   }
@@ -313,11 +299,8 @@
   }
 }
 
-// Symptom: refusals for four seconds after an engine came back. Sequence: spares stand in for a
-// lost range; the engine comes back empty and is ordered to take its range, which it loads for
-// seconds; the spares are sent back in the same moment. Cause: a range that is to be held taken for
-// one that is.
-TEST(Placement, SparesStandInUntilTheRangeIsLoaded) {
+// Guards against releasing spares when the order is sent instead of when the range is loaded.
+TEST(Placement, SparesCoverARangeUntilItIsLoaded) {
   Run(seconds(2));
   CarryOut();
   Run(seconds(1));
@@ -335,7 +318,7 @@
   CHECK_EQUAL(1U, orders.placed.size());  // Only the range of the one that came back: it loads.
   CHECK_TRUE(lost.layers == orders.placed.at("middle0@later"));
 
-  // It is lost again before it has loaded: the spares go on, and the next one takes the range.
+  // The new holder is lost while loading: the spares stay, and the next engine gets the range.
   Lose("middle0@later");
   orders.placed.clear();
   Run(seconds(2));
@@ -353,10 +336,9 @@
   }
 }
 
-// Symptom: each loss leaves the pool with fewer holders of some layers, until a later one stops
-// all. Sequence: an engine crashes, slower ones take its range over, it comes back. Cause: they
-// stay where they are.
-TEST(Placement, SparesGoBackToWhatTheyHeld) {
+// Guards against spares that keep a repaired range, which reduces the holders of other layers with
+// each loss.
+TEST(Placement, SparesReturnToTheirPreviousLayers) {
   Run(seconds(2));
   CarryOut();
   Run(seconds(1));
@@ -399,10 +381,8 @@
   CHECK_FALSE(placer->HoldsRole());
 }
 
-// Symptom: the repair of one lost stage breaks the chain a second time. Sequence: the fastest
-// engine is lost; another engine of the chain, slower than it, is taken for its range. Cause: every
-// slower engine taken for a spare.
-TEST(Placement, TheRepairTakesNoEngineThatItsDomainNeeds) {
+// Guards against taking a slower engine of the broken chain as a spare.
+TEST(Placement, RepairDoesNotUseEnginesThatTheirDomainNeeds) {
   Run(seconds(2));
   CarryOut();
   Lose("fast0");
@@ -412,10 +392,8 @@
   CHECK_FALSE(orders.placed.contains("fast1"));
 }
 
-// Symptom: after one loss a second chain stops as well. Sequence: two chains of a domain hold all
-// layers each; one loses an engine, and the other's engine of the same kind is given its range.
-// Cause: every engine whose layers another one holds taken for a spare.
-TEST(Placement, TheRepairDoesNotMoveTheGapToAnotherChain) {
+// Guards against repairing one chain with an engine of another one.
+TEST(Placement, RepairDoesNotMoveTheGapToAnotherChain) {
   servers.clear();
   for (int index = 0; index < 4; ++index) {
     servers.push_back(EngineServer("fast" + std::to_string(index), "fast", "k"));
@@ -429,7 +407,7 @@
   CHECK_TRUE(orders.placed.empty());
 }
 
-TEST(Placement, AStalledEnginesRangeIsGivenOutBeforeItsEntryLapses) {
+TEST(Placement, TheRangeOfAStalledEngineIsCoveredBeforeItsEntryExpires) {
   Run(seconds(2));
   CarryOut();
   Run(milliseconds(100));
@@ -444,10 +422,8 @@
   CHECK_EQUAL(ordered, orders.count);
 }
 
-// Symptom: a chain stays broken though its lost engine is back. Sequence: an engine crashes, spares
-// share its range, it comes back and gets a range of another size. Cause: the vacancy forgotten
-// once spares had it.
-TEST(Placement, AnEngineThatComesBackTakesItsRangeFromTheSpares) {
+// Guards against forgetting an uncovered range once spares cover it.
+TEST(Placement, AReplacementGetsARangeThatSparesCover) {
   Run(seconds(2));
   CarryOut();
   const LayerRange left = RangeOf("middle0");
@@ -459,10 +435,8 @@
   CHECK_TRUE(left == orders.placed["middle9"]);
 }
 
-// Symptom: each replaced engine leaves its chain broken for seconds. Sequence: the new engine
-// comes, gets some range, then the old one drains. Cause: the new one's range chosen before the old
-// one's is free.
-TEST(Placement, ANewEngineWaitsAMomentForTheOneThatItReplaces) {
+// Guards against assigning a range to a new engine just before the engine that it replaces leaves.
+TEST(Placement, ANewEngineWaitsForTheEngineItReplaces) {
   Run(seconds(2));
   CarryOut();
   const LayerRange left = RangeOf("fast0");
@@ -474,7 +448,7 @@
   CHECK_TRUE(left == orders.placed["fast9"]);
 }
 
-TEST(Placement, ANewEngineThatReplacesNoneGetsARangeOfItsOwn) {
+TEST(Placement, AnAdditionalEngineGetsARange) {
   Run(seconds(2));
   CarryOut();
   servers.push_back(EngineServer("fast9", "fast", "k"));
