--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -35,7 +35,7 @@
   }
 };
 
-TEST(Spares, TheSlowestOfTheDomainShareTheRangeWhole) {
+TEST(Spares, TheSlowestEnginesOfTheDomainCoverTheWholeRange) {
   const auto shares = ShareOut();
   CHECK_EQUAL(4U, shares.size());  // Half of a slow engine's memory holds six layers.
   std::uint32_t layer = 40;
@@ -47,7 +47,7 @@
   CHECK_EQUAL(60U, layer);
 }
 
-TEST(Spares, BusyEnginesAndThoseOfOtherDomainsAreNotTaken) {
+TEST(Spares, BusyEnginesAndOtherDomainsAreNotUsed) {
   pool.busy = {"slow0"};
   const auto shares = ShareOut();
   CHECK_EQUAL(3U, shares.size());
@@ -58,11 +58,9 @@
   CHECK_TRUE(ShareOut().empty());  // Ten layers would be 0.81 of a slow engine's memory.
 }
 
-// Symptom: the fastest engine of a domain is ordered to five layers, and its own range has no
-// holder for the rest of the day. Sequence: spares that stand in for it are sent to another
-// vacancy, and in the same moment it counts as covered by them. Cause: what engines hold counted,
-// not what they are to hold.
-TEST(Spares, AnEngineIsNeededWhenItsStandInsAreToHoldSomethingElse) {
+// Guards against counting the layers that engines hold instead of those they are assigned: here the
+// slow engines leave the range of the fast one.
+TEST(Spares, AnEngineIsNeededIfItsSparesAreReassigned) {
   pool.extras = {"fast"};
   for (ServerEntry& engine : pool.engines) {
     if (engine.accelerator == "slow" && engine.failure_domain == "k") {
@@ -73,7 +71,7 @@
   CHECK_TRUE(ShareOut().empty());
 }
 
-TEST(Spares, AnExtraOfTheSameKindTakesTheRangeAlone) {
+TEST(Spares, AnExtraOfTheSameKindCoversTheRangeAlone) {
   pool.engines.push_back(EngineServer("extra", "middle", "k", {60, 70}));
   pool.extras = {"extra"};
   const auto shares = ShareOut();
@@ -82,7 +80,7 @@
   CHECK_TRUE(shares[0].layers == left.layers);
 }
 
-TEST(Spares, LayersWithLittleRoomAreLackingLikeThoseWithout) {
+TEST(Spares, LayersWithLittleCapacityAreShortages) {
   const DomainCapacity room(profile, "k", pool.engines);
   const auto lacking = room.FindShortages({0, 80});
   CHECK_EQUAL(1U, lacking.size());
