--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -31,7 +31,7 @@
   RecoveryChooser chooser{time, finder, loads, health};
   GenerationSize size{774, 200};
 
-  /** Two failure domains with a chain each; the lost x2 is held again by slower engines. */
+  /** Two failure domains with a chain each. Slower engines also hold the range of the lost x2. */
   std::vector<ServerEntry> servers = {
       EngineServer("x1", "fast", "x", {0, 40}),    EngineServer("xs1", "slow", "x", {40, 50}),
       EngineServer("xs2", "slow", "x", {50, 60}),  EngineServer("xs3", "slow", "x", {60, 70}),
@@ -45,21 +45,19 @@
   }
 };
 
-// Symptom: streams that went round a lost server by slow engines stand still for 440 ms, where 200
-// ms were expected. Sequence: the engines read in pieces of 512 tokens and run four steps of their
-// other streams after each. Cause: only the reading counted.
-TEST(Recovery, AnEngineThatWritesReadsBetweenItsSteps) {
+// Guards against underestimating prefill times by leaving out the generation steps between passes.
+TEST(Recovery, PrefillTimeIncludesGenerationSteps) {
   EngineProfile engine = MixedEngine();
   const AcceleratorProfile& slow = engine.accelerators.at("slow");
   const double alone = PrefillMsPerTokenLayer(engine, slow);
   engine.steps_per_pass = 4;
   engine.read_tokens_per_pass = 512;
   const double beside_steps = PrefillMsPerTokenLayer(engine, slow);
-  // Four steps of 16.3 ms over all layers for 512 tokens that take 40 ms.
+  // Four steps take 65.3 ms over all layers, the prefill of 512 tokens 40 ms.
   DOUBLES_EQUAL(alone * (40.0 + 65.3) / 40.0, beside_steps, alone * 0.01);
 }
 
-TEST(Recovery, BacklogsAddUpAndPass) {
+TEST(Recovery, BacklogAddsUpAndDrains) {
   ReadingBacklog backlog(time);
   backlog.Add("s", 40);
   backlog.Add("s", 20);
@@ -72,11 +70,9 @@
   DOUBLES_EQUAL(5, backlog.WaitMs("s"), 0.01);
 }
 
-// Symptom: all eighty streams of a lost server stand still for half a second, where 200 ms are
-// allowed. Sequence: each keeps its first server and goes round the gap by the same spare holders,
-// which read one stream's tokens after the other's. Cause: what the others cause is not seen.
-// Median pause after a crash at full load: 506 ms before, 215 ms when spread (82 and 96 streams).
-TEST(Recovery, StreamsOfALostServerAreSpreadByWhoHasReadFirst) {
+// Guards against all streams of a lost server using the same replacement and waiting there for each
+// other's prefill.
+TEST(Recovery, StreamsOfALostServerAreSpreadByExpectedPause) {
   constexpr int kStreams = 20;
   std::map<bool, int> kept;
   std::vector<double> pauses;
@@ -89,7 +85,7 @@
   CHECK_TRUE(kept[true] >= kStreams / 5);
   CHECK_TRUE(kept[false] >= kStreams / 5);
 
-  // Each keeping its first server would take the slow engines 8 ms a stream, the last one 150 ms.
+  // For comparison, all streams keep their first server and queue at the slow engines.
   RecoveryChooser alone(time, finder, loads, health);
   double last = 0;
   for (int stream = 0; stream < kStreams; ++stream) {
@@ -98,10 +94,9 @@
   CHECK_TRUE(*std::max_element(pauses.begin(), pauses.end()) < 0.75 * last);
 }
 
-// Symptom: the wait for first tokens doubles everywhere while streams are moved. Sequence: a stage
-// is lost whose range no other engine of its failure domain holds. Cause: all tokens of its streams
-// sent over the pipe, 13 ms for each stream, though its whole path could be elsewhere.
-TEST(Recovery, NothingIsSentOverThePipe) {
+// Guards against rerouting streams over the inter-domain link, which delays the first events of
+// other requests.
+TEST(Recovery, DoesNotUseTheInterDomainLink) {
   std::erase_if(servers, [](const ServerEntry& server) { return server.name == "xs2"; });
   CHECK_FALSE(Choose(false).has_value());
   const auto recovery = Choose(true);
