--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-double RecoveryChooser::ReadingMs(const ForwardingView& view,
+double RecoveryChooser::PrefillMs(const ForwardingView& view,
                                   const EngineProfile& engine,
                                   const GenerationSize& size,
                                   const PathPart& part) const {
@@ -68,7 +68,7 @@
     if (Keeps(kept, part)) {
       continue;
     }
-    const double reading = ReadingMs(view, engine, size, part);
+    const double reading = PrefillMs(view, engine, size, part);
     longest = std::max(longest, m_backlog.WaitMs(part.server) + reading);
     sum += reading;
   }
@@ -110,7 +110,7 @@
     const double instances = 1.0 + m_loads.OthersShare();
     for (const PathPart& part : best->found.path) {
       if (!best->keeps_first || !Keeps(present, part)) {
-        m_backlog.Add(part.server, ReadingMs(view, engine, size, part) * instances);
+        m_backlog.Add(part.server, PrefillMs(view, engine, size, part) * instances);
       }
     }
   }
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -61,7 +61,7 @@
                 const LayerPath& kept,
                 std::optional<FoundPath> found,
                 std::optional<RecoveryPath>& best) const;
-  double ReadingMs(const ForwardingView& view,
+  double PrefillMs(const ForwardingView& view,
                    const EngineProfile& engine,
                    const GenerationSize& size,
                    const PathPart& part) const;
