--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -111,14 +111,14 @@
       m_assignments.erase(assigned);
     }
     // The range of a stalled engine was already recorded when it stalled.
-    bool known_vacant = m_stalled.erase(name) > 0;
+    bool already_recorded = m_stalled.erase(name) > 0;
     for (UncoveredRange& vacancy : m_uncovered) {
       if (vacancy.assigned_to == name) {
         vacancy.assigned_to.reset();
-        known_vacant = true;
+        already_recorded = true;
       }
     }
-    if (left.layers.Count() > 0 && !known_vacant) {
+    if (left.layers.Count() > 0 && !already_recorded) {
       m_uncovered.push_back({std::move(left), m_parts.clock.Now(), {}});
     }
     m_layers_before_repair.erase(name);
