--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -151,8 +151,8 @@
   const bool any_holds = std::any_of(servers.begin(), servers.end(), [](const ServerEntry& server) {
     return server.layers.Count() > 0;
   });
-  if (servers.size() != m_last_count) {
-    m_last_count = servers.size();
+  if (servers.size() != m_last_server_count) {
+    m_last_server_count = servers.size();
     m_last_change = m_parts.clock.Now();
   }
   return any_holds || m_parts.clock.Now() - m_last_change >= kSettleTime;
