--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -153,9 +153,9 @@
   });
   if (servers.size() != m_last_server_count) {
     m_last_server_count = servers.size();
-    m_last_change = m_parts.clock.Now();
+    m_server_count_changed_at = m_parts.clock.Now();
   }
-  return any_holds || m_parts.clock.Now() - m_last_change >= kSettleTime;
+  return any_holds || m_parts.clock.Now() - m_server_count_changed_at >= kSettleTime;
 }
 
 bool LayerPlacer::IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -127,7 +127,7 @@
   /** Stalled engines that are still in the view and whose ranges count as uncovered. */
   std::set<BackendServerName> m_stalled;
   std::size_t m_last_server_count = 0;
-  TimePoint m_last_change{};
+  TimePoint m_server_count_changed_at{};
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
