--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -22,10 +22,10 @@
   return found == profile.accelerators.end() ? 0.0 : found->second.step_factor;
 }
 
-bool IsWorthTaking(const EngineProfile& profile,
-                   const SparePool& pool,
-                   const ServerEntry& left,
-                   const ServerEntry& engine) {
+bool IsCandidate(const EngineProfile& profile,
+                 const SparePool& pool,
+                 const ServerEntry& left,
+                 const ServerEntry& engine) {
   const bool is_slower = StepFactor(profile, engine) > StepFactor(profile, left);
   return engine.failure_domain == left.failure_domain && engine.layers.Count() > 0 &&
          !pool.busy.contains(engine.name) && (is_slower || pool.extras.contains(engine.name));
@@ -34,7 +34,7 @@
 Spares SparesFor(const EngineProfile& profile, const SparePool& pool, const ServerEntry& left) {
   Spares candidates;
   for (const ServerEntry& engine : pool.engines) {
-    if (IsWorthTaking(profile, pool, left, engine)) {
+    if (IsCandidate(profile, pool, left, engine)) {
       candidates.push_back(&engine);
     }
   }
