--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -80,16 +80,16 @@
              EngineServer("c", "slow", "x", {20, 30}), EngineServer("d", "fast", "x", {30, 60}),
              EngineServer("e", "middle", "x", {60, 80})};
   const double tokens = size.prompt_tokens + size.answer_tokens;
-  const double room_for_layers = 25;
+  const double layers_that_fit = 25;
   constexpr double kMaxReservedShare = 1.08;
   const double capacity = TokenLayerCapacity(MixedEngine(), servers[0]) * kMaxReservedShare;
-  loads.Add("a", capacity - tokens * room_for_layers);
+  loads.Add("a", capacity - tokens * layers_that_fit);
   const auto found = finder.Find(ViewOf(servers), "pool", size, "x", {});
   CHECK_TRUE(found.has_value());
   std::set<BackendServerName> seen;
   for (const PathPart& part : found->path) {
     CHECK_TRUE(seen.insert(part.server).second);
-    CHECK_TRUE(part.server != "a" || part.layers.Count() <= room_for_layers);
+    CHECK_TRUE(part.server != "a" || part.layers.Count() <= layers_that_fit);
   }
 }
 
