--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -307,11 +307,11 @@
     }
   }
   CHECK_EQUAL(50, std::count(held_again.begin(), held_again.end(), true));
-  const auto stood_in_for = std::count_if(stages.begin(), stages.end(), [&](const auto& stage) {
+  const auto covered_stages = std::count_if(stages.begin(), stages.end(), [&](const auto& stage) {
     return std::all_of(held_again.begin() + stage.first, held_again.begin() + stage.end,
                        [](bool held) { return held; });
   });
-  CHECK_EQUAL(2, stood_in_for);
+  CHECK_EQUAL(2, covered_stages);
 }
 
 TEST(LayerPlans, EachDomainGetsAChainOfItsFastestEngines) {
