--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -271,7 +271,7 @@
 
   /** Returns the smallest number of holders of any layer in a domain, or in all if `domain` is
       empty. */
-  std::uint32_t LeastCover(const LayerPlanner::Ranges& ranges, const std::string& domain) {
+  std::uint32_t MinHolders(const LayerPlanner::Ranges& ranges, const std::string& domain) {
     std::vector<std::uint32_t> cover(engine.layers, 0);
     for (const ServerEntry& server : servers) {
       const auto range = ranges.find(server.name);
@@ -326,10 +326,10 @@
   AddServers(5, "slow", "u");
   const auto ranges = LayerPlanner::PlanPool(engine, servers);
   CheckFits(ranges);
-  CHECK_EQUAL(2U, LeastCover(ranges, "k"));  // Its eight slow engines hold a whole copy.
-  CHECK_EQUAL(1U, LeastCover(ranges, "m"));
-  CHECK_EQUAL(1U, LeastCover(ranges, "u"));
-  CHECK_EQUAL(5U, LeastCover(ranges, ""));
+  CHECK_EQUAL(2U, MinHolders(ranges, "k"));  // Its eight slow engines hold a whole copy.
+  CHECK_EQUAL(1U, MinHolders(ranges, "m"));
+  CHECK_EQUAL(1U, MinHolders(ranges, "u"));
+  CHECK_EQUAL(5U, MinHolders(ranges, ""));
   for (const ServerEntry& server : servers) {
     CHECK_TRUE(ranges.contains(server.name));
   }
@@ -340,7 +340,7 @@
   AddServers(9, "middle", "k");
   const auto ranges = LayerPlanner::PlanPool(engine, servers);
   CheckFits(ranges);
-  CHECK_EQUAL(2U, LeastCover(ranges, "k"));
+  CHECK_EQUAL(2U, MinHolders(ranges, "k"));
   CHECK_EQUAL(11U, ranges.size());
 }
 
@@ -350,7 +350,7 @@
   AddServers(1, "fast", "u");
   const auto ranges = LayerPlanner::PlanPool(engine, servers);
   CheckFits(ranges);
-  CHECK_EQUAL(1U, LeastCover(ranges, ""));
+  CHECK_EQUAL(1U, MinHolders(ranges, ""));
 }
 
 TEST(LayerPlans, ALateEngineGetsTheRangeWithTheLeastCapacity) {
