--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -48,7 +48,7 @@
   }
 
   /** Makes the engines hold the layers they were ordered to hold. */
-  void CarryOut() {
+  void ApplyOrders() {
     for (ServerEntry& server : servers) {
       const auto ordered = orders.placed.find(server.name);
       if (ordered != orders.placed.end()) {
@@ -73,7 +73,7 @@
 
 TEST(Placement, OrdersEachEngineOnce) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const int ordered = orders.count;
   CHECK_TRUE(ordered >= 3);
   Run(seconds(20));
@@ -83,7 +83,7 @@
 // Guards against replanning a pool whose engines still hold layers after all instances restart.
 TEST(Placement, ANewHolderKeepsTheLayersThatEnginesHold) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   orders.count = 0;
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
@@ -96,7 +96,7 @@
 // that do not check fencing numbers.
 TEST(Placement, WithoutFencingANewHolderWaitsForOldOrders) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   placer->Stop();
   store.Erase(OrderRole::LeaseKeyOf("pool"));
   settings.engines_check_fencing = false;
@@ -115,7 +115,7 @@
 
 TEST(Placement, AReplacementGetsTheRangeOfTheLostEngine) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const LayerRange left = RangeOf("fast0");
   Lose("fast0");
   servers.push_back(EngineServer("fast9", "fast", "k"));
@@ -127,7 +127,7 @@
 // not fit together.
 TEST(Placement, RestartedEnginesGetTheirOwnRangesBack) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const LayerRange of_fast0 = RangeOf("fast0");
   const LayerRange of_fast1 = RangeOf("fast1");
@@ -149,7 +149,7 @@
 // keeps its entry and reports no layers.
 TEST(Placement, AnEmptiedEngineGetsItsRangeBackAtOnce) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const LayerRange held = RangeOf("middle0");
   orders.placed.clear();
@@ -163,7 +163,7 @@
 // Guards against leaving a range uncovered until the lost engine is back.
 TEST(Placement, SlowerEnginesCoverAnUncoveredRange) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const LayerRange left = RangeOf("middle0");
   Lose("middle0");
   orders.placed.clear();
@@ -180,7 +180,7 @@
 // Guards against missing ranges whose engine left while no instance held the order role.
 TEST(Placement, ANewHolderDetectsAnUncoveredRange) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   store.records.clear();
@@ -188,7 +188,7 @@
   orders.placed.clear();
   Run(seconds(4));
   CHECK_FALSE(orders.placed.empty());
-  CarryOut();
+  ApplyOrders();
   std::vector<bool> held(80, false);
   for (const ServerEntry& server : servers) {
     for (std::uint32_t layer = server.layers.first; layer < server.layers.end; ++layer) {
@@ -202,7 +202,7 @@
 // holder.
 TEST(Placement, ANewHolderWaitsForAnEngineThatMayBeLoading) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   store.records.clear();
@@ -226,7 +226,7 @@
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   store.failure = ErrorKind::kStoreUnavailable;
   Run(settings.lease + seconds(2));
   Lose("middle0");
@@ -245,7 +245,7 @@
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   store.failure = ErrorKind::kStoreUnavailable;
   placer->NoteStoreServesOthers(true);
   Run(settings.lease + seconds(2));
@@ -261,7 +261,7 @@
 // Guards against assigning a range to its restarted holder while a replacement is loading it.
 TEST(Placement, ARestartedServerDoesNotGetARangeThatAnotherLoads) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const ServerEntry lost = servers[0];
   Lose("fast0");
@@ -281,7 +281,7 @@
     servers.push_back(EngineServer("slow" + std::to_string(index), "slow", "k"));
   }
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const LayerRange lost = RangeOf("middle0");
   Lose("middle0");
@@ -302,13 +302,13 @@
 // Guards against releasing spares when the order is sent instead of when the range is loaded.
 TEST(Placement, SparesCoverARangeUntilItIsLoaded) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const ServerEntry lost = servers[2];
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const std::map<std::string, LayerRange> taken_over = orders.placed;
   servers.push_back(lost);
   servers.back().name = "middle0@later";
@@ -327,7 +327,7 @@
   servers.back().name = "middle0@last";
   servers.back().layers = {};
   Run(seconds(1));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   CHECK_TRUE(lost.layers == RangeOf("middle0@last"));
   for (const auto& [name, range] : taken_over) {
@@ -340,7 +340,7 @@
 // each loss.
 TEST(Placement, SparesReturnToTheirPreviousLayers) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   std::map<std::string, LayerRange> before;
   for (const ServerEntry& server : servers) {
@@ -356,14 +356,14 @@
   for (const auto& [name, range] : taken_over) {
     CHECK_TRUE(range != before.at(name));
   }
-  CarryOut();
+  ApplyOrders();
   servers.push_back(lost);
   servers.back().name = "middle0@later";
   servers.back().layers = {};
   Run(seconds(1));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
-  CarryOut();
+  ApplyOrders();
   CHECK_TRUE(before.at("middle0") == RangeOf("middle0@later"));
   for (const auto& [name, range] : taken_over) {
     CHECK_TRUE(before.at(name) == RangeOf(name));
@@ -384,7 +384,7 @@
 // Guards against taking a slower engine of the broken chain as a spare.
 TEST(Placement, RepairDoesNotUseEnginesThatTheirDomainNeeds) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Lose("fast0");
   orders.placed.clear();
   Run(seconds(2));
@@ -400,7 +400,7 @@
     servers.push_back(EngineServer("middle" + std::to_string(index), "middle", "k"));
   }
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(3));
@@ -409,14 +409,14 @@
 
 TEST(Placement, TheRangeOfAStalledEngineIsCoveredBeforeItsEntryExpires) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(milliseconds(100));
   orders.placed.clear();
   placer->NoteStalled("middle0");
   Run(seconds(1));
   CHECK_FALSE(orders.placed.empty());
   const int ordered = orders.count;
-  CarryOut();
+  ApplyOrders();
   Lose("middle0");
   Run(seconds(3));
   CHECK_EQUAL(ordered, orders.count);
@@ -425,11 +425,11 @@
 // Guards against forgetting an uncovered range once spares cover it.
 TEST(Placement, AReplacementGetsARangeThatSparesCover) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const LayerRange left = RangeOf("middle0");
   Lose("middle0");
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   servers.push_back(EngineServer("middle9", "middle", "k"));
   Run(seconds(1));
   CHECK_TRUE(left == orders.placed["middle9"]);
@@ -438,7 +438,7 @@
 // Guards against assigning a range to a new engine just before the engine that it replaces leaves.
 TEST(Placement, ANewEngineWaitsForTheEngineItReplaces) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const LayerRange left = RangeOf("fast0");
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(milliseconds(500));
@@ -450,7 +450,7 @@
 
 TEST(Placement, AnAdditionalEngineGetsARange) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(seconds(2));
   CHECK_TRUE(orders.placed.contains("fast9"));
