--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -24,24 +24,24 @@
 
 bool IsCandidate(const EngineProfile& profile,
                  const SparePool& pool,
-                 const ServerEntry& left,
+                 const ServerEntry& lost,
                  const ServerEntry& engine) {
-  const bool is_slower = StepFactor(profile, engine) > StepFactor(profile, left);
-  return engine.failure_domain == left.failure_domain && engine.layers.Count() > 0 &&
+  const bool is_slower = StepFactor(profile, engine) > StepFactor(profile, lost);
+  return engine.failure_domain == lost.failure_domain && engine.layers.Count() > 0 &&
          !pool.busy.contains(engine.name) && (is_slower || pool.extras.contains(engine.name));
 }
 
-Spares SparesFor(const EngineProfile& profile, const SparePool& pool, const ServerEntry& left) {
+Spares SparesFor(const EngineProfile& profile, const SparePool& pool, const ServerEntry& lost) {
   Spares candidates;
   for (const ServerEntry& engine : pool.engines) {
-    if (IsCandidate(profile, pool, left, engine)) {
+    if (IsCandidate(profile, pool, lost, engine)) {
       candidates.push_back(&engine);
     }
   }
   std::stable_sort(candidates.begin(), candidates.end(), [&](const auto* one, const auto* other) {
     return StepFactor(profile, *one) > StepFactor(profile, *other);
   });
-  DomainCapacity room(profile, left.failure_domain, pool.engines);
+  DomainCapacity room(profile, lost.failure_domain, pool.engines);
   std::erase_if(candidates, [&](const ServerEntry* engine) {
     const bool is_needed = !room.CanSpare(*engine);
     if (!is_needed) {
@@ -56,11 +56,11 @@
 
 std::vector<SpareShare> SpareChooser::DivideRange(const EngineProfile& profile,
                                                   const SparePool& pool,
-                                                  const ServerEntry& left,
+                                                  const ServerEntry& lost,
                                                   const LayerRange& missing) {
-  Spares spares = SparesFor(profile, pool, left);
+  Spares spares = SparesFor(profile, pool, lost);
   const auto alike = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
-    return spare->accelerator == left.accelerator;
+    return spare->accelerator == lost.accelerator;
   });
   const bool alone = alike != spares.end();
   if (alone) {
