--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -59,12 +59,12 @@
                                                   const ServerEntry& lost,
                                                   const LayerRange& missing) {
   Spares spares = SparesFor(profile, pool, lost);
-  const auto alike = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
+  const auto same_kind = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
     return spare->accelerator == lost.accelerator;
   });
-  const bool alone = alike != spares.end();
+  const bool alone = same_kind != spares.end();
   if (alone) {
-    spares = {*alike};
+    spares = {*same_kind};
   }
   if (spares.empty()) {
     return {};
