--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -62,8 +62,8 @@
   const auto same_kind = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
     return spare->accelerator == lost.accelerator;
   });
-  const bool alone = same_kind != spares.end();
-  if (alone) {
+  const bool covers_alone = same_kind != spares.end();
+  if (covers_alone) {
     spares = {*same_kind};
   }
   if (spares.empty()) {
@@ -71,8 +71,8 @@
   }
   const double weights = missing.Count() * profile.layer_mb;
   const double memory = profile.accelerators.at(spares.front()->accelerator).memory_mb;
-  const double usual = memory * (alone ? kWholeMemory : kUsualWeightShare);
-  const double most = memory * (alone ? kWholeMemory : kMostWeightShare);
+  const double usual = memory * (covers_alone ? kWholeMemory : kUsualWeightShare);
+  const double most = memory * (covers_alone ? kWholeMemory : kMostWeightShare);
   const auto wanted = static_cast<std::size_t>(std::ceil(weights / usual));
   const std::size_t count = std::min(wanted, spares.size());
   if (weights > static_cast<double>(count) * most) {
