--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -41,11 +41,11 @@
   std::stable_sort(candidates.begin(), candidates.end(), [&](const auto* one, const auto* other) {
     return StepFactor(profile, *one) > StepFactor(profile, *other);
   });
-  DomainCapacity room(profile, lost.failure_domain, pool.engines);
+  DomainCapacity capacity(profile, lost.failure_domain, pool.engines);
   std::erase_if(candidates, [&](const ServerEntry* engine) {
-    const bool is_needed = !room.CanSpare(*engine);
+    const bool is_needed = !capacity.CanSpare(*engine);
     if (!is_needed) {
-      room.Remove(*engine);
+      capacity.Remove(*engine);
     }
     return is_needed;
   });
