--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -179,10 +179,10 @@
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> still;
   const std::vector<ServerEntry> planned = WithPlannedLayers(servers);
   for (const auto& [domain, empty_engine] : has_empty) {
-    const DomainCapacity room(engine, domain, planned);
+    const DomainCapacity capacity(engine, domain, planned);
     // A domain that holds few layers forms chains with other domains.
-    const auto gaps = room.IsMostlyUncovered() ? std::vector<LayerRange>()
-                                               : room.FindShortages({0, engine.layers});
+    const auto gaps = capacity.IsMostlyUncovered() ? std::vector<LayerRange>()
+                                                   : capacity.FindShortages({0, engine.layers});
     for (const LayerRange& gap : gaps) {
       if (IsUncovered(domain, gap)) {
         continue;
@@ -287,9 +287,9 @@
       continue;
     }
     // Layers that other engines of the failure domain hold with enough capacity need no spares.
-    const DomainCapacity room(engine, vacancy.last_holder.failure_domain,
-                              WithPlannedLayers(servers));
-    for (const LayerRange& missing : room.FindShortages(vacancy.last_holder.layers)) {
+    const DomainCapacity capacity(engine, vacancy.last_holder.failure_domain,
+                                  WithPlannedLayers(servers));
+    for (const LayerRange& missing : capacity.FindShortages(vacancy.last_holder.layers)) {
       CoverWithSpares(vacancy, missing, engine, servers);
     }
   }
