--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -176,7 +176,7 @@
     const bool is_empty = server.layers.Count() == 0;
     has_empty[server.failure_domain] = has_empty[server.failure_domain] || is_empty;
   }
-  std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> still;
+  std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> remaining_gaps;
   const std::vector<ServerEntry> planned = WithPlannedLayers(servers);
   for (const auto& [domain, empty_engine] : has_empty) {
     const DomainCapacity capacity(engine, domain, planned);
@@ -191,7 +191,7 @@
       const auto known = m_gaps_since.find(key);
       const TimePoint since = known == m_gaps_since.end() ? now : known->second;
       if (now - since < (empty_engine ? kGapDelayWithEmptyEngine : kGapDelay)) {
-        still[key] = since;
+        remaining_gaps[key] = since;
         continue;
       }
       ServerEntry left;
@@ -204,7 +204,7 @@
       m_uncovered.push_back({std::move(left), now, {}});
     }
   }
-  m_gaps_since = std::move(still);
+  m_gaps_since = std::move(remaining_gaps);
 }
 
 /** Assigns uncovered ranges to restarted or new engines, also if spares cover them. Restarted
