--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -179,15 +179,15 @@
 /** Returns the token capacity of each layer over all holders. */
 std::vector<double> CapacityByLayer(const EngineProfile& engine,
                                     const std::vector<ServerEntry>& holders) {
-  std::vector<double> room(engine.layers, 0.0);
+  std::vector<double> capacity(engine.layers, 0.0);
   for (const ServerEntry& holder : holders) {
     const std::uint32_t count = holder.layers.Count();
     for (std::uint32_t layer = holder.layers.first;
          count > 0 && layer < std::min(holder.layers.end, engine.layers); ++layer) {
-      room[layer] += TokenLayerCapacity(engine, holder) / count;
+      capacity[layer] += TokenLayerCapacity(engine, holder) / count;
     }
   }
-  return room;
+  return capacity;
 }
 
 }  // namespace
@@ -265,7 +265,7 @@
   }
   const auto usual = static_cast<std::uint32_t>(most * kLateEngineWeightShare);
   const std::uint32_t count = std::clamp(usual, 1U, most);
-  const std::vector<double> room = CapacityByLayer(engine, holders);
+  const std::vector<double> capacity = CapacityByLayer(engine, holders);
   std::set<std::uint32_t> starts = {0, engine.layers - count};
   for (const ServerEntry& holder : holders) {
     if (holder.layers.Count() == 0) {
@@ -279,7 +279,7 @@
   for (const std::uint32_t start : starts) {
     double needed = 0.0;
     for (std::uint32_t layer = start; layer < start + count; ++layer) {
-      needed += 1.0 / (1.0 + room[layer]);
+      needed += 1.0 / (1.0 + capacity[layer]);
     }
     if (needed > most_needed) {
       most_needed = needed;
