--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -19,7 +19,7 @@
 
 using Candidate = PathFinder::Candidate;
 
-constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr double kUnreachable = std::numeric_limits<double>::infinity();
 constexpr double kBytesPerMegabyte = 1e6;
 constexpr double kTokensPerThousand = 1'000.0;
 
@@ -73,7 +73,7 @@
 constexpr double kFailurePenalty = 9.0;
 
 struct Step {
-  double cost = kNever;
+  double cost = kUnreachable;
   std::size_t from_boundary = 0;
   std::size_t from_domain = 0;
   const Candidate* server = nullptr;
@@ -142,7 +142,7 @@
                             const GenerationSize& size,
                             double link_use) {
   if (link_use > kMaxLinkUse) {
-    return kNever;
+    return kUnreachable;
   }
   return size.answer_tokens * kInterDomainHopMs + kCrossingPenaltyMs +
          LinkTransferMs(engine, size) / (1.0 - link_use);
@@ -173,7 +173,7 @@
 
 void Search::Relax(std::size_t boundary, std::size_t domain, bool whole_ranges_only) {
   const double so_far = At(boundary, domain).cost;
-  if (so_far == kNever) {
+  if (so_far == kUnreachable) {
     return;
   }
   const std::uint32_t from = m_boundaries[boundary];
@@ -235,7 +235,7 @@
   }
   FoundPath found;
   found.expected_ms = At(boundary, domain).cost;
-  if (found.expected_ms == kNever) {
+  if (found.expected_ms == kUnreachable) {
     return std::nullopt;
   }
   while (boundary > 0) {
