--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -418,17 +418,17 @@
     return std::nullopt;
   }
   const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_near, has_connection);
-  SearchSpace few = space;
+  SearchSpace sampled = space;
   std::set<std::size_t> domains;
   for (std::size_t first = 0; first < firsts.size(); ++first) {
-    few.candidates[firsts[first]].can_start_request = drawn[first];
+    sampled.candidates[firsts[first]].can_start_request = drawn[first];
     if (drawn[first]) {
-      domains.insert(few.candidates[firsts[first]].domain);
+      domains.insert(sampled.candidates[firsts[first]].domain);
     }
   }
-  std::erase_if(few.candidates,
+  std::erase_if(sampled.candidates,
                 [&](const Candidate& candidate) { return !domains.contains(candidate.domain); });
-  return few;
+  return sampled;
 }
 
 std::optional<FoundPath> PathFinder::SearchPath(const ForwardingView& view,
