--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -68,9 +68,9 @@
     if (Keeps(kept, part)) {
       continue;
     }
-    const double reading = PrefillMs(view, engine, size, part);
-    longest = std::max(longest, m_backlog.WaitMs(part.server) + reading);
-    sum += reading;
+    const double prefill_ms = PrefillMs(view, engine, size, part);
+    longest = std::max(longest, m_backlog.WaitMs(part.server) + prefill_ms);
+    sum += prefill_ms;
   }
   const bool keeps_first = !kept.empty();
   const double pause = longest + sum * kUnoverlappedPrefill + (keeps_first ? 0.0 : kRestartMs);
