--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -81,8 +81,8 @@
 }
 
 TEST(Spares, LayersWithLittleCapacityAreShortages) {
-  const DomainCapacity room(profile, "k", pool.engines);
-  const auto lacking = room.FindShortages({0, 80});
+  const DomainCapacity capacity(profile, "k", pool.engines);
+  const auto lacking = capacity.FindShortages({0, 80});
   CHECK_EQUAL(1U, lacking.size());
   CHECK_TRUE((lacking[0] == LayerRange{40, 60}));
   pool.engines.push_back(
