--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -87,10 +87,10 @@
   CHECK_TRUE((lacking[0] == LayerRange{40, 60}));
   pool.engines.push_back(
       EngineServer("full", "slow", "k", {40, 52}));  // Its memory is all weights.
-  const DomainCapacity little(profile, "k", pool.engines);
-  CHECK_TRUE((little.FindShortages({0, 80}).front() == LayerRange{40, 60}));
-  CHECK_FALSE(little.CanSpare(Engine("middle")));
-  CHECK_TRUE(little.CanSpare(Engine("slow0")));
+  const DomainCapacity with_full_engine(profile, "k", pool.engines);
+  CHECK_TRUE((with_full_engine.FindShortages({0, 80}).front() == LayerRange{40, 60}));
+  CHECK_FALSE(with_full_engine.CanSpare(Engine("middle")));
+  CHECK_TRUE(with_full_engine.CanSpare(Engine("slow0")));
   CHECK_TRUE(DomainCapacity(profile, "empty", pool.engines).IsMostlyUncovered());
 }
 
