--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -360,8 +360,8 @@
     return FoundPath{{*first}, 0.0};
   }
   if (!first && !constraints.only_domain) {
-    const auto few = SampleFirstServers(space);
-    auto found = few ? SearchPath(view, engine, size, *few, first) : std::nullopt;
+    const auto sampled = SampleFirstServers(space);
+    auto found = sampled ? SearchPath(view, engine, size, *sampled, first) : std::nullopt;
     if (found) {
       return found;
     }
