--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -105,9 +105,9 @@
       continue;
     }
     const auto assigned = m_assignments.find(name);
-    ServerEntry left = server;
+    ServerEntry last_holder = server;
     if (assigned != m_assignments.end()) {
-      left.layers = assigned->second.layers;
+      last_holder.layers = assigned->second.layers;
       m_assignments.erase(assigned);
     }
     // The range of a stalled engine was already recorded when it stalled.
@@ -118,8 +118,8 @@
         already_recorded = true;
       }
     }
-    if (left.layers.Count() > 0 && !already_recorded) {
-      m_uncovered.push_back({std::move(left), m_parts.clock.Now(), {}});
+    if (last_holder.layers.Count() > 0 && !already_recorded) {
+      m_uncovered.push_back({std::move(last_holder), m_parts.clock.Now(), {}});
     }
     m_layers_before_repair.erase(name);
     m_extras.erase(name);
@@ -194,14 +194,14 @@
         remaining_gaps[key] = since;
         continue;
       }
-      ServerEntry left;
-      left.service = m_service;
-      left.failure_domain = domain;
-      left.layers = gap;
+      ServerEntry last_holder;
+      last_holder.service = m_service;
+      last_holder.failure_domain = domain;
+      last_holder.layers = gap;
       m_logger.Log(LogLevel::kInfo, "layers_missing",
                    {{"failure_domain", domain},
                     {"layers", std::to_string(gap.first) + "-" + std::to_string(gap.end)}});
-      m_uncovered.push_back({std::move(left), now, {}});
+      m_uncovered.push_back({std::move(last_holder), now, {}});
     }
   }
   m_gaps_since = std::move(remaining_gaps);
