--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -290,7 +290,7 @@
     const DomainCapacity capacity(engine, vacancy.last_holder.failure_domain,
                                   WithPlannedLayers(servers));
     for (const LayerRange& missing : capacity.FindShortages(vacancy.last_holder.layers)) {
-      CoverWithSpares(vacancy, missing, engine, servers);
+      DivideRange(vacancy, missing, engine, servers);
     }
   }
 }
@@ -313,10 +313,10 @@
   return assigned == m_assignments.end() ? server.layers : assigned->second.layers;
 }
 
-void LayerPlacer::CoverWithSpares(UncoveredRange& vacancy,
-                                  const LayerRange& missing,
-                                  const EngineProfile& engine,
-                                  const std::vector<ServerEntry>& servers) {
+void LayerPlacer::DivideRange(UncoveredRange& vacancy,
+                              const LayerRange& missing,
+                              const EngineProfile& engine,
+                              const std::vector<ServerEntry>& servers) {
   SparePool pool{WithPlannedLayers(servers), {}, m_extras};
   std::map<BackendServerName, LayerRange> held;
   for (const ServerEntry& server : servers) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -96,10 +96,10 @@
 
   /** Returns the servers that are not stalled, with the layers they hold or are assigned. */
   std::vector<ServerEntry> WithPlannedLayers(const std::vector<ServerEntry>& servers) const;
-  void CoverWithSpares(UncoveredRange& vacancy,
-                       const LayerRange& missing,
-                       const EngineProfile& engine,
-                       const std::vector<ServerEntry>& servers);
+  void DivideRange(UncoveredRange& vacancy,
+                   const LayerRange& missing,
+                   const EngineProfile& engine,
+                   const std::vector<ServerEntry>& servers);
   void RepairWithSpares(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   void SendOrders(const std::vector<ServerEntry>& servers);
   void OnOrderResult(const BackendServerName& server, const Result<void>& result);
