--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -30,13 +30,13 @@
                          [&](const ServerEntry& engine) { return engine.name == name; });
   }
 
-  std::vector<SpareShare> ShareOut() {
+  std::vector<SpareShare> DivideRange() {
     return SpareChooser::DivideRange(profile, pool, left, left.layers);
   }
 };
 
 TEST(Spares, TheSlowestEnginesOfTheDomainCoverTheWholeRange) {
-  const auto shares = ShareOut();
+  const auto shares = DivideRange();
   CHECK_EQUAL(4U, shares.size());  // Half of a slow engine's memory holds six layers.
   std::uint32_t layer = 40;
   for (const SpareShare& share : shares) {
@@ -49,13 +49,13 @@
 
 TEST(Spares, BusyEnginesAndOtherDomainsAreNotUsed) {
   pool.busy = {"slow0"};
-  const auto shares = ShareOut();
+  const auto shares = DivideRange();
   CHECK_EQUAL(3U, shares.size());
   CHECK_TRUE(std::none_of(shares.begin(), shares.end(), [&](const SpareShare& share) {
     return pool.busy.contains(share.server) || share.server == "elsewhere";
   }));
   pool.busy.insert("slow1");
-  CHECK_TRUE(ShareOut().empty());  // Ten layers would be 0.81 of a slow engine's memory.
+  CHECK_TRUE(DivideRange().empty());  // Ten layers would be 0.81 of a slow engine's memory.
 }
 
 // Guards against counting the layers that engines hold instead of those they are assigned: here the
@@ -68,13 +68,13 @@
       pool.busy.insert(engine.name);
     }
   }
-  CHECK_TRUE(ShareOut().empty());
+  CHECK_TRUE(DivideRange().empty());
 }
 
 TEST(Spares, AnExtraOfTheSameKindCoversTheRangeAlone) {
   pool.engines.push_back(EngineServer("extra", "middle", "k", {60, 70}));
   pool.extras = {"extra"};
-  const auto shares = ShareOut();
+  const auto shares = DivideRange();
   CHECK_EQUAL(1U, shares.size());
   STRCMP_EQUAL("extra", shares[0].server.c_str());
   CHECK_TRUE(shares[0].layers == left.layers);
