--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -123,8 +123,8 @@
 }
 
 TEST(Paths, AvoidsServersWithoutMemory) {
-  const double capacity = TokenLayerCapacity(MixedEngine(), servers[1]);
-  loads.SetDomainUses("peer", {{"x2", {100, capacity}}});
+  const double cache_tokens = TokenLayerCapacity(MixedEngine(), servers[1]);
+  loads.SetDomainUses("peer", {{"x2", {100, cache_tokens}}});
   STRCMP_EQUAL("y1 y2 y3 y4 ", Find().c_str());
 }
 
