--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -112,9 +112,9 @@
     }
     // The range of a stalled engine was already recorded when it stalled.
     bool already_recorded = m_stalled.erase(name) > 0;
-    for (UncoveredRange& vacancy : m_uncovered) {
-      if (vacancy.assigned_to == name) {
-        vacancy.assigned_to.reset();
+    for (UncoveredRange& uncovered_range : m_uncovered) {
+      if (uncovered_range.assigned_to == name) {
+        uncovered_range.assigned_to.reset();
         already_recorded = true;
       }
     }
@@ -123,8 +123,8 @@
     }
     m_layers_before_repair.erase(name);
     m_extras.erase(name);
-    for (UncoveredRange& vacancy : m_uncovered) {
-      std::erase(vacancy.spares, name);
+    for (UncoveredRange& uncovered_range : m_uncovered) {
+      std::erase(uncovered_range.spares, name);
     }
   }
   if (m_uncovered.size() > kMaxUncoveredRanges) {
@@ -159,11 +159,12 @@
 }
 
 bool LayerPlacer::IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const {
-  return std::any_of(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& vacancy) {
-    return vacancy.last_holder.failure_domain == domain &&
-           vacancy.last_holder.layers.first < layers.end &&
-           layers.first < vacancy.last_holder.layers.end;
-  });
+  return std::any_of(m_uncovered.begin(), m_uncovered.end(),
+                     [&](const UncoveredRange& uncovered_range) {
+                       return uncovered_range.last_holder.failure_domain == domain &&
+                              uncovered_range.last_holder.layers.first < layers.end &&
+                              layers.first < uncovered_range.last_holder.layers.end;
+                     });
 }
 
 /** Records uncovered ranges whose holder this instance did not see leave, because it left while no
@@ -227,32 +228,32 @@
     if (!is_free(server)) {
       continue;
     }
-    const auto vacancy =
+    const auto uncovered_range =
         std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
           return !candidate.assigned_to &&
                  candidate.last_holder.accelerator == server.accelerator &&
                  candidate.last_holder.failure_domain == server.failure_domain;
         });
-    if (vacancy != m_uncovered.end()) {
-      AssignRange(server, *vacancy);
+    if (uncovered_range != m_uncovered.end()) {
+      AssignRange(server, *uncovered_range);
     }
   }
 }
 
-void LayerPlacer::AssignRange(const ServerEntry& server, UncoveredRange& vacancy) {
-  m_assignments[server.name].layers = vacancy.last_holder.layers;
-  vacancy.assigned_to = server.name;
+void LayerPlacer::AssignRange(const ServerEntry& server, UncoveredRange& uncovered_range) {
+  m_assignments[server.name].layers = uncovered_range.last_holder.layers;
+  uncovered_range.assigned_to = server.name;
 }
 
 /** Drops ranges that their new holder has loaded and returns their spares. The spares stay until
     then, since a load takes seconds. */
 void LayerPlacer::RemoveLoadedRanges(const std::vector<ServerEntry>& servers) {
   for (const ServerEntry& server : servers) {
-    std::erase_if(m_uncovered, [&](const UncoveredRange& vacancy) {
-      const bool is_loaded =
-          vacancy.assigned_to == server.name && server.layers == vacancy.last_holder.layers;
+    std::erase_if(m_uncovered, [&](const UncoveredRange& uncovered_range) {
+      const bool is_loaded = uncovered_range.assigned_to == server.name &&
+                             server.layers == uncovered_range.last_holder.layers;
       if (is_loaded) {
-        RestoreSpares(vacancy);
+        RestoreSpares(uncovered_range);
       }
       return is_loaded;
     });
@@ -261,8 +262,8 @@
 
 /** Assigns spares their previous layers, so that the pool keeps its second holders for later
     losses. */
-void LayerPlacer::RestoreSpares(const UncoveredRange& vacancy) {
-  for (const BackendServerName& name : vacancy.spares) {
+void LayerPlacer::RestoreSpares(const UncoveredRange& uncovered_range) {
+  for (const BackendServerName& name : uncovered_range.spares) {
     const auto spare = m_layers_before_repair.find(name);
     if (spare != m_layers_before_repair.end()) {
       m_assignments[name] = {spare->second, {}, false};
@@ -282,15 +283,15 @@
 
 void LayerPlacer::RepairWithSpares(const EngineProfile& engine,
                                    const std::vector<ServerEntry>& servers) {
-  for (UncoveredRange& vacancy : m_uncovered) {
-    if (m_parts.clock.Now() - vacancy.since < kRepairDelay) {
+  for (UncoveredRange& uncovered_range : m_uncovered) {
+    if (m_parts.clock.Now() - uncovered_range.since < kRepairDelay) {
       continue;
     }
     // Layers that other engines of the failure domain hold with enough capacity need no spares.
-    const DomainCapacity capacity(engine, vacancy.last_holder.failure_domain,
+    const DomainCapacity capacity(engine, uncovered_range.last_holder.failure_domain,
                                   WithPlannedLayers(servers));
-    for (const LayerRange& missing : capacity.FindShortages(vacancy.last_holder.layers)) {
-      DivideRange(vacancy, missing, engine, servers);
+    for (const LayerRange& missing : capacity.FindShortages(uncovered_range.last_holder.layers)) {
+      DivideRange(uncovered_range, missing, engine, servers);
     }
   }
 }
@@ -313,7 +314,7 @@
   return assigned == m_assignments.end() ? server.layers : assigned->second.layers;
 }
 
-void LayerPlacer::DivideRange(UncoveredRange& vacancy,
+void LayerPlacer::DivideRange(UncoveredRange& uncovered_range,
                               const LayerRange& missing,
                               const EngineProfile& engine,
                               const std::vector<ServerEntry>& servers) {
@@ -326,10 +327,10 @@
     }
   }
   for (const SpareShare& share :
-       SpareChooser::DivideRange(engine, pool, vacancy.last_holder, missing)) {
+       SpareChooser::DivideRange(engine, pool, uncovered_range.last_holder, missing)) {
     m_assignments[share.server] = {share.layers, {}, false};
     m_layers_before_repair[share.server] = held.at(share.server);
-    vacancy.spares.push_back(share.server);
+    uncovered_range.spares.push_back(share.server);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -89,14 +89,14 @@
   void DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers);
   bool IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const;
   void AssignUncovered(const std::vector<ServerEntry>& servers);
-  void AssignRange(const ServerEntry& server, UncoveredRange& vacancy);
+  void AssignRange(const ServerEntry& server, UncoveredRange& uncovered_range);
   void RemoveLoadedRanges(const std::vector<ServerEntry>& servers);
-  void RestoreSpares(const UncoveredRange& vacancy);
+  void RestoreSpares(const UncoveredRange& uncovered_range);
   LayerRange PlannedLayers(const ServerEntry& server) const;
 
   /** Returns the servers that are not stalled, with the layers they hold or are assigned. */
   std::vector<ServerEntry> WithPlannedLayers(const std::vector<ServerEntry>& servers) const;
-  void DivideRange(UncoveredRange& vacancy,
+  void DivideRange(UncoveredRange& uncovered_range,
                    const LayerRange& missing,
                    const EngineProfile& engine,
                    const std::vector<ServerEntry>& servers);
