--- a/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -51,17 +51,17 @@
 }
 
 std::vector<LayerRange> DomainCapacity::FindShortages(const LayerRange& range) const {
-  std::vector<LayerRange> lacking;
+  std::vector<LayerRange> shortages;
   for (std::uint32_t layer = range.first; layer < range.end && layer < m_tokens.size(); ++layer) {
     if (m_tokens[layer] >= m_min_tokens) {
       continue;
     }
-    if (lacking.empty() || lacking.back().end != layer) {
-      lacking.push_back({layer, layer});
+    if (shortages.empty() || shortages.back().end != layer) {
+      shortages.push_back({layer, layer});
     }
-    lacking.back().end = layer + 1;
+    shortages.back().end = layer + 1;
   }
-  return lacking;
+  return shortages;
 }
 
 bool DomainCapacity::IsMostlyUncovered() const {
