--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -82,9 +82,9 @@
 
 TEST(Spares, LayersWithLittleCapacityAreShortages) {
   const DomainCapacity capacity(profile, "k", pool.engines);
-  const auto lacking = capacity.FindShortages({0, 80});
-  CHECK_EQUAL(1U, lacking.size());
-  CHECK_TRUE((lacking[0] == LayerRange{40, 60}));
+  const auto shortages = capacity.FindShortages({0, 80});
+  CHECK_EQUAL(1U, shortages.size());
+  CHECK_TRUE((shortages[0] == LayerRange{40, 60}));
   pool.engines.push_back(
       EngineServer("full", "slow", "k", {40, 52}));  // Its memory is all weights.
   const DomainCapacity with_full_engine(profile, "k", pool.engines);
