--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -11,7 +11,7 @@
 TEST_GROUP(Spares) {
   EngineProfile profile = MixedEngine();
   SparePool pool;
-  ServerEntry left = EngineServer("left", "middle", "k", {40, 60});
+  ServerEntry lost = EngineServer("left", "middle", "k", {40, 60});
 
   void setup() override {
     pool.engines = {EngineServer("fast", "fast", "k", {0, 20}),
@@ -31,7 +31,7 @@
   }
 
   std::vector<SpareShare> DivideRange() {
-    return SpareChooser::DivideRange(profile, pool, left, left.layers);
+    return SpareChooser::DivideRange(profile, pool, lost, lost.layers);
   }
 };
 
@@ -77,7 +77,7 @@
   const auto shares = DivideRange();
   CHECK_EQUAL(1U, shares.size());
   STRCMP_EQUAL("extra", shares[0].server.c_str());
-  CHECK_TRUE(shares[0].layers == left.layers);
+  CHECK_TRUE(shares[0].layers == lost.layers);
 }
 
 TEST(Spares, LayersWithLittleCapacityAreShortages) {
