--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -116,11 +116,11 @@
 TEST(Placement, AReplacementGetsTheRangeOfTheLostEngine) {
   Run(seconds(2));
   ApplyOrders();
-  const LayerRange left = RangeOf("fast0");
+  const LayerRange lost_range = RangeOf("fast0");
   Lose("fast0");
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(seconds(1));
-  CHECK_TRUE(left == orders.placed["fast9"]);
+  CHECK_TRUE(lost_range == orders.placed["fast9"]);
 }
 
 // Guards against restarted engines swapping their ranges, which leaves chains with ranges that do
@@ -164,17 +164,17 @@
 TEST(Placement, SlowerEnginesCoverAnUncoveredRange) {
   Run(seconds(2));
   ApplyOrders();
-  const LayerRange left = RangeOf("middle0");
+  const LayerRange lost_range = RangeOf("middle0");
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(2));
   std::uint32_t covered = 0;
   for (const auto& [name, range] : orders.placed) {
     STRNCMP_EQUAL("slow", name.c_str(), 4);
-    CHECK_TRUE(range.first >= left.first && range.end <= left.end);
+    CHECK_TRUE(range.first >= lost_range.first && range.end <= lost_range.end);
     covered += range.Count();
   }
-  CHECK_EQUAL(left.Count(), covered);
+  CHECK_EQUAL(lost_range.Count(), covered);
 }
 
 // Guards against missing ranges whose engine left while no instance held the order role.
@@ -426,26 +426,26 @@
 TEST(Placement, AReplacementGetsARangeThatSparesCover) {
   Run(seconds(2));
   ApplyOrders();
-  const LayerRange left = RangeOf("middle0");
+  const LayerRange lost_range = RangeOf("middle0");
   Lose("middle0");
   Run(seconds(2));
   ApplyOrders();
   servers.push_back(EngineServer("middle9", "middle", "k"));
   Run(seconds(1));
-  CHECK_TRUE(left == orders.placed["middle9"]);
+  CHECK_TRUE(lost_range == orders.placed["middle9"]);
 }
 
 // Guards against assigning a range to a new engine just before the engine that it replaces leaves.
 TEST(Placement, ANewEngineWaitsForTheEngineItReplaces) {
   Run(seconds(2));
   ApplyOrders();
-  const LayerRange left = RangeOf("fast0");
+  const LayerRange lost_range = RangeOf("fast0");
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(milliseconds(500));
   CHECK_FALSE(orders.placed.contains("fast9"));
   Lose("fast0");
   Run(milliseconds(500));
-  CHECK_TRUE(left == orders.placed["fast9"]);
+  CHECK_TRUE(lost_range == orders.placed["fast9"]);
 }
 
 TEST(Placement, AnAdditionalEngineGetsARange) {
