--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
@@ -37,10 +37,10 @@
 */
 class SpareChooser {
  public:
-  /** Returns nothing if the spares do not have enough memory. `left` is the lost holder. */
+  /** Returns nothing if the spares do not have enough memory. `lost` is the lost holder. */
   static std::vector<SpareShare> DivideRange(const EngineProfile& profile,
                                              const SparePool& pool,
-                                             const ServerEntry& left,
+                                             const ServerEntry& lost,
                                              const LayerRange& missing);
 };
 
