--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -396,8 +396,8 @@
 /** Returns a random factor between 1 and 1 + kMaxJitter that spreads the choices of instances with
     the same load reports. Always 1 for a single instance. */
 double PathFinder::JitterFactor() const {
-  const double crowd = std::min(1.0, m_loads.OthersShare() / kFullJitterInstances);
-  return 1.0 + kMaxJitter * crowd * RandomUnit(m_random);
+  const double jitter_share = std::min(1.0, m_loads.OthersShare() / kFullJitterInstances);
+  return 1.0 + kMaxJitter * jitter_share * RandomUnit(m_random);
 }
 
 /** Returns nothing if the pool is small enough to be searched in full. */
