--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -47,7 +47,7 @@
 constexpr double kMaxLinkUse = 0.6;
 
 /** Weight of first-event delay relative to generation time. */
-constexpr double kWaitWeight = 8.0;
+constexpr double kFirstEventDelayWeight = 8.0;
 
 /** Cost of opening a connection. Decides between paths of similar speed. */
 constexpr double kNewConnectionMs = 200.0;
@@ -162,12 +162,12 @@
 }
 
 double Search::Cost(const Candidate& server, std::uint32_t layers, bool crossing) const {
-  return (server.ms_per_layer + server.first_event_ms_per_layer * kWaitWeight) * layers +
+  return (server.ms_per_layer + server.first_event_ms_per_layer * kFirstEventDelayWeight) * layers +
          (crossing ? m_crossing_cost : m_size.answer_tokens * kHopMs);
 }
 
 double StartCost(const Candidate& server) {
-  return server.first_event_delay_ms * kWaitWeight +
+  return server.first_event_delay_ms * kFirstEventDelayWeight +
          (server.has_connection ? 0.0 : kNewConnectionMs);
 }
 
