--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -12,7 +12,7 @@
 /** Shares of a spare's memory that the weights of a missing range may take: the target, the upper
     limit, and the share for a spare that covers the range alone. */
 constexpr double kTargetWeightShare = 0.5;
-constexpr double kMostWeightShare = 0.8;
+constexpr double kMaxWeightShare = 0.8;
 constexpr double kWholeMemory = 1.0;
 
 using Spares = std::vector<const ServerEntry*>;
@@ -72,7 +72,7 @@
   const double weights = missing.Count() * profile.layer_mb;
   const double memory = profile.accelerators.at(spares.front()->accelerator).memory_mb;
   const double usual = memory * (covers_alone ? kWholeMemory : kTargetWeightShare);
-  const double most = memory * (covers_alone ? kWholeMemory : kMostWeightShare);
+  const double most = memory * (covers_alone ? kWholeMemory : kMaxWeightShare);
   const auto wanted = static_cast<std::size_t>(std::ceil(weights / usual));
   const std::size_t count = std::min(wanted, spares.size());
   if (weights > static_cast<double>(count) * most) {
