--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -179,7 +179,7 @@
   }
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> remaining_gaps;
   const std::vector<ServerEntry> planned = WithPlannedLayers(servers);
-  for (const auto& [domain, empty_engine] : has_empty) {
+  for (const auto& [domain, has_empty_engine] : has_empty) {
     const DomainCapacity capacity(engine, domain, planned);
     // A domain that holds few layers forms chains with other domains.
     const auto gaps = capacity.IsMostlyUncovered() ? std::vector<LayerRange>()
@@ -191,7 +191,7 @@
       const auto key = std::make_pair(domain, gap.first);
       const auto known = m_gaps_since.find(key);
       const TimePoint since = known == m_gaps_since.end() ? now : known->second;
-      if (now - since < (empty_engine ? kGapDelayWithEmptyEngine : kGapDelay)) {
+      if (now - since < (has_empty_engine ? kGapDelayWithEmptyEngine : kGapDelay)) {
         remaining_gaps[key] = since;
         continue;
       }
