--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -122,7 +122,7 @@
       m_uncovered.push_back({std::move(last_holder), m_parts.clock.Now(), {}});
     }
     m_layers_before_repair.erase(name);
-    m_extras.erase(name);
+    m_late_engines.erase(name);
     for (UncoveredRange& uncovered_range : m_uncovered) {
       std::erase(uncovered_range.spares, name);
     }
@@ -318,7 +318,7 @@
                               const LayerRange& missing,
                               const EngineProfile& engine,
                               const std::vector<ServerEntry>& servers) {
-  SparePool pool{WithPlannedLayers(servers), {}, m_extras};
+  SparePool pool{WithPlannedLayers(servers), {}, m_late_engines};
   std::map<BackendServerName, LayerRange> held;
   for (const ServerEntry& server : servers) {
     held[server.name] = server.layers;
@@ -368,7 +368,7 @@
       continue;
     }
     if (const auto range = LayerPlanner::RangeFor(engine, server, holders)) {
-      m_extras.insert(server.name);
+      m_late_engines.insert(server.name);
       m_assignments[server.name].layers = *range;
       holders.push_back(server);
       holders.back().layers = *range;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -119,7 +119,7 @@
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> m_gaps_since;
 
   /** Engines that arrived after the pool was planned. No chain depends on them. */
-  std::set<BackendServerName> m_extras;
+  std::set<BackendServerName> m_late_engines;
 
   /** Layers that spares held before they were assigned a part of an uncovered range. */
   std::map<BackendServerName, LayerRange> m_layers_before_repair;
