--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -5,21 +5,21 @@
 
 namespace zinnia {
 
-std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_near,
+std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_local,
                                            const std::vector<bool>& has_connection) {
-  if (is_near.size() <= kMaxUnsampledServers) {
-    return std::vector<bool>(is_near.size(), true);
+  if (is_local.size() <= kMaxUnsampledServers) {
+    return std::vector<bool>(is_local.size(), true);
   }
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
   std::vector<std::size_t> connected;
-  for (std::size_t server = 0; server < is_near.size(); ++server) {
-    (is_near[server] ? near : far).push_back(server);
-    if (is_near[server] && has_connection[server]) {
+  for (std::size_t server = 0; server < is_local.size(); ++server) {
+    (is_local[server] ? near : far).push_back(server);
+    if (is_local[server] && has_connection[server]) {
       connected.push_back(server);
     }
   }
-  std::vector<bool> drawn(is_near.size(), false);
+  std::vector<bool> drawn(is_local.size(), false);
   // A domain with too few first servers draws the remainder from other domains.
   const std::size_t missing = kLocalSamples - std::min(kLocalSamples, near.size());
   DrawFrom(std::move(near), kLocalSamples, drawn);
