--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -404,20 +404,20 @@
 std::optional<PathFinder::SearchSpace> PathFinder::SampleFirstServers(
     const SearchSpace& space) const {
   std::vector<std::size_t> firsts;
-  std::vector<bool> is_near;
+  std::vector<bool> is_local;
   std::vector<bool> has_connection;
   for (std::size_t index = 0; index < space.candidates.size(); ++index) {
     const Candidate& candidate = space.candidates[index];
     if (candidate.entry->layers.first == 0 && candidate.can_start_request) {
       firsts.push_back(index);
-      is_near.push_back(candidate.domain == space.start_domain);
+      is_local.push_back(candidate.domain == space.start_domain);
       has_connection.push_back(candidate.has_connection);
     }
   }
   if (firsts.size() <= FirstServerSampler::kMaxUnsampledServers) {
     return std::nullopt;
   }
-  const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_near, has_connection);
+  const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_local, has_connection);
   SearchSpace sampled = space;
   std::set<std::size_t> domains;
   for (std::size_t first = 0; first < firsts.size(); ++first) {
