--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -28,7 +28,7 @@
                  const ServerEntry& engine) {
   const bool is_slower = StepFactor(profile, engine) > StepFactor(profile, lost);
   return engine.failure_domain == lost.failure_domain && engine.layers.Count() > 0 &&
-         !pool.busy.contains(engine.name) && (is_slower || pool.extras.contains(engine.name));
+         !pool.busy.contains(engine.name) && (is_slower || pool.late_engines.contains(engine.name));
 }
 
 Spares SparesFor(const EngineProfile& profile, const SparePool& pool, const ServerEntry& lost) {
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
@@ -26,7 +26,7 @@
   std::set<BackendServerName> busy;
 
   /** Engines that arrived after the pool was planned. No chain depends on them. */
-  std::set<BackendServerName> extras;
+  std::set<BackendServerName> late_engines;
 };
 
 /** Chooses engines that cover a range whose holder was lost.
--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -61,7 +61,7 @@
 // Guards against counting the layers that engines hold instead of those they are assigned: here the
 // slow engines leave the range of the fast one.
 TEST(Spares, AnEngineIsNeededIfItsSparesAreReassigned) {
-  pool.extras = {"fast"};
+  pool.late_engines = {"fast"};
   for (ServerEntry& engine : pool.engines) {
     if (engine.accelerator == "slow" && engine.failure_domain == "k") {
       engine.layers = {60, 65};
@@ -73,7 +73,7 @@
 
 TEST(Spares, AnExtraOfTheSameKindCoversTheRangeAlone) {
   pool.engines.push_back(EngineServer("extra", "middle", "k", {60, 70}));
-  pool.extras = {"extra"};
+  pool.late_engines = {"extra"};
   const auto shares = DivideRange();
   CHECK_EQUAL(1U, shares.size());
   STRCMP_EQUAL("extra", shares[0].server.c_str());
