--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -29,9 +29,10 @@
 
   explicit FirstServerSampler(RandomSource& random) : m_random(random) {}
 
-  /** Returns which first servers to consider. `is_near` tells which servers are in the caller's
+  /** Returns which first servers to consider. `is_local` tells which servers are in the caller's
       failure domain, `has_connection` which of them have an idle connection. */
-  std::vector<bool> Draw(const std::vector<bool>& is_near, const std::vector<bool>& has_connection);
+  std::vector<bool> Draw(const std::vector<bool>& is_local,
+                         const std::vector<bool>& has_connection);
 
  private:
   void DrawFrom(std::vector<std::size_t> group, std::size_t count, std::vector<bool>& drawn);
