--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -132,9 +132,9 @@
   }
 }
 
-/** Assigns an engine that has become empty its previous layers at once. While the store is
-    unavailable, a restarted engine keeps its entry, and its range would otherwise count as a gap
-    only seconds later. */
+/** Assigns an engine that has become empty its previous layers at once. During a store outage only
+    the engine's own report shows that it restarted; its range would otherwise count as a gap only
+    seconds later. */
 void LayerPlacer::RestoreLayersOf(const ServerEntry& before, const ServerEntry& now) {
   if (before.layers.Count() == 0 || now.layers.Count() > 0) {
     return;
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -48,8 +48,7 @@
   /** Reports that an engine has stopped responding. Its range counts as uncovered from now on. */
   void NoteStalled(const BackendServerName& server);
 
-  /** Tells whether a peer reports that the store serves it; see OrderRole::NoteStoreServesOthers.
-   */
+  /** Tells whether a peer says the store serves it; see OrderRole::NoteStoreServesOthers. */
   void NoteStoreServesOthers(bool serves) { m_role.NoteStoreServesOthers(serves); }
 
   bool HoldsRole() const { return m_role.IsHeld(); }
@@ -118,7 +117,7 @@
   /** Since when a gap exists, by failure domain and first layer of the gap. */
   std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> m_gaps_since;
 
-  /** Engines that arrived after the pool was planned. No chain depends on them. */
+  /** Engines that registered after the pool was planned. No chain depends on them. */
   std::set<BackendServerName> m_late_engines;
 
   /** Layers that spares held before they were assigned a part of an uncovered range. */
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.h
@@ -25,7 +25,7 @@
   /** Engines that cannot be spares: they already cover a range or hold no layers. */
   std::set<BackendServerName> busy;
 
-  /** Engines that arrived after the pool was planned. No chain depends on them. */
+  /** Engines that registered after the pool was planned. No chain depends on them. */
   std::set<BackendServerName> late_engines;
 };
 
@@ -33,7 +33,8 @@
 
     Spares are engines that their failure domain can do without, slowest first, since these reduce
     capacity least. An engine as fast as the lost one is not used, as that would move the gap to
-    another chain; an extra of the same kind covers the range alone.
+    another chain, unless it is a late engine. A spare with the accelerator of the lost engine
+    covers the range alone.
 */
 class SpareChooser {
  public:
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -145,8 +145,8 @@
   CHECK_TRUE(of_fast1 == orders.placed.at("a-start"));
 }
 
-// Guards against detecting a loss only by a missing entry: during a store outage a restarted engine
-// keeps its entry and reports no layers.
+// Guards against detecting a loss only by a missing entry: during a store outage only the engine's
+// own report shows that it restarted empty.
 TEST(Placement, AnEmptiedEngineGetsItsRangeBackAtOnce) {
   Run(seconds(2));
   ApplyOrders();
