--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -352,7 +352,7 @@
         m_health.IsExcluded(name)) {
       continue;
     }
-    space.candidates.push_back(Describe(engine, accelerator->second, size, server));
+    space.candidates.push_back(MakeCandidate(engine, accelerator->second, size, server));
     space.candidates.back().domain = domain;
   }
   const std::optional<PathPart>& first = constraints.first;
@@ -370,10 +370,10 @@
 }
 
 /** Returns the server's expected costs for this request, from its load and health. */
-PathFinder::Candidate PathFinder::Describe(const EngineProfile& engine,
-                                           const AcceleratorProfile& accelerator,
-                                           const GenerationSize& size,
-                                           const ServerEntry& server) const {
+PathFinder::Candidate PathFinder::MakeCandidate(const EngineProfile& engine,
+                                                const AcceleratorProfile& accelerator,
+                                                const GenerationSize& size,
+                                                const ServerEntry& server) const {
   const ServerUse use = m_loads.UseOf(server.name);
   const double pace = m_health.Pace(server.name);
   const double slowness =
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -109,10 +109,10 @@
     std::size_t start_domain = 0;
   };
 
-  Candidate Describe(const EngineProfile& engine,
-                     const AcceleratorProfile& accelerator,
-                     const GenerationSize& size,
-                     const ServerEntry& server) const;
+  Candidate MakeCandidate(const EngineProfile& engine,
+                          const AcceleratorProfile& accelerator,
+                          const GenerationSize& size,
+                          const ServerEntry& server) const;
   double JitterFactor() const;
   std::optional<SearchSpace> SampleFirstServers(const SearchSpace& space) const;
   std::optional<FoundPath> SearchPath(const ForwardingView& view,
