--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -21,7 +21,7 @@
 /** Average share of a stream's answer that is generated when its path breaks. */
 constexpr double kMeanAnswerShare = 0.5;
 
-bool Keeps(const LayerPath& kept, const PathPart& part) {
+bool ContainsPart(const LayerPath& kept, const PathPart& part) {
   return std::find(kept.begin(), kept.end(), part) != kept.end();
 }
 
@@ -65,7 +65,7 @@
   double longest = 0.0;
   double sum = 0.0;
   for (const PathPart& part : found->path) {
-    if (Keeps(kept, part)) {
+    if (ContainsPart(kept, part)) {
       continue;
     }
     const double prefill_ms = PrefillMs(view, engine, size, part);
@@ -109,7 +109,7 @@
     // The other instances reroute their streams of the lost server at the same time.
     const double instances = 1.0 + m_loads.OthersShare();
     for (const PathPart& part : best->found.path) {
-      if (!best->keeps_first || !Keeps(present, part)) {
+      if (!best->keeps_first || !ContainsPart(present, part)) {
         m_backlog.Add(part.server, PrefillMs(view, engine, size, part) * instances);
       }
     }
