--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -71,7 +71,7 @@
   CHECK_TRUE(DivideRange().empty());
 }
 
-TEST(Spares, AnExtraOfTheSameKindCoversTheRangeAlone) {
+TEST(Spares, ALateEngineOfTheSameKindCoversTheRangeAlone) {
   pool.engines.push_back(EngineServer("extra", "middle", "k", {60, 70}));
   pool.late_engines = {"extra"};
   const auto shares = DivideRange();
