--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -62,7 +62,7 @@
 
 // Guards against paths that use the inter-domain link although the caller asked for a single
 // failure domain.
-TEST(Paths, KeepsToOneFailureDomainWhereAsked) {
+TEST(Paths, StaysInOneFailureDomainIfRequested) {
   const auto found =
       finder.Find(ViewOf(servers), "pool", size, "x", {}, {std::nullopt, FailureDomainName("y")});
   CHECK_TRUE(found.has_value());
