--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -21,8 +21,8 @@
 constexpr int kDomains = 5;
 constexpr int kRounds = 300;
 
-struct NoConnections final : KeptConnections {
-  bool HasUnused(const BackendServerName&) const override { return false; }
+struct NoConnections final : IdleConnections {
+  bool HasIdle(const BackendServerName&) const override { return false; }
 };
 
 EngineProfile Engine() {
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -5,26 +5,26 @@
 
 namespace zinnia {
 
-std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_same_domain,
+std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_local,
                                            const std::vector<bool>& has_connection) {
-  if (is_same_domain.size() <= kFewFirstServers) {
-    return std::vector<bool>(is_same_domain.size(), true);
+  if (is_local.size() <= kMaxUnsampledServers) {
+    return std::vector<bool>(is_local.size(), true);
   }
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
   std::vector<std::size_t> connected;
-  for (std::size_t server = 0; server < is_same_domain.size(); ++server) {
-    (is_same_domain[server] ? near : far).push_back(server);
-    if (is_same_domain[server] && has_connection[server]) {
+  for (std::size_t server = 0; server < is_local.size(); ++server) {
+    (is_local[server] ? near : far).push_back(server);
+    if (is_local[server] && has_connection[server]) {
       connected.push_back(server);
     }
   }
-  std::vector<bool> drawn(is_same_domain.size(), false);
-  // A domain without first servers of its own looks at as many elsewhere.
-  const std::size_t missing = kNearLooks - std::min(kNearLooks, near.size());
-  DrawFrom(std::move(near), kNearLooks, drawn);
-  DrawFrom(std::move(far), kFarLooks + missing, drawn);
-  DrawFrom(std::move(connected), kConnectedLooks, drawn);
+  std::vector<bool> drawn(is_local.size(), false);
+  // A domain with too few first servers draws the remainder from other domains.
+  const std::size_t missing = kLocalSamples - std::min(kLocalSamples, near.size());
+  DrawFrom(std::move(near), kLocalSamples, drawn);
+  DrawFrom(std::move(far), kRemoteSamples + missing, drawn);
+  DrawFrom(std::move(connected), kConnectedSamples, drawn);
   return drawn;
 }
 
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -11,91 +11,87 @@
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
-#include "zinnia_decisions/forwarding/paths/kept_connections.h"
-#include "zinnia_decisions/forwarding/paths/reading_time.h"
+#include "zinnia_decisions/forwarding/paths/idle_connections.h"
+#include "zinnia_decisions/forwarding/paths/prefill_time.h"
 
 namespace zinnia {
 namespace {
 
 using Candidate = PathFinder::Candidate;
 
-constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr double kUnreachable = std::numeric_limits<double>::infinity();
 constexpr double kBytesPerMegabyte = 1e6;
 constexpr double kTokensPerThousand = 1'000.0;
 
-/** Part of a server's memory that requests may reserve. More than all of it: a reservation counts
-    the whole expected answer, of which half is there on average. Too much costs: an engine out of
-    memory throws its newest request out and reads it again. */
-constexpr double kReservableShare = 1.08;
+/** Share of a server's memory that requests may reserve. Above 1 because a reservation counts the
+    whole expected answer, of which on average half is generated. Higher values make engines evict
+    requests and prefill them again. */
+constexpr double kMaxReservedShare = 1.08;
 
-/** Part of the requests that may begin at an engine that is used: others' last choices are only
-    estimated, and what comes above the bound is refused. */
-constexpr double kBegunShare = 0.95;
+/** Share of a server's request limit that is used. The rest absorbs requests that other instances
+    sent since their last report. */
+constexpr double kMaxStartedShare = 0.95;
 
-/** A server with this part of its memory or places in use may refuse for that alone. */
+/** Share of memory or request slots in use above which a server may refuse for lack of capacity. */
 constexpr double kNearlyFull = 0.7;
 
-/** Time of one hop inside and between failure domains, per token; from the published delays. */
+/** Time of one hop per token, inside a failure domain and between two. */
 constexpr double kHopMs = 0.15;
-constexpr double kCrossingMs = 0.9;
+constexpr double kInterDomainHopMs = 0.9;
 
-/** Crossings are avoided beyond their own time: each takes a part of the one pipe that others wait
-    for. A whole path in another failure domain costs nothing of it. */
-constexpr double kCrossingAversionMs = 400.0;
+/** Added cost of a crossing, for the time that other requests wait for the shared inter-domain
+    link. */
+constexpr double kCrossingPenaltyMs = 400.0;
 
-/** Above this use of the pipe by all instances no request crosses: the wait for a first token grows
-    without bound as it fills. */
-constexpr double kMostPipeUse = 0.6;
+/** Link use above which no request crosses: queueing delay grows without bound near saturation. */
+constexpr double kMaxLinkUse = 0.6;
 
-/** A first event that is late costs most of a request's worth, a slow answer nothing. */
-constexpr double kWaitWeight = 8.0;
+/** Weight of first-event delay relative to generation time. */
+constexpr double kFirstEventDelayWeight = 8.0;
 
-/** A new connection counts as so much expected time, a small part of a usual answer's: of two paths
-    about equally fast a request takes the one whose first server it need not connect to. */
+/** Cost of opening a connection. Decides between paths of similar speed. */
 constexpr double kNewConnectionMs = 200.0;
 
-/** A request that arrives at a busy stage waits for half of the pass that is running. */
-constexpr double kWaitForPass = 0.5;
+/** A request that arrives at a busy stage waits for half of the running pass on average. */
+constexpr double kPassWaitShare = 0.5;
 
-/** Time of a token at full load in units of the profile's step. Gives the rate of prompts from the
-    requests in flight. */
-constexpr double kTokenTimeInSteps = 11.5;
+/** Time per token at full load in units of the profile's step time. Converts requests in flight to
+    a prompt rate. */
+constexpr double kLoadedTokenSteps = 11.5;
 
-/** Reading counted as this busy at most: beyond it the wait has no bound, and a request still needs
-    some path. */
-constexpr double kMostReadingUse = 0.95;
+/** Upper bound on the assumed prefill utilisation, which keeps the estimated wait finite. */
+constexpr double kMaxPrefillUse = 0.95;
 
-/** With so many others choosing as often as this instance, chance counts in full. Nine instances
-   are told of each other's choices before they are ten. */
-constexpr double kCrowd = 50.0;
+/** Number of other instances at which jitter reaches its full size. */
+constexpr double kFullJitterInstances = 50.0;
 
-/** How much slower chance may make a server look: as much as loads of equal servers differ between
-    two reports, so that it decides among these and seldom takes a slow one. */
-constexpr double kMostChance = 0.5;
+/** Largest relative cost increase by jitter. About as large as the load difference of equal servers
+    between two reports. */
+constexpr double kMaxJitter = 0.5;
 
-/** A server that fails all its requests looks this many times slower. */
+/** Relative cost increase of a server at which every request fails. */
 constexpr double kFailurePenalty = 9.0;
 
 struct Step {
-  double cost = kNever;
+  double cost = kUnreachable;
   std::size_t from_boundary = 0;
   std::size_t from_domain = 0;
   const Candidate* server = nullptr;
 };
 
-/** One search over (boundary, failure domain). */
+/** One search over pairs of layer boundary and failure domain. */
 class Search {
  public:
   Search(const EngineProfile& engine,
          const GenerationSize& size,
          std::vector<Candidate> candidates,
-         double pipe_use)
+         double link_use)
       : m_engine(engine),
         m_size(size),
         m_candidates(std::move(candidates)),
-        m_crossing_cost(CrossingCost(engine, size, pipe_use)) {}
+        m_crossing_cost(CrossingCost(engine, size, link_use)) {}
 
-  /** Numbers failure domains; the caller of Run uses the same numbers. */
+  /** Returns the index of a failure domain, as used by Run(). */
   static std::size_t DomainNumber(std::map<FailureDomainName, std::size_t>& numbers,
                                   const FailureDomainName& domain) {
     return numbers.emplace(domain, numbers.size()).first->second;
@@ -109,7 +105,7 @@
  private:
   static double CrossingCost(const EngineProfile& engine,
                              const GenerationSize& size,
-                             double pipe_use);
+                             double link_use);
   void CollectBoundaries(std::uint32_t first_layer);
   void Relax(std::size_t boundary, std::size_t domain, bool whole_ranges_only);
   double Cost(const Candidate& server, std::uint32_t layers, bool crossing) const;
@@ -134,7 +130,7 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-double PipeMsOf(const EngineProfile& engine, const GenerationSize& size) {
+double LinkTransferMs(const EngineProfile& engine, const GenerationSize& size) {
   if (engine.failure_domain_link_mbps <= 0) {
     return 0.0;
   }
@@ -144,12 +140,12 @@
 
 double Search::CrossingCost(const EngineProfile& engine,
                             const GenerationSize& size,
-                            double pipe_use) {
-  if (pipe_use > kMostPipeUse) {
-    return kNever;
+                            double link_use) {
+  if (link_use > kMaxLinkUse) {
+    return kUnreachable;
   }
-  return size.answer_tokens * kCrossingMs + kCrossingAversionMs +
-         PipeMsOf(engine, size) / (1.0 - pipe_use);
+  return size.answer_tokens * kInterDomainHopMs + kCrossingPenaltyMs +
+         LinkTransferMs(engine, size) / (1.0 - link_use);
 }
 
 void Search::CollectBoundaries(std::uint32_t first_layer) {
@@ -166,25 +162,26 @@
 }
 
 double Search::Cost(const Candidate& server, std::uint32_t layers, bool crossing) const {
-  return (server.ms_per_layer + server.first_event_ms_per_layer * kWaitWeight) * layers +
+  return (server.ms_per_layer + server.first_event_ms_per_layer * kFirstEventDelayWeight) * layers +
          (crossing ? m_crossing_cost : m_size.answer_tokens * kHopMs);
 }
 
-double CostOfBeginning(const Candidate& server) {
-  return server.wait_ms * kWaitWeight + (server.has_connection ? 0.0 : kNewConnectionMs);
+double StartCost(const Candidate& server) {
+  return server.first_event_delay_ms * kFirstEventDelayWeight +
+         (server.has_connection ? 0.0 : kNewConnectionMs);
 }
 
 void Search::Relax(std::size_t boundary, std::size_t domain, bool whole_ranges_only) {
   const double so_far = At(boundary, domain).cost;
-  if (so_far == kNever) {
+  if (so_far == kUnreachable) {
     return;
   }
   const std::uint32_t from = m_boundaries[boundary];
   const double tokens = m_size.prompt_tokens + m_size.answer_tokens;
   for (const Candidate& candidate : m_candidates) {
     const LayerRange& held = candidate.entry->layers;
-    // Whoever ran the layers before could have run these in the same part, if it had memory for
-    // both.
+    // A server that has just run the preceding layers would have run these in the same part if it
+    // had memory for both.
     const bool ran_before = At(boundary, domain).server == &candidate;
     if (ran_before || held.first > from || held.end <= from) {
       continue;
@@ -196,14 +193,14 @@
       }
       const bool whole = layer == std::min(held.end, m_engine.layers);
       const std::uint32_t layers = layer - from;
-      if ((from == 0 && !candidate.may_begin) || (whole_ranges_only && !whole) ||
+      if ((from == 0 && !candidate.can_start_request) || (whole_ranges_only && !whole) ||
           tokens * layers > candidate.free_token_layers) {
         continue;
       }
-      // Entering the first server from the callers' side takes no engine's pipe.
+      // The hop from the caller to the first server does not use the inter-domain link.
       const bool crossing = candidate.domain != domain && from > 0;
-      const double cost = so_far + Cost(candidate, layers, crossing) +
-                          (from == 0 ? CostOfBeginning(candidate) : 0.0);
+      const double cost =
+          so_far + Cost(candidate, layers, crossing) + (from == 0 ? StartCost(candidate) : 0.0);
       Step& step = At(to, candidate.domain);
       if (cost < step.cost) {
         step = {cost, boundary, domain, &candidate};
@@ -238,7 +235,7 @@
   }
   FoundPath found;
   found.expected_ms = At(boundary, domain).cost;
-  if (found.expected_ms == kNever) {
+  if (found.expected_ms == kUnreachable) {
     return std::nullopt;
   }
   while (boundary > 0) {
@@ -253,13 +250,14 @@
   return found;
 }
 
-bool VisitsTwice(const LayerPath& path) {
+bool HasRepeatedServer(const LayerPath& path) {
   std::set<BackendServerName> seen;
   return std::any_of(path.begin(), path.end(),
                      [&](const PathPart& part) { return !seen.insert(part.server).second; });
 }
 
-/** The first server of a rerouted request may have left the view; its hop is then not counted. */
+/** Counts the crossings between failure domains. Hops from or to a server that is not in the view
+    are ignored; the first server of a rerouted request may have left it. */
 double CountCrossings(const ForwardingView& view, const LayerPath& path) {
   double crossings = 0;
   const ServerEntry* previous = nullptr;
@@ -275,8 +273,8 @@
   return crossings;
 }
 
-/** `requests` run at a server that holds `held_layers`. They are spread over the stages of their
-    paths, so a pass there meets about the part of them that its layers are of all. */
+/** Returns the generation time per layer. Requests are spread over the stages of their paths, so a
+    pass processes about the share `held_layers / engine.layers` of `requests`. */
 double MsPerLayer(const EngineProfile& engine,
                   const AcceleratorProfile& accelerator,
                   const GenerationSize& size,
@@ -287,23 +285,23 @@
       engine.step_ms_per_request + engine.step_ms_per_thousand_tokens * context;
   const double in_one_pass = 1.0 + requests * static_cast<double>(held_layers) / engine.layers;
   const double step = (engine.step_ms + per_request * in_one_pass) *
-                      (1.0 + kWaitForPass * std::min(1.0, in_one_pass - 1.0));
+                      (1.0 + kPassWaitShare * std::min(1.0, in_one_pass - 1.0));
   return size.answer_tokens * step * accelerator.step_factor / engine.layers;
 }
 
-/** Prompts are read one after the other between the steps. `pace` times slower, a server may take
-    in less than arrives, and the time of steps alone does not show it. */
+/** Returns the prefill time per layer, including the wait for other prompts. Prompts are processed
+    one after the other, so a server with a high slowdown factor `pace` may become saturated. */
 double FirstEventMsPerLayer(const EngineProfile& engine,
                             const AcceleratorProfile& accelerator,
                             const GenerationSize& size,
                             double token_layers_in_use,
                             double pace) {
-  const double ms_per_token_layer = ReadingMsPerTokenLayer(engine, accelerator) * pace;
+  const double ms_per_token_layer = PrefillMsPerTokenLayer(engine, accelerator) * pace;
   const double tokens = std::max(1.0, size.prompt_tokens + size.answer_tokens);
   const double residence_ms =
-      std::max(1.0, size.answer_tokens) * engine.step_ms * kTokenTimeInSteps;
+      std::max(1.0, size.answer_tokens) * engine.step_ms * kLoadedTokenSteps;
   const double prompts_in_use = token_layers_in_use * size.prompt_tokens / tokens;
-  const double use = std::min(prompts_in_use * ms_per_token_layer / residence_ms, kMostReadingUse);
+  const double use = std::min(prompts_in_use * ms_per_token_layer / residence_ms, kMaxPrefillUse);
   return size.prompt_tokens * ms_per_token_layer / (1.0 - use);
 }
 
@@ -320,7 +318,7 @@
   return free_bytes / (engine.cache_bytes_per_token / engine.layers);
 }
 
-bool LooksFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use) {
+bool IsNearlyFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use) {
   return use.begun >= server.most_requests * kNearlyFull ||
          use.token_layers >= TokenLayerCapacity(engine, server) * kNearlyFull;
 }
@@ -354,7 +352,7 @@
         m_health.IsExcluded(name)) {
       continue;
     }
-    space.candidates.push_back(Describe(engine, accelerator->second, size, server));
+    space.candidates.push_back(MakeCandidate(engine, accelerator->second, size, server));
     space.candidates.back().domain = domain;
   }
   const std::optional<PathPart>& first = constraints.first;
@@ -362,24 +360,24 @@
     return FoundPath{{*first}, 0.0};
   }
   if (!first && !constraints.only_domain) {
-    const auto few = DrawFew(space);
-    auto found = few ? RunIn(view, engine, size, *few, first) : std::nullopt;
+    const auto sampled = SampleFirstServers(space);
+    auto found = sampled ? SearchPath(view, engine, size, *sampled, first) : std::nullopt;
     if (found) {
       return found;
     }
   }
-  return RunIn(view, engine, size, space, first);
+  return SearchPath(view, engine, size, space, first);
 }
 
-/** What the server takes for this request, by its load and what is known of it. */
-PathFinder::Candidate PathFinder::Describe(const EngineProfile& engine,
-                                           const AcceleratorProfile& accelerator,
-                                           const GenerationSize& size,
-                                           const ServerEntry& server) const {
+/** Returns the server's expected costs for this request, from its load and health. */
+PathFinder::Candidate PathFinder::MakeCandidate(const EngineProfile& engine,
+                                                const AcceleratorProfile& accelerator,
+                                                const GenerationSize& size,
+                                                const ServerEntry& server) const {
   const ServerUse use = m_loads.UseOf(server.name);
   const double pace = m_health.SlowdownFactor(server.name);
   const double slowness =
-      (1.0 + kFailurePenalty * m_health.FailureRate(server.name)) * ChanceFactor();
+      (1.0 + kFailurePenalty * m_health.FailureRate(server.name)) * JitterFactor();
   Candidate candidate;
   candidate.entry = &server;
   candidate.ms_per_layer =
@@ -387,60 +385,62 @@
   candidate.first_event_ms_per_layer =
       FirstEventMsPerLayer(engine, accelerator, size, use.token_layers, pace) * slowness;
   candidate.free_token_layers =
-      TokenLayerCapacity(engine, server) * kReservableShare - use.token_layers;
-  candidate.may_begin =
-      use.begun < server.most_requests * kBegunShare && m_limits.MaySend(server.name);
-  candidate.wait_ms = Milliseconds(m_health.FirstEventDelay(server.name));
-  candidate.has_connection = server.layers.first == 0 && m_connections.HasUnused(server.name);
+      TokenLayerCapacity(engine, server) * kMaxReservedShare - use.token_layers;
+  candidate.can_start_request =
+      use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
+  candidate.first_event_delay_ms = Milliseconds(m_health.FirstEventDelay(server.name));
+  candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
   return candidate;
 }
 
-/** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMostChance. */
-double PathFinder::ChanceFactor() const {
-  const double crowd = std::min(1.0, m_loads.OthersTrafficRatio() / kCrowd);
-  return 1.0 + kMostChance * crowd * RandomUnit(m_random);
+/** Returns a random factor between 1 and 1 + kMaxJitter that spreads the choices of instances with
+    the same load reports. Always 1 for a single instance. */
+double PathFinder::JitterFactor() const {
+  const double jitter_share = std::min(1.0, m_loads.OthersTrafficRatio() / kFullJitterInstances);
+  return 1.0 + kMaxJitter * jitter_share * RandomUnit(m_random);
 }
 
-/** Nothing if the pool is small enough to be looked at whole. */
-std::optional<PathFinder::SearchSpace> PathFinder::DrawFew(const SearchSpace& space) const {
+/** Returns nothing if the pool is small enough to be searched in full. */
+std::optional<PathFinder::SearchSpace> PathFinder::SampleFirstServers(
+    const SearchSpace& space) const {
   std::vector<std::size_t> firsts;
-  std::vector<bool> is_same_domain;
+  std::vector<bool> is_local;
   std::vector<bool> has_connection;
   for (std::size_t index = 0; index < space.candidates.size(); ++index) {
     const Candidate& candidate = space.candidates[index];
-    if (candidate.entry->layers.first == 0 && candidate.may_begin) {
+    if (candidate.entry->layers.first == 0 && candidate.can_start_request) {
       firsts.push_back(index);
-      is_same_domain.push_back(candidate.domain == space.start_domain);
+      is_local.push_back(candidate.domain == space.start_domain);
       has_connection.push_back(candidate.has_connection);
     }
   }
-  if (firsts.size() <= FirstServerSampler::kFewFirstServers) {
+  if (firsts.size() <= FirstServerSampler::kMaxUnsampledServers) {
     return std::nullopt;
   }
-  const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_same_domain, has_connection);
-  SearchSpace few = space;
+  const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_local, has_connection);
+  SearchSpace sampled = space;
   std::set<std::size_t> domains;
   for (std::size_t first = 0; first < firsts.size(); ++first) {
-    few.candidates[firsts[first]].may_begin = drawn[first];
+    sampled.candidates[firsts[first]].can_start_request = drawn[first];
     if (drawn[first]) {
-      domains.insert(few.candidates[firsts[first]].domain);
+      domains.insert(sampled.candidates[firsts[first]].domain);
     }
   }
-  std::erase_if(few.candidates,
+  std::erase_if(sampled.candidates,
                 [&](const Candidate& candidate) { return !domains.contains(candidate.domain); });
-  return few;
+  return sampled;
 }
 
-std::optional<FoundPath> PathFinder::RunIn(const ForwardingView& view,
-                                           const EngineProfile& engine,
-                                           const GenerationSize& size,
-                                           const SearchSpace& space,
-                                           const std::optional<PathPart>& first) const {
-  const double pipe_use = m_pipe.OwnUtilization() * static_cast<double>(view.live_instances);
-  Search search(engine, size, space.candidates, pipe_use);
+std::optional<FoundPath> PathFinder::SearchPath(const ForwardingView& view,
+                                                const EngineProfile& engine,
+                                                const GenerationSize& size,
+                                                const SearchSpace& space,
+                                                const std::optional<PathPart>& first) const {
+  const double link_use = m_link.OwnUtilization() * static_cast<double>(view.live_instances);
+  Search search(engine, size, space.candidates, link_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
   auto found = search.Run(first_layer, space.start_domain, space.domains.size(), false);
-  if (found && VisitsTwice(found->path)) {
+  if (found && HasRepeatedServer(found->path)) {
     found = search.Run(first_layer, space.start_domain, space.domains.size(), true);
   }
   if (!found) {
@@ -449,7 +449,7 @@
   if (first) {
     found->path.insert(found->path.begin(), *first);
   }
-  found->pipe_ms = CountCrossings(view, found->path) * PipeMsOf(engine, size);
+  found->link_ms = CountCrossings(view, found->path) * LinkTransferMs(engine, size);
   return found;
 }
 
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -6,23 +6,22 @@
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/paths/reading_time.h"
+#include "zinnia_decisions/forwarding/paths/prefill_time.h"
 
 namespace zinnia {
 namespace {
 
-/** Starting again needs another connection and the first server's queue; keeping it is one order.
- */
-constexpr double kStartAgainMs = 10.0;
+/** Cost of a restart: a new connection and the queue of another first server. */
+constexpr double kRestartMs = 10.0;
 
-/** Engines read prompts in pieces and pass each on, so later stages wait for about this part of
-   what the others read. */
-constexpr double kUnoverlappedReading = 0.3;
+/** Share of the other parts' prefill that a part waits for. The rest overlaps, as engines pass
+    prompts on in chunks. */
+constexpr double kUnoverlappedPrefill = 0.3;
 
-/** Of a stream's answer so much is there on average when its path breaks. */
-constexpr double kAnswerSoFar = 0.5;
+/** Average share of a stream's answer that is generated when its path breaks. */
+constexpr double kMeanAnswerShare = 0.5;
 
-bool Keeps(const LayerPath& kept, const PathPart& part) {
+bool ContainsPart(const LayerPath& kept, const PathPart& part) {
   return std::find(kept.begin(), kept.end(), part) != kept.end();
 }
 
@@ -38,7 +37,7 @@
 
 }  // namespace
 
-double RecoveryChooser::ReadingMs(const ForwardingView& view,
+double RecoveryChooser::PrefillMs(const ForwardingView& view,
                                   const EngineProfile& engine,
                                   const GenerationSize& size,
                                   const PathPart& part) const {
@@ -49,8 +48,8 @@
   if (accelerator == engine.accelerators.end()) {
     return 0.0;
   }
-  const double tokens = size.prompt_tokens + size.answer_tokens * kAnswerSoFar;
-  return tokens * part.layers.Count() * ReadingMsPerTokenLayer(engine, accelerator->second) *
+  const double tokens = size.prompt_tokens + size.answer_tokens * kMeanAnswerShare;
+  return tokens * part.layers.Count() * PrefillMsPerTokenLayer(engine, accelerator->second) *
          m_health.SlowdownFactor(part.server);
 }
 
@@ -60,21 +59,21 @@
                                const LayerPath& kept,
                                std::optional<FoundPath> found,
                                std::optional<RecoveryPath>& best) const {
-  if (!found || found->pipe_ms > 0) {
+  if (!found || found->link_ms > 0) {
     return;
   }
   double longest = 0.0;
   double sum = 0.0;
   for (const PathPart& part : found->path) {
-    if (Keeps(kept, part)) {
+    if (ContainsPart(kept, part)) {
       continue;
     }
-    const double reading = ReadingMs(view, engine, size, part);
-    longest = std::max(longest, m_backlog.WaitMs(part.server) + reading);
-    sum += reading;
+    const double prefill_ms = PrefillMs(view, engine, size, part);
+    longest = std::max(longest, m_backlog.WaitMs(part.server) + prefill_ms);
+    sum += prefill_ms;
   }
   const bool keeps_first = !kept.empty();
-  const double pause = longest + sum * kUnoverlappedReading + (keeps_first ? 0.0 : kStartAgainMs);
+  const double pause = longest + sum * kUnoverlappedPrefill + (keeps_first ? 0.0 : kRestartMs);
   if (!best || pause < best->expected_pause_ms) {
     best = RecoveryPath{std::move(*found), keeps_first, pause};
   }
@@ -85,7 +84,7 @@
                                                     const GenerationSize& size,
                                                     const LayerPath& present,
                                                     const std::set<BackendServerName>& avoided,
-                                                    bool may_start_again) {
+                                                    bool may_restart) {
   const auto found_service = view.rules->services.find(service);
   if (found_service == view.rules->services.end() || !found_service->second.engine) {
     return std::nullopt;
@@ -100,18 +99,18 @@
                m_paths.Find(view, service, size, domain, avoided, {present.front(), domain}), best);
     }
   }
-  if (may_start_again) {
+  if (may_restart) {
     for (const FailureDomainName& domain : DomainsOf(view, service)) {
       Consider(view, engine, size, {},
                m_paths.Find(view, service, size, domain, avoided, {std::nullopt, domain}), best);
     }
   }
   if (best) {
-    // The other instances move their streams of the same server at the same moment.
+    // The other instances reroute their streams of the lost server at the same time.
     const double instances = 1.0 + m_loads.OthersTrafficRatio();
     for (const PathPart& part : best->found.path) {
-      if (!best->keeps_first || !Keeps(present, part)) {
-        m_backlog.Add(part.server, ReadingMs(view, engine, size, part) * instances);
+      if (!best->keeps_first || !ContainsPart(present, part)) {
+        m_backlog.Add(part.server, PrefillMs(view, engine, size, part) * instances);
       }
     }
   }
--- a/packages/zinnia_decisions/forwarding/placement/domain_room.cc
+++ b/packages/zinnia_decisions/forwarding/placement/domain_capacity.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 
 #include <algorithm>
 #include <cassert>
@@ -10,13 +10,12 @@
 namespace zinnia {
 namespace {
 
-/** A layer with less than this part of the room that the layers of its failure domain usually have
-    binds all requests there: two slow engines that stand in for one fast one have room for a third
-    of the tokens that the other stages hold. */
-constexpr double kLeastShareOfUsualRoom = 0.5;
+/** A layer below this share of the median capacity limits the requests of the whole domain, for
+    example where two slow engines replace a fast one. */
+constexpr double kMinShareOfMedianCapacity = 0.5;
 
-/** Room for less than a token is none; sums are not exact. */
-constexpr double kNoRoom = 1.0;
+/** Capacity below one token counts as zero, since sums of doubles are inexact. */
+constexpr double kMinCapacityTokens = 1.0;
 
 double MedianOf(std::vector<double> values) {
   if (values.empty()) {
@@ -29,62 +28,62 @@
 
 }  // namespace
 
-DomainRoom::DomainRoom(const EngineProfile& profile,
-                       const FailureDomainName& domain,
-                       const std::vector<ServerEntry>& engines)
+DomainCapacity::DomainCapacity(const EngineProfile& profile,
+                               const FailureDomainName& domain,
+                               const std::vector<ServerEntry>& engines)
     : m_profile(profile), m_tokens(profile.layers, 0.0) {
   for (const ServerEntry& engine : engines) {
     if (engine.failure_domain != domain) {
       continue;
     }
-    const double tokens = RoomPerLayer(engine);
+    const double tokens = TokensPerLayer(engine);
     for (std::uint32_t layer = engine.layers.first;
          layer < std::min(engine.layers.end, profile.layers); ++layer) {
       m_tokens[layer] += tokens;
     }
   }
-  m_least = std::max(kNoRoom, MedianOf(m_tokens) * kLeastShareOfUsualRoom);
+  m_min_tokens = std::max(kMinCapacityTokens, MedianOf(m_tokens) * kMinShareOfMedianCapacity);
 }
 
-double DomainRoom::RoomPerLayer(const ServerEntry& engine) const {
+double DomainCapacity::TokensPerLayer(const ServerEntry& engine) const {
   const std::uint32_t count = engine.layers.Count();
   return count == 0 ? 0.0 : TokenLayerCapacity(m_profile, engine) / count;
 }
 
-std::vector<LayerRange> DomainRoom::Lacking(const LayerRange& range) const {
-  std::vector<LayerRange> lacking;
+std::vector<LayerRange> DomainCapacity::FindShortages(const LayerRange& range) const {
+  std::vector<LayerRange> shortages;
   for (std::uint32_t layer = range.first; layer < range.end && layer < m_tokens.size(); ++layer) {
-    if (m_tokens[layer] >= m_least) {
+    if (m_tokens[layer] >= m_min_tokens) {
       continue;
     }
-    if (lacking.empty() || lacking.back().end != layer) {
-      lacking.push_back({layer, layer});
+    if (shortages.empty() || shortages.back().end != layer) {
+      shortages.push_back({layer, layer});
     }
-    lacking.back().end = layer + 1;
+    shortages.back().end = layer + 1;
   }
-  return lacking;
+  return shortages;
 }
 
-bool DomainRoom::IsMostlyEmpty() const {
+bool DomainCapacity::IsMostlyUncovered() const {
   const auto empty = std::count_if(m_tokens.begin(), m_tokens.end(),
-                                   [](double tokens) { return tokens < kNoRoom; });
+                                   [](double tokens) { return tokens < kMinCapacityTokens; });
   return static_cast<std::size_t>(empty) * 2 > m_tokens.size();
 }
 
-bool DomainRoom::CanSpare(const ServerEntry& engine) const {
-  const double own = RoomPerLayer(engine);
+bool DomainCapacity::CanSpare(const ServerEntry& engine) const {
+  const double own = TokensPerLayer(engine);
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
-    if (layer >= m_tokens.size() || m_tokens[layer] - own < m_least) {
+    if (layer >= m_tokens.size() || m_tokens[layer] - own < m_min_tokens) {
       return false;
     }
   }
   return true;
 }
 
-void DomainRoom::Take(const ServerEntry& engine) {
+void DomainCapacity::Remove(const ServerEntry& engine) {
   assert(engine.layers.end <= m_tokens.size() && "an engine of another model");
   for (std::uint32_t layer = engine.layers.first; layer < engine.layers.end; ++layer) {
-    m_tokens[layer] -= RoomPerLayer(engine);
+    m_tokens[layer] -= TokensPerLayer(engine);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "zinnia_base/logging/logger.h"
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_decisions/forwarding/placement/spare_chooser.h"
 #include "zinnia_decisions/once/alive_guard.h"
 #include "zinnia_decisions/ports/layer_orders.h"
@@ -12,35 +12,35 @@
 namespace zinnia {
 namespace {
 
-/** A pool is planned whole only when no engine has come for this long: engines of one start
-   register within a second, and a plan for the first few would fit none of the rest. */
+/** The first plan of a pool waits until no engine has registered for this long, so that it includes
+    all engines of a simultaneous start. */
 constexpr Duration kSettleTime = std::chrono::milliseconds(700);
 
-/** After this an order without an answer is sent again. */
-constexpr Duration kOrderAgainAfter = std::chrono::seconds(2);
+/** Time until an unanswered order is sent again. */
+constexpr Duration kOrderRetryInterval = std::chrono::seconds(2);
 
-/** After this an accepted order that shows no effect is sent again; the longest loads take four
-    seconds, twice that when five share the weights' store. */
-constexpr Duration kAcceptedAgainAfter = std::chrono::seconds(9);
+/** Time until an accepted order without effect is sent again. Twice the longest load time, as
+    engines that load at the same time share the bandwidth of the weight store. */
+constexpr Duration kAcceptedOrderRetryInterval = std::chrono::seconds(9);
 
-/** A vacant range is shared out among spares after this time: a crashed engine is back in some four
-    seconds and then loads for three, while spares load small ranges in less than one. */
-constexpr Duration kRepairAfter = std::chrono::milliseconds(400);
+/** Time until spares cover an uncovered range. Spares load small ranges in less than a second, a
+    restarted engine takes several. */
+constexpr Duration kRepairDelay = std::chrono::milliseconds(400);
 
-/** Layers without a holder for this long are vacant, though nobody was seen to leave: an engine
-   that changes its layers shows none for less. */
-constexpr Duration kGapBelieved = std::chrono::milliseconds(1'000);
+/** Time after which layers without a holder count as uncovered if no engine was seen to leave.
+    Longer than an engine shows no layers while it changes them. */
+constexpr Duration kGapDelay = std::chrono::milliseconds(1'000);
 
-/** The same while an engine of the failure domain holds nothing: it may be loading them, for an
-    earlier holder of the orders, and the longest loads take four seconds. */
-constexpr Duration kGapBesideEmptyEngine = std::chrono::seconds(5);
+/** The same while an engine of the failure domain holds no layers: it may be loading them on an
+    order of the previous holder. Longer than the longest load. */
+constexpr Duration kGapDelayWithEmptyEngine = std::chrono::seconds(5);
 
-/** An engine that comes while nothing is vacant waits so long for a range: when engines are
-   replaced, the new one comes first and the old one leaves a moment later. */
-constexpr Duration kWaitForVacancy = std::chrono::milliseconds(1'500);
+/** Time that a new engine waits for a range to become uncovered. In a replacement the new engine
+    registers shortly before the old one leaves. */
+constexpr Duration kReplacementWait = std::chrono::milliseconds(1'500);
 
-/** Old vacancies go when there are more; no pool waits for so many replacements. */
-constexpr std::size_t kMostVacancies = 64;
+/** Limit on the recorded ranges; the oldest is dropped first. */
+constexpr std::size_t kMaxUncoveredRanges = 64;
 
 }  // namespace
 
@@ -78,12 +78,12 @@
       servers.push_back(server);
     }
   }
-  NoteVacancies(view);
-  m_seen.clear();
+  DetectDepartures(view);
+  m_last_servers.clear();
   std::erase_if(m_empty_since,
                 [&](const auto& entry) { return !view.servers.contains(entry.first); });
   for (const ServerEntry& server : servers) {
-    m_seen[server.name] = server;
+    m_last_servers[server.name] = server;
   }
   if (!MayOrder() || !IsSettled(servers)) {
     return;
@@ -97,44 +97,45 @@
          (m_settings.engines_check_fencing || m_parts.clock.Now() >= m_role.UncheckedFrom());
 }
 
-void LayerPlacer::NoteVacancies(const ForwardingView& view) {
-  for (const auto& [name, server] : m_seen) {
+void LayerPlacer::DetectDepartures(const ForwardingView& view) {
+  for (const auto& [name, server] : m_last_servers) {
     const auto now = view.servers.find(name);
     if (now != view.servers.end() && !now->second.draining) {
-      NoteEmptied(server, now->second);
+      RestoreLayersOf(server, now->second);
       continue;
     }
     const auto assigned = m_assignments.find(name);
-    ServerEntry left = server;
+    ServerEntry last_holder = server;
     if (assigned != m_assignments.end()) {
-      left.layers = assigned->second.layers;
+      last_holder.layers = assigned->second.layers;
       m_assignments.erase(assigned);
     }
-    // A stalled engine's range was given out when it fell silent.
-    bool known_vacant = m_stalled.erase(name) > 0;
-    for (Vacancy& vacancy : m_vacancies) {
-      if (vacancy.taken_by == name) {
-        vacancy.taken_by.reset();
-        known_vacant = true;
+    // The range of a stalled engine was already recorded when it stalled.
+    bool already_recorded = m_stalled.erase(name) > 0;
+    for (UncoveredRange& uncovered_range : m_uncovered) {
+      if (uncovered_range.assigned_to == name) {
+        uncovered_range.assigned_to.reset();
+        already_recorded = true;
       }
     }
-    if (left.layers.Count() > 0 && !known_vacant) {
-      m_vacancies.push_back({std::move(left), m_parts.clock.Now(), {}});
+    if (last_holder.layers.Count() > 0 && !already_recorded) {
+      m_uncovered.push_back({std::move(last_holder), m_parts.clock.Now(), {}});
     }
-    m_repairing.erase(name);
-    m_extras.erase(name);
-    for (Vacancy& vacancy : m_vacancies) {
-      std::erase(vacancy.shared_by, name);
+    m_layers_before_repair.erase(name);
+    m_late_engines.erase(name);
+    for (UncoveredRange& uncovered_range : m_uncovered) {
+      std::erase(uncovered_range.spares, name);
     }
   }
-  if (m_vacancies.size() > kMostVacancies) {
-    m_vacancies.erase(m_vacancies.begin());
+  if (m_uncovered.size() > kMaxUncoveredRanges) {
+    m_uncovered.erase(m_uncovered.begin());
   }
 }
 
-/** A server that held layers holds none: it started again while the store is away, so that only its
-    own word shows it. Its range would wait as a gap for seconds; it is to have it back at once. */
-void LayerPlacer::NoteEmptied(const ServerEntry& before, const ServerEntry& now) {
+/** Assigns an engine that has become empty its previous layers at once. During a store outage only
+    the engine's own report shows that it restarted; its range would otherwise count as a gap only
+    seconds later. */
+void LayerPlacer::RestoreLayersOf(const ServerEntry& before, const ServerEntry& now) {
   if (before.layers.Count() == 0 || now.layers.Count() > 0) {
     return;
   }
@@ -150,150 +151,153 @@
   const bool any_holds = std::any_of(servers.begin(), servers.end(), [](const ServerEntry& server) {
     return server.layers.Count() > 0;
   });
-  if (servers.size() != m_last_count) {
-    m_last_count = servers.size();
-    m_last_change = m_parts.clock.Now();
+  if (servers.size() != m_last_server_count) {
+    m_last_server_count = servers.size();
+    m_server_count_changed_at = m_parts.clock.Now();
   }
-  return any_holds || m_parts.clock.Now() - m_last_change >= kSettleTime;
+  return any_holds || m_parts.clock.Now() - m_server_count_changed_at >= kSettleTime;
 }
 
-bool LayerPlacer::IsVacant(const FailureDomainName& domain, const LayerRange& layers) const {
-  return std::any_of(m_vacancies.begin(), m_vacancies.end(), [&](const Vacancy& vacancy) {
-    return vacancy.left.failure_domain == domain && vacancy.left.layers.first < layers.end &&
-           layers.first < vacancy.left.layers.end;
-  });
+bool LayerPlacer::IsUncovered(const FailureDomainName& domain, const LayerRange& layers) const {
+  return std::any_of(m_uncovered.begin(), m_uncovered.end(),
+                     [&](const UncoveredRange& uncovered_range) {
+                       return uncovered_range.last_holder.failure_domain == domain &&
+                              uncovered_range.last_holder.layers.first < layers.end &&
+                              layers.first < uncovered_range.last_holder.layers.end;
+                     });
 }
 
-/** Finds vacancies that this instance has not seen arise: an engine left while nobody held the
-    orders, or before the holder started. One missing layer takes a whole failure domain's chain out
-    of service, and nothing else would show it. */
-void LayerPlacer::NoteGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers) {
+/** Records uncovered ranges whose holder this instance did not see leave, because it left while no
+    instance held the order role or before this one acquired it. A single missing layer takes the
+    chain of the failure domain out of service. */
+void LayerPlacer::DetectGaps(const EngineProfile& engine, const std::vector<ServerEntry>& servers) {
   const TimePoint now = m_parts.clock.Now();
   std::map<FailureDomainName, bool> has_empty;
   for (const ServerEntry& server : servers) {
     const bool is_empty = server.layers.Count() == 0;
     has_empty[server.failure_domain] = has_empty[server.failure_domain] || is_empty;
   }
-  std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> still;
-  const std::vector<ServerEntry> planned = Planned(servers);
-  for (const auto& [domain, empty_engine] : has_empty) {
-    const DomainRoom room(engine, domain, planned);
-    // A domain with few layers has its chains together with others.
-    const auto gaps =
-        room.IsMostlyEmpty() ? std::vector<LayerRange>() : room.Lacking({0, engine.layers});
+  std::map<std::pair<FailureDomainName, std::uint32_t>, TimePoint> remaining_gaps;
+  const std::vector<ServerEntry> planned = WithPlannedLayers(servers);
+  for (const auto& [domain, has_empty_engine] : has_empty) {
+    const DomainCapacity capacity(engine, domain, planned);
+    // A domain that holds few layers forms chains with other domains.
+    const auto gaps = capacity.IsMostlyUncovered() ? std::vector<LayerRange>()
+                                                   : capacity.FindShortages({0, engine.layers});
     for (const LayerRange& gap : gaps) {
-      if (IsVacant(domain, gap)) {
+      if (IsUncovered(domain, gap)) {
         continue;
       }
       const auto key = std::make_pair(domain, gap.first);
       const auto known = m_gaps_since.find(key);
       const TimePoint since = known == m_gaps_since.end() ? now : known->second;
-      if (now - since < (empty_engine ? kGapBesideEmptyEngine : kGapBelieved)) {
-        still[key] = since;
+      if (now - since < (has_empty_engine ? kGapDelayWithEmptyEngine : kGapDelay)) {
+        remaining_gaps[key] = since;
         continue;
       }
-      ServerEntry left;
-      left.service = m_service;
-      left.failure_domain = domain;
-      left.layers = gap;
+      ServerEntry last_holder;
+      last_holder.service = m_service;
+      last_holder.failure_domain = domain;
+      last_holder.layers = gap;
       m_logger.Log(LogLevel::kInfo, "layers_missing",
                    {{"failure_domain", domain},
                     {"layers", std::to_string(gap.first) + "-" + std::to_string(gap.end)}});
-      m_vacancies.push_back({std::move(left), now, {}});
+      m_uncovered.push_back({std::move(last_holder), now, {}});
     }
   }
-  m_gaps_since = std::move(still);
+  m_gaps_since = std::move(remaining_gaps);
 }
 
-/** A server that came back after a crash, or its replacement, takes the range that was left, also
-    when slower ones share it by now: they are spares again. A server that started again goes first
-    for what it held itself: its neighbours are fitted to that range. */
-void LayerPlacer::AssignVacated(const std::vector<ServerEntry>& servers) {
+/** Assigns uncovered ranges to restarted or new engines, also if spares cover them. Restarted
+    engines get their own ranges back first, so that the ranges of a chain keep fitting together. */
+void LayerPlacer::AssignUncovered(const std::vector<ServerEntry>& servers) {
   const auto is_free = [&](const ServerEntry& server) {
     return server.layers.Count() == 0 && !m_assignments.contains(server.name);
   };
   for (const ServerEntry& server : servers) {
     const auto own =
-        std::find_if(m_vacancies.begin(), m_vacancies.end(), [&](const Vacancy& candidate) {
-          return !candidate.taken_by && !server.registration.empty() &&
-                 candidate.left.registration == server.registration;
+        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
+          return !candidate.assigned_to && !server.registration.empty() &&
+                 candidate.last_holder.registration == server.registration;
         });
-    if (is_free(server) && own != m_vacancies.end()) {
-      TakeOver(server, *own);
+    if (is_free(server) && own != m_uncovered.end()) {
+      AssignRange(server, *own);
     }
   }
   for (const ServerEntry& server : servers) {
     if (!is_free(server)) {
       continue;
     }
-    const auto vacancy =
-        std::find_if(m_vacancies.begin(), m_vacancies.end(), [&](const Vacancy& candidate) {
-          return !candidate.taken_by && candidate.left.accelerator == server.accelerator &&
-                 candidate.left.failure_domain == server.failure_domain;
+    const auto uncovered_range =
+        std::find_if(m_uncovered.begin(), m_uncovered.end(), [&](const UncoveredRange& candidate) {
+          return !candidate.assigned_to &&
+                 candidate.last_holder.accelerator == server.accelerator &&
+                 candidate.last_holder.failure_domain == server.failure_domain;
         });
-    if (vacancy != m_vacancies.end()) {
-      TakeOver(server, *vacancy);
+    if (uncovered_range != m_uncovered.end()) {
+      AssignRange(server, *uncovered_range);
     }
   }
 }
 
-void LayerPlacer::TakeOver(const ServerEntry& server, Vacancy& vacancy) {
-  m_assignments[server.name].layers = vacancy.left.layers;
-  vacancy.taken_by = server.name;
+void LayerPlacer::AssignRange(const ServerEntry& server, UncoveredRange& uncovered_range) {
+  m_assignments[server.name].layers = uncovered_range.last_holder.layers;
+  uncovered_range.assigned_to = server.name;
 }
 
-/** Loading a range takes up to four seconds. Until then the spares stand in for it: sent back when
-   the order went out, they left a range without a holder for as long. */
-void LayerPlacer::EndVacanciesThatAreLoaded(const std::vector<ServerEntry>& servers) {
+/** Drops ranges that their new holder has loaded and returns their spares. The spares stay until
+    then, since a load takes seconds. */
+void LayerPlacer::RemoveLoadedRanges(const std::vector<ServerEntry>& servers) {
   for (const ServerEntry& server : servers) {
-    std::erase_if(m_vacancies, [&](const Vacancy& vacancy) {
-      const bool is_loaded =
-          vacancy.taken_by == server.name && server.layers == vacancy.left.layers;
+    std::erase_if(m_uncovered, [&](const UncoveredRange& uncovered_range) {
+      const bool is_loaded = uncovered_range.assigned_to == server.name &&
+                             server.layers == uncovered_range.last_holder.layers;
       if (is_loaded) {
-        SendSparesBack(vacancy);
+        RestoreSpares(uncovered_range);
       }
       return is_loaded;
     });
   }
 }
 
-/** What they held before is what others may need next; left where they are, each loss would leave
-   the pool with fewer holders of some layer. */
-void LayerPlacer::SendSparesBack(const Vacancy& vacancy) {
-  for (const BackendServerName& name : vacancy.shared_by) {
-    const auto spare = m_repairing.find(name);
-    if (spare != m_repairing.end()) {
+/** Assigns spares their previous layers, so that the pool keeps its second holders for later
+    losses. */
+void LayerPlacer::RestoreSpares(const UncoveredRange& uncovered_range) {
+  for (const BackendServerName& name : uncovered_range.spares) {
+    const auto spare = m_layers_before_repair.find(name);
+    if (spare != m_layers_before_repair.end()) {
       m_assignments[name] = {spare->second, {}, false};
-      m_repairing.erase(spare);
+      m_layers_before_repair.erase(spare);
     }
   }
 }
 
 void LayerPlacer::NoteStalled(const BackendServerName& server) {
-  const auto seen = m_seen.find(server);
-  if (seen == m_seen.end() || seen->second.layers.Count() == 0 ||
+  const auto seen = m_last_servers.find(server);
+  if (seen == m_last_servers.end() || seen->second.layers.Count() == 0 ||
       !m_stalled.insert(server).second) {
     return;
   }
-  m_vacancies.push_back({seen->second, m_parts.clock.Now(), {}});
+  m_uncovered.push_back({seen->second, m_parts.clock.Now(), {}});
 }
 
 void LayerPlacer::RepairWithSpares(const EngineProfile& engine,
                                    const std::vector<ServerEntry>& servers) {
-  for (Vacancy& vacancy : m_vacancies) {
-    if (m_parts.clock.Now() - vacancy.since < kRepairAfter) {
+  for (UncoveredRange& uncovered_range : m_uncovered) {
+    if (m_parts.clock.Now() - uncovered_range.since < kRepairDelay) {
       continue;
     }
-    // Where others of the failure domain hold the layers too and have room, requests go on there,
-    // and moving engines would only take layers from others.
-    const DomainRoom room(engine, vacancy.left.failure_domain, Planned(servers));
-    for (const LayerRange& missing : room.Lacking(vacancy.left.layers)) {
-      ShareOut(vacancy, missing, engine, servers);
+    // Layers that other engines of the failure domain hold with enough capacity need no spares.
+    const DomainCapacity capacity(engine, uncovered_range.last_holder.failure_domain,
+                                  WithPlannedLayers(servers));
+    for (const LayerRange& missing : capacity.FindShortages(uncovered_range.last_holder.layers)) {
+      DivideRange(uncovered_range, missing, engine, servers);
     }
   }
 }
 
-std::vector<ServerEntry> LayerPlacer::Planned(const std::vector<ServerEntry>& servers) const {
+std::vector<ServerEntry> LayerPlacer::WithPlannedLayers(
+    const std::vector<ServerEntry>& servers) const {
   std::vector<ServerEntry> planned;
   for (const ServerEntry& server : servers) {
     if (!m_stalled.contains(server.name)) {
@@ -304,28 +308,29 @@
   return planned;
 }
 
-/** The layers that it holds, or is to hold. */
+/** Returns the layers that the server is assigned, else those it holds. */
 LayerRange LayerPlacer::PlannedLayers(const ServerEntry& server) const {
   const auto assigned = m_assignments.find(server.name);
   return assigned == m_assignments.end() ? server.layers : assigned->second.layers;
 }
 
-void LayerPlacer::ShareOut(Vacancy& vacancy,
-                           const LayerRange& missing,
-                           const EngineProfile& engine,
-                           const std::vector<ServerEntry>& servers) {
-  SparePool pool{Planned(servers), {}, m_extras};
+void LayerPlacer::DivideRange(UncoveredRange& uncovered_range,
+                              const LayerRange& missing,
+                              const EngineProfile& engine,
+                              const std::vector<ServerEntry>& servers) {
+  SparePool pool{WithPlannedLayers(servers), {}, m_late_engines};
   std::map<BackendServerName, LayerRange> held;
   for (const ServerEntry& server : servers) {
     held[server.name] = server.layers;
-    if (server.layers.Count() == 0 || m_repairing.contains(server.name)) {
+    if (server.layers.Count() == 0 || m_layers_before_repair.contains(server.name)) {
       pool.busy.insert(server.name);
     }
   }
-  for (const SpareShare& share : SpareChooser::ShareOut(engine, pool, vacancy.left, missing)) {
+  for (const SpareShare& share :
+       SpareChooser::DivideRange(engine, pool, uncovered_range.last_holder, missing)) {
     m_assignments[share.server] = {share.layers, {}, false};
-    m_repairing[share.server] = held.at(share.server);
-    vacancy.shared_by.push_back(share.server);
+    m_layers_before_repair[share.server] = held.at(share.server);
+    uncovered_range.spares.push_back(share.server);
   }
 }
 
@@ -340,9 +345,9 @@
     }
     return;
   }
-  EndVacanciesThatAreLoaded(servers);
-  NoteGaps(engine, servers);
-  AssignVacated(servers);
+  RemoveLoadedRanges(servers);
+  DetectGaps(engine, servers);
+  AssignUncovered(servers);
   RepairWithSpares(engine, servers);
   std::vector<ServerEntry> holders;
   for (const ServerEntry& server : servers) {
@@ -359,11 +364,11 @@
       continue;
     }
     const TimePoint since = m_empty_since.emplace(server.name, m_parts.clock.Now()).first->second;
-    if (m_parts.clock.Now() - since < kWaitForVacancy) {
+    if (m_parts.clock.Now() - since < kReplacementWait) {
       continue;
     }
     if (const auto range = LayerPlanner::RangeFor(engine, server, holders)) {
-      m_extras.insert(server.name);
+      m_late_engines.insert(server.name);
       m_assignments[server.name].layers = *range;
       holders.push_back(server);
       holders.back().layers = *range;
@@ -379,7 +384,7 @@
       continue;
     }
     Assignment& assignment = found->second;
-    const Duration again = assignment.accepted ? kAcceptedAgainAfter : kOrderAgainAfter;
+    const Duration again = assignment.accepted ? kAcceptedOrderRetryInterval : kOrderRetryInterval;
     const bool due = !assignment.sent_at || now - *assignment.sent_at >= again;
     if (!due || !MayOrder()) {
       continue;
@@ -395,12 +400,12 @@
                   {"fencing_number", std::to_string(m_role.Epoch())}});
     m_orders.Place(server, assignment.layers, m_role.Epoch(),
                    WhileAlive(m_alive, [this, name = server.name](const Result<void>& result) {
-                     OnAnswer(name, result);
+                     OnOrderResult(name, result);
                    }));
   }
 }
 
-void LayerPlacer::OnAnswer(const BackendServerName& server, const Result<void>& result) {
+void LayerPlacer::OnOrderResult(const BackendServerName& server, const Result<void>& result) {
   const auto found = m_assignments.find(server);
   if (result) {
     if (found != m_assignments.end()) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_planner.cc
@@ -13,21 +13,20 @@
 namespace zinnia {
 namespace {
 
-/** A chain is worth forming when its memory is this many times the weights: what is left holds
-    requests, and a chain without room serves nobody. */
-constexpr double kLeastMemoryOverWeights = 1.25;
+/** Smallest ratio of memory to weights of a chain. The memory beyond the weights holds requests. */
+constexpr double kMinMemoryToWeights = 1.25;
 
-/** Chains of so many times the weights' memory, where a group has enough for several. One chain of
-    everything leaves more memory for requests, but they all begin at one engine, which takes only
-   so many, and pass through more stages; a lost stage stops them all. */
-constexpr double kGoodMemoryOverWeights = 1.6;
+/** Ratio of memory to weights at which a group is split into several chains. A single large chain
+    has more memory for requests, but is limited by its first engine, has more hops, and fails as a
+    whole. */
+constexpr double kTargetMemoryToWeights = 1.6;
 
-/** The part of a late engine's memory that weights may take; about what planned chains have. */
-constexpr double kWeightShareOfSpare = 0.6;
+/** Share of a late engine's memory used for weights. About that of planned chains. */
+constexpr double kLateEngineWeightShare = 0.6;
 
-/** The same for an engine that holds ranges of its failure domain's chain a second time. The more
-    layers, the more losses it stands in for; what is left must hold the requests of one chain. */
-constexpr double kWeightShareOfSecondHolder = 0.82;
+/** Share of a second holder's memory used for weights. More layers cover more losses; the rest must
+    hold the requests of one chain. */
+constexpr double kSecondHolderWeightShare = 0.82;
 
 using Chain = std::vector<const ServerEntry*>;
 
@@ -47,11 +46,11 @@
       [&](double sum, const ServerEntry* server) { return sum + MemoryOf(engine, *server); });
 }
 
-bool IsEnough(const EngineProfile& engine, const Chain& chain) {
-  return MemoryOf(engine, chain) >= kLeastMemoryOverWeights * engine.layers * engine.layer_mb;
+bool CanFormChain(const EngineProfile& engine, const Chain& chain) {
+  return MemoryOf(engine, chain) >= kMinMemoryToWeights * engine.layers * engine.layer_mb;
 }
 
-std::uint32_t MostLayers(const EngineProfile& engine, const ServerEntry& server) {
+std::uint32_t MaxLayers(const EngineProfile& engine, const ServerEntry& server) {
   if (engine.layer_mb <= 0) {
     return engine.layers;
   }
@@ -64,7 +63,7 @@
   }
 }
 
-/** Splits all layers over the chain by memory, whole layers, never more than fit. */
+/** Distributes all layers over the chain in proportion to memory, without exceeding any engine. */
 LayerPlanner::Ranges SplitLayers(const EngineProfile& engine, const Chain& chain) {
   const double memory = MemoryOf(engine, chain);
   LayerPlanner::Ranges ranges;
@@ -73,8 +72,7 @@
   for (std::size_t index = 0; index < chain.size(); ++index) {
     exact_end += engine.layers * MemoryOf(engine, *chain[index]) / memory;
     auto end = static_cast<std::uint32_t>(std::lround(exact_end));
-    end =
-        std::clamp(end, first, std::min(first + MostLayers(engine, *chain[index]), engine.layers));
+    end = std::clamp(end, first, std::min(first + MaxLayers(engine, *chain[index]), engine.layers));
     if (index + 1 == chain.size()) {
       end = engine.layers;
     }
@@ -86,33 +84,32 @@
   return ranges;
 }
 
-/** Takes whole groups of equal accelerators, the fastest first, until the chain is large enough. */
+/** Takes whole groups of equal accelerators, fastest first, until they can form a chain. Returns an
+    empty chain if they cannot. */
 Chain TakeChain(const EngineProfile& engine, Chain& pool) {
   std::stable_sort(pool.begin(), pool.end(), [&](const auto* left, const auto* right) {
     return AcceleratorOf(engine, *left)->step_factor < AcceleratorOf(engine, *right)->step_factor;
   });
   Chain chain;
   std::size_t taken = 0;
-  while (taken < pool.size() && !IsEnough(engine, chain)) {
+  while (taken < pool.size() && !CanFormChain(engine, chain)) {
     const std::string& group = pool[taken]->accelerator;
     while (taken < pool.size() && pool[taken]->accelerator == group) {
       chain.push_back(pool[taken++]);
     }
   }
-  if (!IsEnough(engine, chain)) {
+  if (!CanFormChain(engine, chain)) {
     return {};
   }
   pool.erase(pool.begin(), pool.begin() + static_cast<std::ptrdiff_t>(taken));
   return chain;
 }
 
-/** Deals the engines of a group out to as many chains as it has good memory for, the fast ones
- * evenly.
- */
+/** Splits a group into as many chains as its memory allows, balanced by memory. */
 std::vector<Chain> SplitGroup(const EngineProfile& engine, const Chain& group) {
   const double weights = engine.layers * engine.layer_mb;
   const auto count = std::max<std::size_t>(
-      1, static_cast<std::size_t>(MemoryOf(engine, group) / (kGoodMemoryOverWeights * weights)));
+      1, static_cast<std::size_t>(MemoryOf(engine, group) / (kTargetMemoryToWeights * weights)));
   std::vector<Chain> chains(count);
   for (const ServerEntry* server : group) {
     const auto smallest =
@@ -124,8 +121,8 @@
   return chains;
 }
 
-/** Where second holders of `count` layers stand in for most of the chain's stages. Of equal places
-    the one whose layers the pool holds least often. */
+/** Returns the first layer at which second holders of `count` layers cover the most stages. Ties go
+    to the layers with the fewest holders. */
 std::uint32_t BestFirstLayer(const EngineProfile& engine,
                              const std::vector<LayerRange>& stages,
                              const std::vector<std::uint32_t>& holders,
@@ -149,8 +146,8 @@
   return best;
 }
 
-/** Ranges for the engines that a failure domain has beside its chains: its layers a second time, as
-    many of them as fit. */
+/** Returns ranges for the engines left over in a failure domain with chains: as many of its layers
+    as fit, each once. */
 LayerPlanner::Ranges PlanSecondHolders(const EngineProfile& engine,
                                        const Chain& left_over,
                                        const std::vector<LayerRange>& stages,
@@ -158,7 +155,7 @@
   std::vector<std::uint32_t> most;
   std::uint32_t sum = 0;
   for (const ServerEntry* server : left_over) {
-    const double share = MemoryOf(engine, *server) * kWeightShareOfSecondHolder / engine.layer_mb;
+    const double share = MemoryOf(engine, *server) * kSecondHolderWeightShare / engine.layer_mb;
     most.push_back(std::min(static_cast<std::uint32_t>(share), engine.layers));
     sum += most.back();
   }
@@ -179,18 +176,18 @@
   return ranges;
 }
 
-/** For each layer the tokens that its holders have room for together. */
-std::vector<double> RoomByLayer(const EngineProfile& engine,
-                                const std::vector<ServerEntry>& holders) {
-  std::vector<double> room(engine.layers, 0.0);
+/** Returns the token capacity of each layer over all holders. */
+std::vector<double> CapacityByLayer(const EngineProfile& engine,
+                                    const std::vector<ServerEntry>& holders) {
+  std::vector<double> capacity(engine.layers, 0.0);
   for (const ServerEntry& holder : holders) {
     const std::uint32_t count = holder.layers.Count();
     for (std::uint32_t layer = holder.layers.first;
          count > 0 && layer < std::min(holder.layers.end, engine.layers); ++layer) {
-      room[layer] += TokenLayerCapacity(engine, holder) / count;
+      capacity[layer] += TokenLayerCapacity(engine, holder) / count;
     }
   }
-  return room;
+  return capacity;
 }
 
 }  // namespace
@@ -199,7 +196,7 @@
                                             const std::vector<ServerEntry>& servers) {
   std::map<FailureDomainName, Chain> by_domain;
   for (const ServerEntry& server : servers) {
-    if (MostLayers(engine, server) > 0) {
+    if (MaxLayers(engine, server) > 0) {
       by_domain[server.failure_domain].push_back(&server);
     }
   }
@@ -235,9 +232,9 @@
       CountHolders(range, holder_counts);
     }
   }
-  // What is left in single failure domains forms chains across them, in the order of the domains,
-  // so that a token crosses between them as rarely as possible.
-  if (IsEnough(engine, rest)) {
+  // Engines left over in domains without a chain form chains across domains, ordered by domain to
+  // keep crossings few.
+  if (CanFormChain(engine, rest)) {
     for (const Chain& part : SplitGroup(engine, rest)) {
       place(part);
     }
@@ -262,13 +259,13 @@
 std::optional<LayerRange> LayerPlanner::RangeFor(const EngineProfile& engine,
                                                  const ServerEntry& server,
                                                  const std::vector<ServerEntry>& holders) {
-  const std::uint32_t most = std::min(MostLayers(engine, server), engine.layers);
+  const std::uint32_t most = std::min(MaxLayers(engine, server), engine.layers);
   if (most == 0) {
     return std::nullopt;
   }
-  const auto usual = static_cast<std::uint32_t>(most * kWeightShareOfSpare);
+  const auto usual = static_cast<std::uint32_t>(most * kLateEngineWeightShare);
   const std::uint32_t count = std::clamp(usual, 1U, most);
-  const std::vector<double> room = RoomByLayer(engine, holders);
+  const std::vector<double> capacity = CapacityByLayer(engine, holders);
   std::set<std::uint32_t> starts = {0, engine.layers - count};
   for (const ServerEntry& holder : holders) {
     if (holder.layers.Count() == 0) {
@@ -282,7 +279,7 @@
   for (const std::uint32_t start : starts) {
     double needed = 0.0;
     for (std::uint32_t layer = start; layer < start + count; ++layer) {
-      needed += 1.0 / (1.0 + room[layer]);
+      needed += 1.0 / (1.0 + capacity[layer]);
     }
     if (needed > most_needed) {
       most_needed = needed;
--- a/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/placement/spare_chooser.cc
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <cmath>
 
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_world/forwarding/engine_profile.h"
 
 namespace zinnia {
 namespace {
 
-/** Part of a spare's memory that weights of a vacant range may take at first choice, and at most.
-    A spare that takes a range alone may fill its memory as its last holder did. */
-constexpr double kUsualWeightShare = 0.5;
-constexpr double kMostWeightShare = 0.8;
-constexpr double kWholeMemory = 1.0;
+/** Shares of a spare's memory that the weights of a missing range may take: the target, the upper
+    limit, and the share for a spare that covers the range alone. */
+constexpr double kTargetWeightShare = 0.5;
+constexpr double kMaxWeightShare = 0.8;
+constexpr double kLoneSpareWeightShare = 1.0;
 
 using Spares = std::vector<const ServerEntry*>;
 
@@ -22,30 +22,30 @@
   return found == profile.accelerators.end() ? 0.0 : found->second.step_factor;
 }
 
-bool IsWorthTaking(const EngineProfile& profile,
-                   const SparePool& pool,
-                   const ServerEntry& left,
-                   const ServerEntry& engine) {
-  const bool is_slower = StepFactor(profile, engine) > StepFactor(profile, left);
-  return engine.failure_domain == left.failure_domain && engine.layers.Count() > 0 &&
-         !pool.busy.contains(engine.name) && (is_slower || pool.extras.contains(engine.name));
+bool IsCandidate(const EngineProfile& profile,
+                 const SparePool& pool,
+                 const ServerEntry& lost,
+                 const ServerEntry& engine) {
+  const bool is_slower = StepFactor(profile, engine) > StepFactor(profile, lost);
+  return engine.failure_domain == lost.failure_domain && engine.layers.Count() > 0 &&
+         !pool.busy.contains(engine.name) && (is_slower || pool.late_engines.contains(engine.name));
 }
 
-Spares SparesFor(const EngineProfile& profile, const SparePool& pool, const ServerEntry& left) {
+Spares SparesFor(const EngineProfile& profile, const SparePool& pool, const ServerEntry& lost) {
   Spares candidates;
   for (const ServerEntry& engine : pool.engines) {
-    if (IsWorthTaking(profile, pool, left, engine)) {
+    if (IsCandidate(profile, pool, lost, engine)) {
       candidates.push_back(&engine);
     }
   }
   std::stable_sort(candidates.begin(), candidates.end(), [&](const auto* one, const auto* other) {
     return StepFactor(profile, *one) > StepFactor(profile, *other);
   });
-  DomainRoom room(profile, left.failure_domain, pool.engines);
+  DomainCapacity capacity(profile, lost.failure_domain, pool.engines);
   std::erase_if(candidates, [&](const ServerEntry* engine) {
-    const bool is_needed = !room.CanSpare(*engine);
+    const bool is_needed = !capacity.CanSpare(*engine);
     if (!is_needed) {
-      room.Take(*engine);
+      capacity.Remove(*engine);
     }
     return is_needed;
   });
@@ -54,25 +54,25 @@
 
 }  // namespace
 
-std::vector<SpareShare> SpareChooser::ShareOut(const EngineProfile& profile,
-                                               const SparePool& pool,
-                                               const ServerEntry& left,
-                                               const LayerRange& missing) {
-  Spares spares = SparesFor(profile, pool, left);
-  const auto alike = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
-    return spare->accelerator == left.accelerator;
+std::vector<SpareShare> SpareChooser::DivideRange(const EngineProfile& profile,
+                                                  const SparePool& pool,
+                                                  const ServerEntry& lost,
+                                                  const LayerRange& missing) {
+  Spares spares = SparesFor(profile, pool, lost);
+  const auto same_kind = std::find_if(spares.begin(), spares.end(), [&](const ServerEntry* spare) {
+    return spare->accelerator == lost.accelerator;
   });
-  const bool alone = alike != spares.end();
-  if (alone) {
-    spares = {*alike};
+  const bool covers_alone = same_kind != spares.end();
+  if (covers_alone) {
+    spares = {*same_kind};
   }
   if (spares.empty()) {
     return {};
   }
   const double weights = missing.Count() * profile.layer_mb;
   const double memory = profile.accelerators.at(spares.front()->accelerator).memory_mb;
-  const double usual = memory * (alone ? kWholeMemory : kUsualWeightShare);
-  const double most = memory * (alone ? kWholeMemory : kMostWeightShare);
+  const double usual = memory * (covers_alone ? kLoneSpareWeightShare : kTargetWeightShare);
+  const double most = memory * (covers_alone ? kLoneSpareWeightShare : kMaxWeightShare);
   const auto wanted = static_cast<std::size_t>(std::ceil(weights / usual));
   const std::size_t count = std::min(wanted, spares.size());
   if (weights > static_cast<double>(count) * most) {
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -14,7 +14,7 @@
 #include "zinnia_base/time/virtual_time.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
-#include "zinnia_decisions/forwarding/paths/kept_connections.h"
+#include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/ports/layer_orders.h"
 #include "zinnia_decisions/ports/platform_store.h"
 
@@ -189,10 +189,8 @@
 };
 
 /** Reports unused connections to the servers in `servers`. */
-struct NamedConnections final : KeptConnections {
-  bool HasUnused(const BackendServerName& server) const override {
-    return servers.contains(server);
-  }
+struct NamedConnections final : IdleConnections {
+  bool HasIdle(const BackendServerName& server) const override { return servers.contains(server); }
   std::set<BackendServerName> servers;
 };
 
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -47,8 +47,8 @@
     }
   }
 
-  /** Engines hold what they were ordered to. */
-  void CarryOut() {
+  /** Makes the engines hold the layers they were ordered to hold. */
+  void ApplyOrders() {
     for (ServerEntry& server : servers) {
       const auto ordered = orders.placed.find(server.name);
       if (ordered != orders.placed.end()) {
@@ -71,21 +71,19 @@
   }
 };
 
-TEST(Placement, OrdersEachEngineOnceAndThenNothing) {
+TEST(Placement, OrdersEachEngineOnce) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const int ordered = orders.count;
   CHECK_TRUE(ordered >= 3);
   Run(seconds(20));
   CHECK_EQUAL(ordered, orders.count);
 }
 
-// Symptom: seconds without service after every restart of all instances. Sequence: all processes
-// end, engines keep their layers, a new holder plans the pool afresh. Cause: planning without
-// looking at what engines hold.
-TEST(Placement, ANewHolderLeavesEnginesThatHoldLayersAlone) {
+// Guards against replanning a pool whose engines still hold layers after all instances restart.
+TEST(Placement, ANewHolderKeepsTheLayersThatEnginesHold) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   orders.count = 0;
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
@@ -94,12 +92,11 @@
   CHECK_EQUAL(0, orders.count);
 }
 
-// Symptom: an engine holds layers that no route counts on. Sequence: a holder of the orders is
-// frozen with one on its way, another takes over and orders the same engine, the late order
-// arrives. Cause: the engine does not check fencing numbers, and the new holder did not wait.
-TEST(Placement, ANewHolderWaitsForOldOrdersWhereEnginesDoNotCheckFencing) {
+// Guards against a late order of the previous holder overriding one of the new holder on engines
+// that do not check fencing numbers.
+TEST(Placement, WithoutFencingANewHolderWaitsForOldOrders) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   placer->Stop();
   store.Erase(OrderRole::LeaseKeyOf("pool"));
   settings.engines_check_fencing = false;
@@ -116,29 +113,28 @@
   CHECK_TRUE(orders.count > 0);
 }
 
-TEST(Placement, AReplacementTakesTheRangeThatWasLeft) {
+TEST(Placement, AReplacementGetsTheRangeOfTheLostEngine) {
   Run(seconds(2));
-  CarryOut();
-  const LayerRange left = RangeOf("fast0");
+  ApplyOrders();
+  const LayerRange lost_range = RangeOf("fast0");
   Lose("fast0");
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(seconds(1));
-  CHECK_TRUE(left == orders.placed["fast9"]);
+  CHECK_TRUE(lost_range == orders.placed["fast9"]);
 }
 
-// Symptom: refusals for eight seconds after several engines came back empty. Sequence: engines of
-// one kind crash together and start again under their registrations, in another order. Cause: each
-// took the first vacant range of its kind, and chains were cut into parts that no neighbour fits.
-TEST(Placement, EnginesThatStartAgainGetTheirOwnRangesBack) {
+// Guards against restarted engines swapping their ranges, which leaves chains with ranges that do
+// not fit together.
+TEST(Placement, RestartedEnginesGetTheirOwnRangesBack) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const LayerRange of_fast0 = RangeOf("fast0");
   const LayerRange of_fast1 = RangeOf("fast1");
   CHECK_TRUE(of_fast0 != of_fast1);
   for (ServerEntry& server : servers) {
     if (server.accelerator == "fast") {
-      // Sorted by name, the later starts come in the other order than the earlier ones.
+      // The names sort in the opposite order of the earlier ones.
       server.name = server.name == "fast0" ? "b-start" : "a-start";
       server.layers = {};
     }
@@ -149,11 +145,11 @@
   CHECK_TRUE(of_fast1 == orders.placed.at("a-start"));
 }
 
-// Symptom: a range without a holder for five seconds. Sequence: the store is away, an engine starts
-// again, and refuses what it does not hold. Cause: only entries that vanish counted as losses.
-TEST(Placement, AnEngineThatSaysItIsEmptyGetsItsRangeBackAtOnce) {
+// Guards against detecting a loss only by a missing entry: during a store outage only the engine's
+// own report shows that it restarted empty.
+TEST(Placement, AnEmptiedEngineGetsItsRangeBackAtOnce) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const LayerRange held = RangeOf("middle0");
   orders.placed.clear();
@@ -164,30 +160,27 @@
   CHECK_TRUE(held == orders.placed["middle0"]);
 }
 
-// Symptom: a domain serves nothing until its lost engine is back. Sequence: an engine of the chain
-// is lost for good, slower ones hold spare ranges elsewhere. Cause: ranges left vacant.
-TEST(Placement, SlowerEnginesShareARangeThatStaysVacant) {
+// Guards against leaving a range uncovered until the lost engine is back.
+TEST(Placement, SlowerEnginesCoverAnUncoveredRange) {
   Run(seconds(2));
-  CarryOut();
-  const LayerRange left = RangeOf("middle0");
+  ApplyOrders();
+  const LayerRange lost_range = RangeOf("middle0");
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(2));
   std::uint32_t covered = 0;
   for (const auto& [name, range] : orders.placed) {
     STRNCMP_EQUAL("slow", name.c_str(), 4);
-    CHECK_TRUE(range.first >= left.first && range.end <= left.end);
+    CHECK_TRUE(range.first >= lost_range.first && range.end <= lost_range.end);
     covered += range.Count();
   }
-  CHECK_EQUAL(left.Count(), covered);
+  CHECK_EQUAL(lost_range.Count(), covered);
 }
 
-// Symptom: a failure domain serves nothing for the rest of the day. Sequence: the holder of the
-// orders is killed, an engine leaves, another instance becomes the holder. Cause: ranges counted as
-// vacant only by who saw their engine leave.
-TEST(Placement, AHolderThatDidNotSeeAnEngineLeaveFindsItsRangeMissing) {
+// Guards against missing ranges whose engine left while no instance held the order role.
+TEST(Placement, ANewHolderDetectsAnUncoveredRange) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   store.records.clear();
@@ -195,7 +188,7 @@
   orders.placed.clear();
   Run(seconds(4));
   CHECK_FALSE(orders.placed.empty());
-  CarryOut();
+  ApplyOrders();
   std::vector<bool> held(80, false);
   for (const ServerEntry& server : servers) {
     for (std::uint32_t layer = server.layers.first; layer < server.layers.end; ++layer) {
@@ -205,11 +198,11 @@
   CHECK_EQUAL(80, std::count(held.begin(), held.end(), true));
 }
 
-// Symptom: loads that help nobody. Sequence: a new holder finds layers missing while an engine that
-// was ordered to hold them still loads. Cause: engines that hold nothing taken for idle.
+// Guards against covering layers that an engine is still loading on an order of the previous
+// holder.
 TEST(Placement, ANewHolderWaitsForAnEngineThatMayBeLoading) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   store.records.clear();
@@ -226,15 +219,14 @@
   }
 }
 
-// Symptom: no lost range is given out for eight seconds. Sequence: the store goes away, the
-// holder's lease ends by its clock, an engine is lost. Cause: the lease taken for more than it is
-// where engines check fencing numbers and nobody can take over.
-TEST(Placement, TheHolderGoesOnWhileTheStoreIsAway) {
+// Guards against stopping at the end of the lease during a store outage, in which no other instance
+// can acquire the role and engines check fencing numbers.
+TEST(Placement, TheHolderContinuesDuringAStoreOutage) {
   settings.outage_grace = seconds(20);
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   store.failure = ErrorKind::kStoreUnavailable;
   Run(settings.lease + seconds(2));
   Lose("middle0");
@@ -245,17 +237,15 @@
   CHECK_FALSE(placer->HoldsRole());
 }
 
-// Symptom: nothing is placed for ten seconds of an outage of the store, while engines leave.
-// Sequence: engines do not check fencing numbers, the store goes away, the lease ends by the
-// holder's clock. Cause: the lease's end taken for a danger also when nobody can take over. Mean
-// worth of such a day, four seeds: 0.647 before, 0.653 so, which is within noise.
-TEST(Placement, WhereFencingIsNotCheckedTheHolderGoesOnWhileNobodyCanTakeOver) {
+// The same if engines do not check fencing numbers: the holder may continue only while no instance
+// can reach the store.
+TEST(Placement, WithoutFencingTheHolderContinuesWhileTheStoreServesNobody) {
   settings.outage_grace = seconds(20);
   settings.engines_check_fencing = false;
   placer = std::make_unique<LayerPlacer>(OrderRoleParts{time, time, store, instances, recorder},
                                          settings, orders, logger, "pool");
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   store.failure = ErrorKind::kStoreUnavailable;
   placer->NoteStoreServesOthers(true);
   Run(settings.lease + seconds(2));
@@ -268,12 +258,10 @@
   CHECK_FALSE(orders.placed.empty());
 }
 
-// Symptom: two engines load the same range while another one lacks. Sequence: an engine is lost, a
-// new one is loading its range, and the lost one starts again. Cause: its own range given to it
-// though it is taken.
-TEST(Placement, AServerThatComesBackLeavesItsRangeToWhoLoadsIt) {
+// Guards against assigning a range to its restarted holder while a replacement is loading it.
+TEST(Placement, ARestartedServerDoesNotGetARangeThatAnotherLoads) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const ServerEntry lost = servers[0];
   Lose("fast0");
@@ -287,15 +275,13 @@
   CHECK_FALSE(orders.placed.contains("fast0@later"));
 }
 
-// Symptom: one loss takes every spare of its domain. Sequence: spares are ordered to share a range;
-// until they have loaded, the range still shows no holder, and more are ordered at each tick.
-// Cause: what engines hold counted, not what they are to hold.
-TEST(Placement, ARangeIsSharedOutOnceWhileItsSparesLoad) {
+// Guards against assigning further spares to a range while the first ones are still loading it.
+TEST(Placement, ARangeIsAssignedToSparesOnlyOnce) {
   for (int index = 6; index < 8; ++index) {
     servers.push_back(EngineServer("slow" + std::to_string(index), "slow", "k"));
   }
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const LayerRange lost = RangeOf("middle0");
   Lose("middle0");
@@ -313,19 +299,16 @@
   }
 }
 
-// Symptom: refusals for four seconds after an engine came back. Sequence: spares stand in for a
-// lost range; the engine comes back empty and is ordered to take its range, which it loads for
-// seconds; the spares are sent back in the same moment. Cause: a range that is to be held taken for
-// one that is.
-TEST(Placement, SparesStandInUntilTheRangeIsLoaded) {
+// Guards against releasing spares when the order is sent instead of when the range is loaded.
+TEST(Placement, SparesCoverARangeUntilItIsLoaded) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   const ServerEntry lost = servers[2];
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   const std::map<std::string, LayerRange> taken_over = orders.placed;
   servers.push_back(lost);
   servers.back().name = "middle0@later";
@@ -335,7 +318,7 @@
   CHECK_EQUAL(1U, orders.placed.size());  // Only the range of the one that came back: it loads.
   CHECK_TRUE(lost.layers == orders.placed.at("middle0@later"));
 
-  // It is lost again before it has loaded: the spares go on, and the next one takes the range.
+  // The new holder is lost while loading: the spares stay, and the next engine gets the range.
   Lose("middle0@later");
   orders.placed.clear();
   Run(seconds(2));
@@ -344,7 +327,7 @@
   servers.back().name = "middle0@last";
   servers.back().layers = {};
   Run(seconds(1));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   CHECK_TRUE(lost.layers == RangeOf("middle0@last"));
   for (const auto& [name, range] : taken_over) {
@@ -353,12 +336,11 @@
   }
 }
 
-// Symptom: each loss leaves the pool with fewer holders of some layers, until a later one stops
-// all. Sequence: an engine crashes, slower ones take its range over, it comes back. Cause: they
-// stay where they are.
-TEST(Placement, SparesGoBackToWhatTheyHeld) {
+// Guards against spares that keep a repaired range, which reduces the holders of other layers with
+// each loss.
+TEST(Placement, SparesReturnToTheirPreviousLayers) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
   std::map<std::string, LayerRange> before;
   for (const ServerEntry& server : servers) {
@@ -374,14 +356,14 @@
   for (const auto& [name, range] : taken_over) {
     CHECK_TRUE(range != before.at(name));
   }
-  CarryOut();
+  ApplyOrders();
   servers.push_back(lost);
   servers.back().name = "middle0@later";
   servers.back().layers = {};
   Run(seconds(1));
-  CarryOut();
+  ApplyOrders();
   Run(seconds(1));
-  CarryOut();
+  ApplyOrders();
   CHECK_TRUE(before.at("middle0") == RangeOf("middle0@later"));
   for (const auto& [name, range] : taken_over) {
     CHECK_TRUE(before.at(name) == RangeOf(name));
@@ -399,12 +381,10 @@
   CHECK_FALSE(placer->HoldsRole());
 }
 
-// Symptom: the repair of one lost stage breaks the chain a second time. Sequence: the fastest
-// engine is lost; another engine of the chain, slower than it, is taken for its range. Cause: every
-// slower engine taken for a spare.
-TEST(Placement, TheRepairTakesNoEngineThatItsDomainNeeds) {
+// Guards against taking a slower engine of the broken chain as a spare.
+TEST(Placement, RepairDoesNotUseEnginesThatTheirDomainNeeds) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Lose("fast0");
   orders.placed.clear();
   Run(seconds(2));
@@ -412,71 +392,65 @@
   CHECK_FALSE(orders.placed.contains("fast1"));
 }
 
-// Symptom: after one loss a second chain stops as well. Sequence: two chains of a domain hold all
-// layers each; one loses an engine, and the other's engine of the same kind is given its range.
-// Cause: every engine whose layers another one holds taken for a spare.
-TEST(Placement, TheRepairDoesNotMoveTheGapToAnotherChain) {
+// Guards against repairing one chain with an engine of another one.
+TEST(Placement, RepairDoesNotMoveTheGapToAnotherChain) {
   servers.clear();
   for (int index = 0; index < 4; ++index) {
     servers.push_back(EngineServer("fast" + std::to_string(index), "fast", "k"));
     servers.push_back(EngineServer("middle" + std::to_string(index), "middle", "k"));
   }
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(3));
   CHECK_TRUE(orders.placed.empty());
 }
 
-TEST(Placement, AStalledEnginesRangeIsGivenOutBeforeItsEntryLapses) {
+TEST(Placement, TheRangeOfAStalledEngineIsCoveredBeforeItsEntryExpires) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   Run(milliseconds(100));
   orders.placed.clear();
   placer->NoteStalled("middle0");
   Run(seconds(1));
   CHECK_FALSE(orders.placed.empty());
   const int ordered = orders.count;
-  CarryOut();
+  ApplyOrders();
   Lose("middle0");
   Run(seconds(3));
   CHECK_EQUAL(ordered, orders.count);
 }
 
-// Symptom: a chain stays broken though its lost engine is back. Sequence: an engine crashes, spares
-// share its range, it comes back and gets a range of another size. Cause: the vacancy forgotten
-// once spares had it.
-TEST(Placement, AnEngineThatComesBackTakesItsRangeFromTheSpares) {
+// Guards against forgetting an uncovered range once spares cover it.
+TEST(Placement, AReplacementGetsARangeThatSparesCover) {
   Run(seconds(2));
-  CarryOut();
-  const LayerRange left = RangeOf("middle0");
+  ApplyOrders();
+  const LayerRange lost_range = RangeOf("middle0");
   Lose("middle0");
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   servers.push_back(EngineServer("middle9", "middle", "k"));
   Run(seconds(1));
-  CHECK_TRUE(left == orders.placed["middle9"]);
+  CHECK_TRUE(lost_range == orders.placed["middle9"]);
 }
 
-// Symptom: each replaced engine leaves its chain broken for seconds. Sequence: the new engine
-// comes, gets some range, then the old one drains. Cause: the new one's range chosen before the old
-// one's is free.
-TEST(Placement, ANewEngineWaitsAMomentForTheOneThatItReplaces) {
+// Guards against assigning a range to a new engine just before the engine that it replaces leaves.
+TEST(Placement, ANewEngineWaitsForTheEngineItReplaces) {
   Run(seconds(2));
-  CarryOut();
-  const LayerRange left = RangeOf("fast0");
+  ApplyOrders();
+  const LayerRange lost_range = RangeOf("fast0");
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(milliseconds(500));
   CHECK_FALSE(orders.placed.contains("fast9"));
   Lose("fast0");
   Run(milliseconds(500));
-  CHECK_TRUE(left == orders.placed["fast9"]);
+  CHECK_TRUE(lost_range == orders.placed["fast9"]);
 }
 
-TEST(Placement, ANewEngineThatReplacesNoneGetsARangeOfItsOwn) {
+TEST(Placement, AnAdditionalEngineGetsARange) {
   Run(seconds(2));
-  CarryOut();
+  ApplyOrders();
   servers.push_back(EngineServer("fast9", "fast", "k"));
   Run(seconds(2));
   CHECK_TRUE(orders.placed.contains("fast9"));
--- a/tests/forwarding/spares_test.cc
+++ b/tests/forwarding/spares_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/placement/domain_room.h"
+#include "zinnia_decisions/forwarding/placement/domain_capacity.h"
 #include "zinnia_decisions/forwarding/placement/spare_chooser.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 TEST_GROUP(Spares) {
   EngineProfile profile = MixedEngine();
   SparePool pool;
-  ServerEntry left = EngineServer("left", "middle", "k", {40, 60});
+  ServerEntry lost = EngineServer("left", "middle", "k", {40, 60});
 
   void setup() override {
     pool.engines = {EngineServer("fast", "fast", "k", {0, 20}),
@@ -30,13 +30,13 @@
                          [&](const ServerEntry& engine) { return engine.name == name; });
   }
 
-  std::vector<SpareShare> ShareOut() {
-    return SpareChooser::ShareOut(profile, pool, left, left.layers);
+  std::vector<SpareShare> DivideRange() {
+    return SpareChooser::DivideRange(profile, pool, lost, lost.layers);
   }
 };
 
-TEST(Spares, TheSlowestOfTheDomainShareTheRangeWhole) {
-  const auto shares = ShareOut();
+TEST(Spares, TheSlowestEnginesOfTheDomainCoverTheWholeRange) {
+  const auto shares = DivideRange();
   CHECK_EQUAL(4U, shares.size());  // Half of a slow engine's memory holds six layers.
   std::uint32_t layer = 40;
   for (const SpareShare& share : shares) {
@@ -47,53 +47,51 @@
   CHECK_EQUAL(60U, layer);
 }
 
-TEST(Spares, BusyEnginesAndThoseOfOtherDomainsAreNotTaken) {
+TEST(Spares, BusyEnginesAndOtherDomainsAreNotUsed) {
   pool.busy = {"slow0"};
-  const auto shares = ShareOut();
+  const auto shares = DivideRange();
   CHECK_EQUAL(3U, shares.size());
   CHECK_TRUE(std::none_of(shares.begin(), shares.end(), [&](const SpareShare& share) {
     return pool.busy.contains(share.server) || share.server == "elsewhere";
   }));
   pool.busy.insert("slow1");
-  CHECK_TRUE(ShareOut().empty());  // Ten layers would be 0.81 of a slow engine's memory.
+  CHECK_TRUE(DivideRange().empty());  // Ten layers would be 0.81 of a slow engine's memory.
 }
 
-// Symptom: the fastest engine of a domain is ordered to five layers, and its own range has no
-// holder for the rest of the day. Sequence: spares that stand in for it are sent to another
-// vacancy, and in the same moment it counts as covered by them. Cause: what engines hold counted,
-// not what they are to hold.
-TEST(Spares, AnEngineIsNeededWhenItsStandInsAreToHoldSomethingElse) {
-  pool.extras = {"fast"};
+// Guards against counting the layers that engines hold instead of those they are assigned: here the
+// slow engines leave the range of the fast one.
+TEST(Spares, AnEngineIsNeededIfItsSparesAreReassigned) {
+  pool.late_engines = {"fast"};
   for (ServerEntry& engine : pool.engines) {
     if (engine.accelerator == "slow" && engine.failure_domain == "k") {
       engine.layers = {60, 65};
       pool.busy.insert(engine.name);
     }
   }
-  CHECK_TRUE(ShareOut().empty());
+  CHECK_TRUE(DivideRange().empty());
 }
 
-TEST(Spares, AnExtraOfTheSameKindTakesTheRangeAlone) {
+TEST(Spares, ALateEngineOfTheSameKindCoversTheRangeAlone) {
   pool.engines.push_back(EngineServer("extra", "middle", "k", {60, 70}));
-  pool.extras = {"extra"};
-  const auto shares = ShareOut();
+  pool.late_engines = {"extra"};
+  const auto shares = DivideRange();
   CHECK_EQUAL(1U, shares.size());
   STRCMP_EQUAL("extra", shares[0].server.c_str());
-  CHECK_TRUE(shares[0].layers == left.layers);
+  CHECK_TRUE(shares[0].layers == lost.layers);
 }
 
-TEST(Spares, LayersWithLittleRoomAreLackingLikeThoseWithout) {
-  const DomainRoom room(profile, "k", pool.engines);
-  const auto lacking = room.Lacking({0, 80});
-  CHECK_EQUAL(1U, lacking.size());
-  CHECK_TRUE((lacking[0] == LayerRange{40, 60}));
+TEST(Spares, LayersWithLittleCapacityAreShortages) {
+  const DomainCapacity capacity(profile, "k", pool.engines);
+  const auto shortages = capacity.FindShortages({0, 80});
+  CHECK_EQUAL(1U, shortages.size());
+  CHECK_TRUE((shortages[0] == LayerRange{40, 60}));
   pool.engines.push_back(
       EngineServer("full", "slow", "k", {40, 52}));  // Its memory is all weights.
-  const DomainRoom little(profile, "k", pool.engines);
-  CHECK_TRUE((little.Lacking({0, 80}).front() == LayerRange{40, 60}));
-  CHECK_FALSE(little.CanSpare(Engine("middle")));
-  CHECK_TRUE(little.CanSpare(Engine("slow0")));
-  CHECK_TRUE(DomainRoom(profile, "empty", pool.engines).IsMostlyEmpty());
+  const DomainCapacity with_full_engine(profile, "k", pool.engines);
+  CHECK_TRUE((with_full_engine.FindShortages({0, 80}).front() == LayerRange{40, 60}));
+  CHECK_FALSE(with_full_engine.CanSpare(Engine("middle")));
+  CHECK_TRUE(with_full_engine.CanSpare(Engine("slow0")));
+  CHECK_TRUE(DomainCapacity(profile, "empty", pool.engines).IsMostlyUncovered());
 }
 
 }  // namespace zinnia
