--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -12,7 +12,7 @@
 
 namespace zinnia {
 
-class OwnLoad;
+class LocalServerLoad;
 class OwnLoads;
 
 /** One backend server as a chooser needs it, copied out of the snapshot. */
@@ -24,7 +24,7 @@
   ServerRates rates;
   double reported_sessions = 0.0;
   TimePoint reported_at{};
-  OwnLoad* own = nullptr;
+  LocalServerLoad* own = nullptr;
 };
 
 /** A stage with the servers that may take it: right model, version and layers, not leaving. Numbers
--- a/packages/zinnia_decisions/routing/own_loads.cc
+++ b/packages/zinnia_decisions/routing/own_loads.cc
@@ -7,19 +7,19 @@
 
 }  // namespace
 
-void OwnLoad::OnSent(TimePoint now) {
+void LocalServerLoad::OnSent(TimePoint now) {
   ++m_in_flight;
   Remember(now, 1);
 }
 
-void OwnLoad::OnFinished(TimePoint now) {
+void LocalServerLoad::OnFinished(TimePoint now) {
   if (m_in_flight > 0) {
     --m_in_flight;
     Remember(now, -1);
   }
 }
 
-double OwnLoad::ChangeSince(TimePoint since) {
+double LocalServerLoad::ChangeSince(TimePoint since) {
   while (!m_changes.empty() && m_changes.front().first <= since) {
     m_changes.pop_front();
   }
@@ -30,7 +30,7 @@
   return change;
 }
 
-void OwnLoad::Remember(TimePoint now, int change) {
+void LocalServerLoad::Remember(TimePoint now, int change) {
   m_changes.emplace_back(now, change);
   if (m_changes.size() > kRememberedChanges) {
     m_changes.pop_front();
--- a/packages/zinnia_decisions/routing/own_loads.h
+++ b/packages/zinnia_decisions/routing/own_loads.h
@@ -13,7 +13,7 @@
 
 /** What this chooser itself has at one backend server: sessions in flight, and its latest sends
     and finishes with their times, so that a report can be corrected by what came after it. */
-class OwnLoad {
+class LocalServerLoad {
  public:
   void OnSent(TimePoint now);
   void OnFinished(TimePoint now);
@@ -29,13 +29,13 @@
   std::deque<std::pair<TimePoint, int>> m_changes;
 };
 
-/** OwnLoad of every backend server in view. Entries keep their address while they exist.
+/** LocalServerLoad of every backend server in view. Entries keep their address while they exist.
 
     @see FleetIndex
 */
 class OwnLoads {
  public:
-  OwnLoad& Of(const BackendServerName& server) { return m_loads[server]; }
+  LocalServerLoad& Of(const BackendServerName& server) { return m_loads[server]; }
 
   /** Drops entries of idle servers that `still_known` does not name. */
   template <typename Predicate>
@@ -46,7 +46,7 @@
   }
 
  private:
-  std::unordered_map<BackendServerName, OwnLoad> m_loads;
+  std::unordered_map<BackendServerName, LocalServerLoad> m_loads;
 };
 
 }  // namespace zinnia
