--- a/packages/zinnia_decisions/routing/own_loads.h
+++ b/packages/zinnia_decisions/routing/own_loads.h
@@ -33,7 +33,7 @@
 
     @see FleetIndex
 */
-class OwnLoads {
+class LocalServerLoads {
  public:
   LocalServerLoad& Of(const BackendServerName& server) { return m_loads[server]; }
 
--- a/packages/zinnia_decisions/routing/pool_capacity.cc
+++ b/packages/zinnia_decisions/routing/pool_capacity.cc
@@ -26,7 +26,7 @@
 double ConcurrentSessionsFor(const FleetSnapshot& fleet,
                              const ModelName& model,
                              double seconds_between_tokens) {
-  OwnLoads none;
+  LocalServerLoads none;
   const FleetIndex index(fleet, none);
   double tokens_per_second = 0.0;
   for (const IndexedPipeline& pipeline : index.PipelinesOf(model)) {
