--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -71,14 +71,14 @@
 
 void IndexedChooser::OnSent(const Route& route, const RouteQuery& query) {
   for (const Route::Hop& hop : route.hops) {
-    m_own_loads.Of(hop.server).OnSent(m_clock.Now());
+    m_local_loads.Of(hop.server).OnSent(m_clock.Now());
   }
   OnRouteUsed(route, query);
 }
 
 void IndexedChooser::OnFinished(const Route& route, const RouteQuery&) {
   for (const Route::Hop& hop : route.hops) {
-    m_own_loads.Of(hop.server).OnFinished(m_clock.Now());
+    m_local_loads.Of(hop.server).OnFinished(m_clock.Now());
   }
 }
 
@@ -103,9 +103,9 @@
   if (m_index != nullptr && fleet.sequence != 0 && fleet.sequence == m_indexed_sequence) {
     return;
   }
-  m_index = std::make_unique<FleetIndex>(fleet, m_own_loads);
+  m_index = std::make_unique<FleetIndex>(fleet, m_local_loads);
   m_indexed_sequence = fleet.sequence;
-  m_own_loads.Forget(
+  m_local_loads.Forget(
       [&](const BackendServerName& server) { return m_index->Find(server) != nullptr; });
 }
 
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -86,7 +86,7 @@
   Route MakeRoute(const Candidate& candidate, const RouteQuery& query) const;
 
   const Clock& m_clock;
-  LocalServerLoads m_own_loads;
+  LocalServerLoads m_local_loads;
   std::uint64_t m_indexed_sequence = 0;
   std::unique_ptr<FleetIndex> m_index;
   std::vector<std::uint32_t> m_allowed;
