--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "zinnia_base/hashing/fingerprint.h"
-#include "zinnia_decisions/routing/own_loads.h"
+#include "zinnia_decisions/routing/local_server_loads.h"
 
 namespace zinnia {
 
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -8,7 +8,7 @@
 #include "zinnia_base/time/clock.h"
 #include "zinnia_decisions/routing/completion_model.h"
 #include "zinnia_decisions/routing/fleet_index.h"
-#include "zinnia_decisions/routing/own_loads.h"
+#include "zinnia_decisions/routing/local_server_loads.h"
 #include "zinnia_decisions/routing/pipeline_chooser.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/routing/own_loads.cc
+++ b/packages/zinnia_decisions/routing/local_server_loads.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/routing/own_loads.h"
+#include "zinnia_decisions/routing/local_server_loads.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/routing/pool_capacity.cc
+++ b/packages/zinnia_decisions/routing/pool_capacity.cc
@@ -4,7 +4,7 @@
 #include <limits>
 
 #include "zinnia_decisions/routing/fleet_index.h"
-#include "zinnia_decisions/routing/own_loads.h"
+#include "zinnia_decisions/routing/local_server_loads.h"
 
 namespace zinnia {
 namespace {
