--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -7,11 +7,11 @@
 
 namespace zinnia {
 
-FleetIndex::FleetIndex(const FleetSnapshot& fleet, LocalServerLoads& own_loads)
+FleetIndex::FleetIndex(const FleetSnapshot& fleet, LocalServerLoads& local_loads)
     : m_links(fleet.links),
       m_own_domain(m_links.NumberOf(fleet.own_failure_domain)),
       m_live_instances(std::max<double>(1.0, static_cast<double>(fleet.live_instances))) {
-  AddServers(fleet, own_loads);
+  AddServers(fleet, local_loads);
   AddPipelines(fleet);
 }
 
@@ -46,7 +46,7 @@
   return stage;
 }
 
-void FleetIndex::AddServers(const FleetSnapshot& fleet, LocalServerLoads& own_loads) {
+void FleetIndex::AddServers(const FleetSnapshot& fleet, LocalServerLoads& local_loads) {
   m_servers.reserve(fleet.servers.size());
   for (const auto& [name, view] : fleet.servers) {
     m_numbers.emplace(name, static_cast<std::uint32_t>(m_servers.size()));
@@ -58,7 +58,7 @@
                          .rates = RatesOf(view),
                          .reported_sessions = reported,
                          .reported_at = view.load.reported_at,
-                         .own = &own_loads.Of(name)});
+                         .own = &local_loads.Of(name)});
     m_loaded.push_back(view.server.loaded);
   }
 }
--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -49,7 +49,7 @@
 */
 class FleetIndex {
  public:
-  FleetIndex(const FleetSnapshot& fleet, LocalServerLoads& own_loads);
+  FleetIndex(const FleetSnapshot& fleet, LocalServerLoads& local_loads);
 
   const std::vector<IndexedServer>& Servers() const { return m_servers; }
   const LinkTable& Links() const { return m_links; }
@@ -70,7 +70,7 @@
                          LayerRange layers) const;
 
  private:
-  void AddServers(const FleetSnapshot& fleet, LocalServerLoads& own_loads);
+  void AddServers(const FleetSnapshot& fleet, LocalServerLoads& local_loads);
   void AddPipelines(const FleetSnapshot& fleet);
   IndexedStage MakeStage(const Pipeline& pipeline, const PipelineStage& stage) const;
   void AddUsable(std::uint32_t number, IndexedStage& stage) const;
