--- a/packages/zinnia_decisions/routing/local_server_loads.cc
+++ b/packages/zinnia_decisions/routing/local_server_loads.cc
@@ -3,7 +3,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kRememberedChanges = 256;
+constexpr std::size_t kMaxRecordedChanges = 256;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 
 void LocalServerLoad::Remember(TimePoint now, int change) {
   m_changes.emplace_back(now, change);
-  if (m_changes.size() > kRememberedChanges) {
+  if (m_changes.size() > kMaxRecordedChanges) {
     m_changes.pop_front();
   }
 }
