--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -39,7 +39,7 @@
   return all;
 }
 
-StagePick CompletionChooser::PickServer(const StageQuestion& question) {
+StagePick CompletionChooser::PickServer(const StageContext& question) {
   DrawCompared(question);
   const std::uint64_t prefix = question.query.prefix_hash;
   const std::uint32_t home = prefix == 0 ? 0 : HomeOfPrefix(question);
@@ -69,7 +69,7 @@
   }
 }
 
-void CompletionChooser::DrawCompared(const StageQuestion& question) {
+void CompletionChooser::DrawCompared(const StageContext& question) {
   m_compared.assign(question.candidates.begin(), question.candidates.end());
   if (m_compared.size() <= m_settings.compared_servers) {
     return;
@@ -81,7 +81,7 @@
   m_compared.resize(m_settings.compared_servers);
 }
 
-std::uint32_t CompletionChooser::HomeOfPrefix(const StageQuestion& question) const {
+std::uint32_t CompletionChooser::HomeOfPrefix(const StageContext& question) const {
   std::uint32_t home = question.candidates.front();
   double highest = -1.0;
   for (const std::uint32_t candidate : question.candidates) {
@@ -96,7 +96,7 @@
   return home;
 }
 
-double CompletionChooser::CostOf(const StageQuestion& question,
+double CompletionChooser::CostOf(const StageContext& question,
                                  std::uint32_t candidate,
                                  bool probably_cached) const {
   const IndexedServer& server = question.index.Servers()[candidate];
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -69,16 +69,16 @@
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
   std::size_t ComparedPipelines() const override { return m_settings.compared_pipelines; }
-  StagePick PickServer(const StageQuestion& question) override;
+  StagePick PickServer(const StageContext& question) override;
   void OnRouteUsed(const Route& route, const RouteQuery& query) override;
   std::string_view Reason() const override {
     return "shortest expected completion with the slowdown of others counted";
   }
 
  private:
-  void DrawCompared(const StageQuestion& question);
-  std::uint32_t HomeOfPrefix(const StageQuestion& question) const;
-  double CostOf(const StageQuestion& question, std::uint32_t candidate, bool probably_cached) const;
+  void DrawCompared(const StageContext& question);
+  std::uint32_t HomeOfPrefix(const StageContext& question) const;
+  double CostOf(const StageContext& question, std::uint32_t candidate, bool probably_cached) const;
   double ExpectedSessions(const FleetIndex& index, const IndexedServer& server) const;
 
   RandomSource m_random;
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -15,7 +15,7 @@
 
 /** One stage that needs a server: who may take it and what for. `candidates` is never empty and
     holds no excluded server. */
-struct StageQuestion {
+struct StageContext {
   const FleetIndex& index;
   const RouteQuery& query;
   LayerRange layers;
@@ -56,7 +56,7 @@
   /** After how many usable pipelines to stop looking. */
   virtual std::size_t ComparedPipelines() const;
 
-  virtual StagePick PickServer(const StageQuestion& question) = 0;
+  virtual StagePick PickServer(const StageContext& question) = 0;
 
   /** Called for each route that is really used. */
   virtual void OnRouteUsed(const Route& route, const RouteQuery& query);
--- a/packages/zinnia_decisions/routing/least_loaded_chooser.cc
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.cc
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-StagePick LeastLoadedChooser::PickServer(const StageQuestion& question) {
+StagePick LeastLoadedChooser::PickServer(const StageContext& question) {
   StagePick best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : question.candidates) {
     const double sessions = CorrectedSessions(question.index.Servers()[candidate]);
--- a/packages/zinnia_decisions/routing/shortest_completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/shortest_completion_chooser.cc
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-StagePick ShortestCompletionChooser::PickServer(const StageQuestion& question) {
+StagePick ShortestCompletionChooser::PickServer(const StageContext& question) {
   StagePick best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : question.candidates) {
     const IndexedServer& server = question.index.Servers()[candidate];
