--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -39,14 +39,14 @@
   return all;
 }
 
-StagePick CompletionChooser::PickServer(const StageContext& question) {
+StageSelection CompletionChooser::PickServer(const StageContext& question) {
   DrawCompared(question);
   const std::uint64_t prefix = question.query.prefix_hash;
   const std::uint32_t home = prefix == 0 ? 0 : HomeOfPrefix(question);
   if (prefix != 0) {
     m_compared.push_back(home);
   }
-  StagePick best{.cost = std::numeric_limits<double>::infinity()};
+  StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : m_compared) {
     const std::uint64_t name_hash = question.index.Servers()[candidate].name_hash;
     const bool cached =
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -124,9 +124,9 @@
   return candidate;
 }
 
-std::optional<StagePick> IndexedChooser::TryStage(const IndexedStage& stage,
-                                                  HopPosition position,
-                                                  const RouteQuery& query) {
+std::optional<StageSelection> IndexedChooser::TryStage(const IndexedStage& stage,
+                                                       HopPosition position,
+                                                       const RouteQuery& query) {
   KeepAllowed(stage.live, query);
   if (m_allowed.empty()) {
     KeepAllowed(stage.suspect, query);
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -24,7 +24,7 @@
 };
 
 /** The server picked for a stage and what it counts towards the cost of the route. */
-struct StagePick {
+struct StageSelection {
   std::uint32_t server = 0;
   double cost = 0.0;
 };
@@ -56,7 +56,7 @@
   /** After how many usable pipelines to stop looking. */
   virtual std::size_t ComparedPipelines() const;
 
-  virtual StagePick PickServer(const StageContext& question) = 0;
+  virtual StageSelection PickServer(const StageContext& question) = 0;
 
   /** Called for each route that is really used. */
   virtual void OnRouteUsed(const Route& route, const RouteQuery& query);
@@ -78,9 +78,9 @@
 
   void Refresh(const FleetSnapshot& fleet);
   std::optional<Candidate> TryPipeline(const IndexedPipeline& pipeline, const RouteQuery& query);
-  std::optional<StagePick> TryStage(const IndexedStage& stage,
-                                    HopPosition position,
-                                    const RouteQuery& query);
+  std::optional<StageSelection> TryStage(const IndexedStage& stage,
+                                         HopPosition position,
+                                         const RouteQuery& query);
   void KeepAllowed(const std::vector<std::uint32_t>& servers, const RouteQuery& query);
   RouteChoice Describe(Route route, const RouteQuery& query) const;
   Route MakeRoute(const Candidate& candidate, const RouteQuery& query) const;
--- a/packages/zinnia_decisions/routing/least_loaded_chooser.cc
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.cc
@@ -4,8 +4,8 @@
 
 namespace zinnia {
 
-StagePick LeastLoadedChooser::PickServer(const StageContext& question) {
-  StagePick best{.cost = std::numeric_limits<double>::infinity()};
+StageSelection LeastLoadedChooser::PickServer(const StageContext& question) {
+  StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : question.candidates) {
     const double sessions = CorrectedSessions(question.index.Servers()[candidate]);
     if (sessions < best.cost) {
--- a/packages/zinnia_decisions/routing/shortest_completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/shortest_completion_chooser.cc
@@ -4,8 +4,8 @@
 
 namespace zinnia {
 
-StagePick ShortestCompletionChooser::PickServer(const StageContext& question) {
-  StagePick best{.cost = std::numeric_limits<double>::infinity()};
+StageSelection ShortestCompletionChooser::PickServer(const StageContext& question) {
+  StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : question.candidates) {
     const IndexedServer& server = question.index.Servers()[candidate];
     const auto hop = PredictHop(question.index, server, question.position, question.query);
