--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -39,7 +39,7 @@
   return all;
 }
 
-StageSelection CompletionChooser::PickServer(const StageContext& question) {
+StageSelection CompletionChooser::SelectServer(const StageContext& question) {
   DrawCompared(question);
   const std::uint64_t prefix = question.query.prefix_hash;
   const std::uint32_t home = prefix == 0 ? 0 : HomeOfPrefix(question);
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -69,7 +69,7 @@
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
   std::size_t ComparedPipelines() const override { return m_settings.compared_pipelines; }
-  StageSelection PickServer(const StageContext& question) override;
+  StageSelection SelectServer(const StageContext& question) override;
   void OnRouteUsed(const Route& route, const RouteQuery& query) override;
   std::string_view Reason() const override {
     return "shortest expected completion with the slowdown of others counted";
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -134,7 +134,7 @@
   if (m_allowed.empty()) {
     return std::nullopt;
   }
-  return PickServer({*m_index, query, stage.layers, position, m_allowed});
+  return SelectServer({*m_index, query, stage.layers, position, m_allowed});
 }
 
 void IndexedChooser::KeepAllowed(const std::vector<std::uint32_t>& servers,
--- a/packages/zinnia_decisions/routing/least_loaded_chooser.cc
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.cc
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-StageSelection LeastLoadedChooser::PickServer(const StageContext& question) {
+StageSelection LeastLoadedChooser::SelectServer(const StageContext& question) {
   StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : question.candidates) {
     const double sessions = CorrectedSessions(question.index.Servers()[candidate]);
--- a/packages/zinnia_decisions/routing/round_robin_chooser.cc
+++ b/packages/zinnia_decisions/routing/round_robin_chooser.cc
@@ -14,7 +14,7 @@
   return order;
 }
 
-StageSelection RoundRobinChooser::PickServer(const StageContext& question) {
+StageSelection RoundRobinChooser::SelectServer(const StageContext& question) {
   const std::size_t turn = m_next_server[{question.query.model, question.layers.first}]++;
   return {.server = question.candidates[turn % question.candidates.size()], .cost = 0.0};
 }
--- a/packages/zinnia_decisions/routing/shortest_completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/shortest_completion_chooser.cc
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-StageSelection ShortestCompletionChooser::PickServer(const StageContext& question) {
+StageSelection ShortestCompletionChooser::SelectServer(const StageContext& question) {
   StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : question.candidates) {
     const IndexedServer& server = question.index.Servers()[candidate];
