--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -83,7 +83,7 @@
 
   RandomSource m_random;
   const CompletionChooserSettings m_settings;
-  PrefixMemory m_prefixes;
+  PrefixHistory m_prefixes;
   std::vector<std::uint32_t> m_compared;
 };
 
--- a/packages/zinnia_decisions/routing/prefix_memory.cc
+++ b/packages/zinnia_decisions/routing/prefix_memory.cc
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void PrefixMemory::Remember(std::uint64_t prefix, std::uint64_t server) {
+void PrefixHistory::Remember(std::uint64_t prefix, std::uint64_t server) {
   const auto known = m_by_prefix.find(prefix);
   if (known == m_by_prefix.end()) {
     m_entries.push_front({prefix, {}});
@@ -29,7 +29,7 @@
   }
 }
 
-bool PrefixMemory::WasSentTo(std::uint64_t prefix, std::uint64_t server) const {
+bool PrefixHistory::WasSentTo(std::uint64_t prefix, std::uint64_t server) const {
   const auto known = m_by_prefix.find(prefix);
   return known != m_by_prefix.end() && std::ranges::count(known->second->servers, server) > 0;
 }
--- a/packages/zinnia_decisions/routing/prefix_memory.h
+++ b/packages/zinnia_decisions/routing/prefix_memory.h
@@ -13,9 +13,9 @@
 
     Servers are named by the hash of their name.
 */
-class PrefixMemory {
+class PrefixHistory {
  public:
-  explicit PrefixMemory(std::size_t capacity) : m_capacity(capacity) {}
+  explicit PrefixHistory(std::size_t capacity) : m_capacity(capacity) {}
 
   void Remember(std::uint64_t prefix, std::uint64_t server);
   bool WasSentTo(std::uint64_t prefix, std::uint64_t server) const;
--- a/tests/routing/chooser_test.cc
+++ b/tests/routing/chooser_test.cc
@@ -228,7 +228,7 @@
 }
 
 TEST(Chooser, ForgetsThePrefixUsedLongestAgo) {
-  PrefixMemory memory(2);
+  PrefixHistory memory(2);
   memory.Remember(1, 10);
   memory.Remember(2, 10);
   memory.Remember(1, 11);
