--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -28,7 +28,7 @@
     : IndexedChooser(clock),
       m_random(random),
       m_settings(settings),
-      m_prefixes(settings.remembered_prefixes) {}
+      m_prefixes(settings.prefix_history_capacity) {}
 
 std::vector<std::size_t> CompletionChooser::PipelineOrder(const RouteQuery& query,
                                                           std::size_t count) {
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -40,7 +40,7 @@
   double noise = 0.02;
 
   /** Prefixes remembered by one chooser. */
-  std::size_t remembered_prefixes = 4096;
+  std::size_t prefix_history_capacity = 4096;
 };
 
 /** Chooses routes by expected completion and by what the choice costs everybody else.
