--- a/packages/zinnia_decisions/routing/prefix_memory.cc
+++ b/packages/zinnia_decisions/routing/prefix_memory.cc
@@ -10,10 +10,10 @@
 }  // namespace
 
 void PrefixHistory::Remember(std::uint64_t prefix, std::uint64_t server) {
-  const auto known = m_by_prefix.find(prefix);
-  if (known == m_by_prefix.end()) {
+  const auto known = m_entry_by_prefix.find(prefix);
+  if (known == m_entry_by_prefix.end()) {
     m_entries.push_front({prefix, {}});
-    m_by_prefix[prefix] = m_entries.begin();
+    m_entry_by_prefix[prefix] = m_entries.begin();
   } else {
     m_entries.splice(m_entries.begin(), m_entries, known->second);
   }
@@ -24,14 +24,14 @@
     servers.erase(servers.begin());
   }
   if (m_entries.size() > m_capacity) {
-    m_by_prefix.erase(m_entries.back().prefix);
+    m_entry_by_prefix.erase(m_entries.back().prefix);
     m_entries.pop_back();
   }
 }
 
 bool PrefixHistory::WasSentTo(std::uint64_t prefix, std::uint64_t server) const {
-  const auto known = m_by_prefix.find(prefix);
-  return known != m_by_prefix.end() && std::ranges::count(known->second->servers, server) > 0;
+  const auto known = m_entry_by_prefix.find(prefix);
+  return known != m_entry_by_prefix.end() && std::ranges::count(known->second->servers, server) > 0;
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/routing/prefix_memory.h
+++ b/packages/zinnia_decisions/routing/prefix_memory.h
@@ -29,7 +29,7 @@
 
   std::size_t m_capacity;
   std::list<Entry> m_entries;
-  std::unordered_map<std::uint64_t, std::list<Entry>::iterator> m_by_prefix;
+  std::unordered_map<std::uint64_t, std::list<Entry>::iterator> m_entry_by_prefix;
 };
 
 }  // namespace zinnia
