--- a/packages/zinnia_decisions/routing/prefix_memory.cc
+++ b/packages/zinnia_decisions/routing/prefix_memory.cc
@@ -5,7 +5,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kServersPerPrefix = 16;
+constexpr std::size_t kMaxServersPerPrefix = 16;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   std::vector<std::uint64_t>& servers = m_entries.front().servers;
   std::erase(servers, server);
   servers.push_back(server);
-  if (servers.size() > kServersPerPrefix) {
+  if (servers.size() > kMaxServersPerPrefix) {
     servers.erase(servers.begin());
   }
   if (m_entries.size() > m_capacity) {
