--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -2,7 +2,7 @@
 
 #include "zinnia_base/random/random_source.h"
 #include "zinnia_decisions/routing/indexed_chooser.h"
-#include "zinnia_decisions/routing/prefix_memory.h"
+#include "zinnia_decisions/routing/prefix_history.h"
 
 namespace zinnia {
 
--- a/packages/zinnia_decisions/routing/prefix_memory.cc
+++ b/packages/zinnia_decisions/routing/prefix_history.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/routing/prefix_memory.h"
+#include "zinnia_decisions/routing/prefix_history.h"
 
 #include <algorithm>
 
