--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -71,14 +71,14 @@
 
 void CompletionChooser::DrawCompared(const StageContext& question) {
   m_compared.assign(question.candidates.begin(), question.candidates.end());
-  if (m_compared.size() <= m_settings.compared_servers) {
+  if (m_compared.size() <= m_settings.max_compared_servers) {
     return;
   }
-  for (std::size_t drawn = 0; drawn < m_settings.compared_servers; ++drawn) {
+  for (std::size_t drawn = 0; drawn < m_settings.max_compared_servers; ++drawn) {
     const std::size_t other = drawn + RandomBelow(m_random, m_compared.size() - drawn);
     std::swap(m_compared[drawn], m_compared[other]);
   }
-  m_compared.resize(m_settings.compared_servers);
+  m_compared.resize(m_settings.max_compared_servers);
 }
 
 std::uint32_t CompletionChooser::HomeOfPrefix(const StageContext& question) const {
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -9,7 +9,7 @@
 /** What steers CompletionChooser. The defaults are those that docs/design/routing.md measured. */
 struct CompletionChooserSettings {
   /** How many servers of a stage are compared; of more, so many are drawn at random. */
-  std::size_t compared_servers = 8;
+  std::size_t max_compared_servers = 8;
   std::size_t compared_pipelines = 8;
 
   /** How much of the slowdown of the sessions already there counts against a server. 0 looks only
