--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -10,7 +10,7 @@
 struct CompletionChooserSettings {
   /** How many servers of a stage are compared; of more, so many are drawn at random. */
   std::size_t max_compared_servers = 8;
-  std::size_t compared_pipelines = 8;
+  std::size_t max_compared_pipelines = 8;
 
   /** How much of the slowdown of the sessions already there counts against a server. 0 looks only
       at this request. */
@@ -68,7 +68,7 @@
 
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
-  std::size_t ComparedPipelines() const override { return m_settings.compared_pipelines; }
+  std::size_t ComparedPipelines() const override { return m_settings.max_compared_pipelines; }
   StageSelection SelectServer(const StageContext& question) override;
   void OnRouteUsed(const Route& route, const RouteQuery& query) override;
   std::string_view Reason() const override {
