--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -68,7 +68,7 @@
 
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
-  std::size_t ComparedPipelines() const override { return m_settings.max_compared_pipelines; }
+  std::size_t MaxComparedPipelines() const override { return m_settings.max_compared_pipelines; }
   StageSelection SelectServer(const StageContext& question) override;
   void OnRouteUsed(const Route& route, const RouteQuery& query) override;
   std::string_view Reason() const override {
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -40,7 +40,7 @@
     if (candidate && (!best || candidate->cost < best->cost)) {
       best = std::move(candidate);
     }
-    if (usable == ComparedPipelines()) {
+    if (usable == MaxComparedPipelines()) {
       break;
     }
   }
@@ -88,7 +88,7 @@
   return all;
 }
 
-std::size_t IndexedChooser::ComparedPipelines() const {
+std::size_t IndexedChooser::MaxComparedPipelines() const {
   return std::numeric_limits<std::size_t>::max();
 }
 
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -54,7 +54,7 @@
   virtual std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count);
 
   /** After how many usable pipelines to stop looking. */
-  virtual std::size_t ComparedPipelines() const;
+  virtual std::size_t MaxComparedPipelines() const;
 
   virtual StageSelection SelectServer(const StageContext& question) = 0;
 
