--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -106,7 +106,7 @@
   const double step = StepSeconds(server.rates, sessions + 1.0, cycle);
   const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, cycle));
   const double per_token =
-      hop.links_per_token + step + m_settings.slowdown_of_others * slowdown +
+      hop.links_per_token + step + m_settings.other_sessions_slowdown_weight * slowdown +
       m_settings.weight_of_slow_links *
           std::max(0.0, hop.links_per_token - m_settings.tolerated_link_seconds);
   const double prefill = hop.prefill * (probably_cached ? 1.0 - m_settings.cached_share : 1.0);
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -14,7 +14,7 @@
 
   /** How much of the slowdown of the sessions already there counts against a server. 0 looks only
       at this request. */
-  double slowdown_of_others = 1.0;
+  double other_sessions_slowdown_weight = 1.0;
 
   /** The time between tokens that users want. Servers count as full when their sessions could not
       all have it. */
