--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -102,7 +102,7 @@
   const IndexedServer& server = question.index.Servers()[candidate];
   const auto hop = PredictHop(question.index, server, question.position, question.query);
   const double sessions = ExpectedSessions(question.index, server);
-  const double cycle = m_settings.wanted_between_tokens_seconds;
+  const double cycle = m_settings.target_inter_token_seconds;
   const double step = StepSeconds(server.rates, sessions + 1.0, cycle);
   const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, cycle));
   const double per_token =
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -18,7 +18,7 @@
 
   /** The time between tokens that users want. Servers count as full when their sessions could not
       all have it. */
-  double wanted_between_tokens_seconds = 0.035;
+  double target_inter_token_seconds = 0.035;
 
   /** Seconds that a hop's links may take between two tokens before a route counts as slow, and how
       often what goes beyond that is counted. Full servers make a slow link look like the cheaper
