--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -25,7 +25,7 @@
       way, but whoever is sent over it cannot be in time at all; one notices admitted sessions that
       miss their deadlines while the others are quick. Such links are still used when nothing else
       is left or everything else is far too full. */
-  double tolerated_link_seconds = 0.005;
+  double slow_link_threshold_seconds = 0.005;
   double weight_of_slow_links = 5.0;
 
   /** Part of a prompt that a cached prefix is expected to save. */
