--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -109,7 +109,8 @@
       hop.links_per_token + step + m_settings.other_sessions_slowdown_weight * slowdown +
       m_settings.slow_link_penalty *
           std::max(0.0, hop.links_per_token - m_settings.slow_link_threshold_seconds);
-  const double prefill = hop.prefill * (probably_cached ? 1.0 - m_settings.cached_share : 1.0);
+  const double prefill =
+      hop.prefill * (probably_cached ? 1.0 - m_settings.cached_prefill_fraction : 1.0);
   return prefill + question.query.answer_tokens * per_token;
 }
 
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -29,7 +29,7 @@
   double slow_link_penalty = 5.0;
 
   /** Part of a prompt that a cached prefix is expected to save. */
-  double cached_share = 0.5;
+  double cached_prefill_fraction = 0.5;
 
   /** The sessions at a server are estimated twice: from its report, which counts everybody's but is
       late, and from this chooser's own sessions times the number of instances, which is coarse but
