--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -116,7 +116,7 @@
 
 double CompletionChooser::ExpectedSessions(const FleetIndex& index,
                                            const IndexedServer& server) const {
-  const double own_share = m_settings.trust_in_own_sessions;
+  const double own_share = m_settings.local_estimate_weight;
   const double from_own = server.own->InFlight() * index.LiveInstances();
   return own_share * from_own + (1.0 - own_share) * CorrectedSessions(server);
 }
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -34,7 +34,7 @@
   /** The sessions at a server are estimated twice: from its report, which counts everybody's but is
       late, and from this chooser's own sessions times the number of instances, which is coarse but
       never late. This is the share of the second. */
-  double trust_in_own_sessions = 0.5;
+  double local_estimate_weight = 0.5;
 
   /** Costs are multiplied by up to 1 + this at random. */
   double noise = 0.02;
