--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -42,7 +42,7 @@
 StageSelection CompletionChooser::SelectServer(const StageContext& question) {
   DrawCompared(question);
   const std::uint64_t prefix = question.query.prefix_hash;
-  const std::uint32_t home = prefix == 0 ? 0 : HomeOfPrefix(question);
+  const std::uint32_t home = prefix == 0 ? 0 : PreferredServer(question);
   if (prefix != 0) {
     m_compared.push_back(home);
   }
@@ -81,7 +81,7 @@
   m_compared.resize(m_settings.max_compared_servers);
 }
 
-std::uint32_t CompletionChooser::HomeOfPrefix(const StageContext& question) const {
+std::uint32_t CompletionChooser::PreferredServer(const StageContext& question) const {
   std::uint32_t home = question.candidates.front();
   double highest = -1.0;
   for (const std::uint32_t candidate : question.candidates) {
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -77,7 +77,7 @@
 
  private:
   void DrawCompared(const StageContext& question);
-  std::uint32_t HomeOfPrefix(const StageContext& question) const;
+  std::uint32_t PreferredServer(const StageContext& question) const;
   double CostOf(const StageContext& question, std::uint32_t candidate, bool probably_cached) const;
   double ExpectedSessions(const FleetIndex& index, const IndexedServer& server) const;
 
