--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -40,7 +40,7 @@
 }
 
 StageSelection CompletionChooser::SelectServer(const StageContext& question) {
-  DrawCompared(question);
+  SampleCandidates(question);
   const std::uint64_t prefix = question.query.prefix_hash;
   const std::uint32_t home = prefix == 0 ? 0 : PreferredServer(question);
   if (prefix != 0) {
@@ -69,7 +69,7 @@
   }
 }
 
-void CompletionChooser::DrawCompared(const StageContext& question) {
+void CompletionChooser::SampleCandidates(const StageContext& question) {
   m_compared.assign(question.candidates.begin(), question.candidates.end());
   if (m_compared.size() <= m_settings.max_compared_servers) {
     return;
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -76,7 +76,7 @@
   }
 
  private:
-  void DrawCompared(const StageContext& question);
+  void SampleCandidates(const StageContext& question);
   std::uint32_t PreferredServer(const StageContext& question) const;
   double CostOf(const StageContext& question, std::uint32_t candidate, bool probably_cached) const;
   double ExpectedSessions(const FleetIndex& index, const IndexedServer& server) const;
