--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -44,10 +44,10 @@
   const std::uint64_t prefix = question.query.prefix_hash;
   const std::uint32_t home = prefix == 0 ? 0 : PreferredServer(question);
   if (prefix != 0) {
-    m_compared.push_back(home);
+    m_sampled.push_back(home);
   }
   StageSelection best{.cost = std::numeric_limits<double>::infinity()};
-  for (const std::uint32_t candidate : m_compared) {
+  for (const std::uint32_t candidate : m_sampled) {
     const std::uint64_t name_hash = question.index.Servers()[candidate].name_hash;
     const bool cached =
         prefix != 0 && (candidate == home || m_prefixes.WasSentTo(prefix, name_hash));
@@ -70,15 +70,15 @@
 }
 
 void CompletionChooser::SampleCandidates(const StageContext& question) {
-  m_compared.assign(question.candidates.begin(), question.candidates.end());
-  if (m_compared.size() <= m_settings.max_compared_servers) {
+  m_sampled.assign(question.candidates.begin(), question.candidates.end());
+  if (m_sampled.size() <= m_settings.max_compared_servers) {
     return;
   }
   for (std::size_t drawn = 0; drawn < m_settings.max_compared_servers; ++drawn) {
-    const std::size_t other = drawn + RandomBelow(m_random, m_compared.size() - drawn);
-    std::swap(m_compared[drawn], m_compared[other]);
+    const std::size_t other = drawn + RandomBelow(m_random, m_sampled.size() - drawn);
+    std::swap(m_sampled[drawn], m_sampled[other]);
   }
-  m_compared.resize(m_settings.max_compared_servers);
+  m_sampled.resize(m_settings.max_compared_servers);
 }
 
 std::uint32_t CompletionChooser::PreferredServer(const StageContext& question) const {
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -84,7 +84,7 @@
   RandomSource m_random;
   const CompletionChooserSettings m_settings;
   PrefixHistory m_prefixes;
-  std::vector<std::uint32_t> m_compared;
+  std::vector<std::uint32_t> m_sampled;
 };
 
 }  // namespace zinnia
