--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -117,8 +117,8 @@
 double CompletionChooser::ExpectedSessions(const FleetIndex& index,
                                            const IndexedServer& server) const {
   const double own_share = m_settings.local_estimate_weight;
-  const double from_own = server.own->InFlight() * index.LiveInstances();
-  return own_share * from_own + (1.0 - own_share) * CorrectedSessions(server);
+  const double local_estimate = server.own->InFlight() * index.LiveInstances();
+  return own_share * local_estimate + (1.0 - own_share) * CorrectedSessions(server);
 }
 
 }  // namespace zinnia
