--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -116,9 +116,9 @@
 
 double CompletionChooser::ExpectedSessions(const FleetIndex& index,
                                            const IndexedServer& server) const {
-  const double own_share = m_settings.local_estimate_weight;
+  const double local_weight = m_settings.local_estimate_weight;
   const double local_estimate = server.own->InFlight() * index.LiveInstances();
-  return own_share * local_estimate + (1.0 - own_share) * CorrectedSessions(server);
+  return local_weight * local_estimate + (1.0 - local_weight) * CorrectedSessions(server);
 }
 
 }  // namespace zinnia
