--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -127,9 +127,9 @@
 std::optional<StageSelection> IndexedChooser::TryStage(const IndexedStage& stage,
                                                        HopPosition position,
                                                        const RouteQuery& query) {
-  KeepAllowed(stage.live, query);
+  FilterExcluded(stage.live, query);
   if (m_allowed.empty()) {
-    KeepAllowed(stage.suspect, query);
+    FilterExcluded(stage.suspect, query);
   }
   if (m_allowed.empty()) {
     return std::nullopt;
@@ -137,8 +137,8 @@
   return SelectServer({*m_index, query, stage.layers, position, m_allowed});
 }
 
-void IndexedChooser::KeepAllowed(const std::vector<std::uint32_t>& servers,
-                                 const RouteQuery& query) {
+void IndexedChooser::FilterExcluded(const std::vector<std::uint32_t>& servers,
+                                    const RouteQuery& query) {
   m_allowed.clear();
   for (const std::uint32_t server : servers) {
     if (query.excluded.empty() || !query.excluded.contains(m_index->Servers()[server].name)) {
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -81,7 +81,7 @@
   std::optional<StageSelection> TryStage(const IndexedStage& stage,
                                          HopPosition position,
                                          const RouteQuery& query);
-  void KeepAllowed(const std::vector<std::uint32_t>& servers, const RouteQuery& query);
+  void FilterExcluded(const std::vector<std::uint32_t>& servers, const RouteQuery& query);
   RouteChoice Describe(Route route, const RouteQuery& query) const;
   Route MakeRoute(const Candidate& candidate, const RouteQuery& query) const;
 
