--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -25,9 +25,9 @@
   return found == m_numbers.end() ? nullptr : &m_servers[found->second];
 }
 
-IndexedStage FleetIndex::HoldersOf(const ModelName& model,
-                                   const std::string& version,
-                                   LayerRange layers) const {
+IndexedStage FleetIndex::ServersHolding(const ModelName& model,
+                                        const std::string& version,
+                                        LayerRange layers) const {
   for (const IndexedPipeline& pipeline : PipelinesOf(model)) {
     for (const IndexedStage& stage : pipeline.stages) {
       const bool usable = !stage.live.empty() || !stage.suspect.empty();
--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -65,9 +65,9 @@
 
   /** All usable servers with this range of the model and version: those in pipelines if there are
       any, else every server that has it loaded. */
-  IndexedStage HoldersOf(const ModelName& model,
-                         const std::string& version,
-                         LayerRange layers) const;
+  IndexedStage ServersHolding(const ModelName& model,
+                              const std::string& version,
+                              LayerRange layers) const;
 
  private:
   void AddServers(const FleetSnapshot& fleet, LocalServerLoads& local_loads);
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -59,7 +59,7 @@
   RouteQuery without_old = query;
   without_old.excluded.insert(route.hops[hop].server);
   const IndexedStage holders =
-      m_index->HoldersOf(route.model, route.version, route.hops[hop].layers);
+      m_index->ServersHolding(route.model, route.version, route.hops[hop].layers);
   const auto pick = TryStage(holders, {hop, route.hops.size()}, without_old);
   if (!pick) {
     return NoPipeline(route.model, "other backend server for the lost stage");
