--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -40,7 +40,7 @@
   const LoadedRange wanted{model, version, layers};
   for (std::uint32_t number = 0; number < m_servers.size(); ++number) {
     if (m_loaded[number] == wanted) {
-      AddUsable(number, stage);
+      AddIfUsable(number, stage);
     }
   }
   return stage;
@@ -88,13 +88,13 @@
   for (const BackendServerName& replica : stage.replicas) {
     const auto found = m_numbers.find(replica);
     if (found != m_numbers.end() && m_loaded[found->second] == wanted) {
-      AddUsable(found->second, indexed);
+      AddIfUsable(found->second, indexed);
     }
   }
   return indexed;
 }
 
-void FleetIndex::AddUsable(std::uint32_t number, IndexedStage& stage) const {
+void FleetIndex::AddIfUsable(std::uint32_t number, IndexedStage& stage) const {
   const IndexedServer& server = m_servers[number];
   if (server.rates.decode_tokens_per_second <= 0.0) {
     return;
