--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -9,7 +9,7 @@
 
 FleetIndex::FleetIndex(const FleetSnapshot& fleet, LocalServerLoads& local_loads)
     : m_links(fleet.links),
-      m_own_domain(m_links.NumberOf(fleet.own_failure_domain)),
+      m_own_domain(m_links.InternDomain(fleet.own_failure_domain)),
       m_live_instances(std::max<double>(1.0, static_cast<double>(fleet.live_instances))) {
   AddServers(fleet, local_loads);
   AddPipelines(fleet);
@@ -53,7 +53,7 @@
     const double reported = view.load.reported_running + view.load.reported_queued;
     m_servers.push_back({.name = name,
                          .name_hash = Hash64(name),
-                         .failure_domain = m_links.NumberOf(view.server.failure_domain),
+                         .failure_domain = m_links.InternDomain(view.server.failure_domain),
                          .state = view.state,
                          .rates = RatesOf(view),
                          .reported_sessions = reported,
--- a/packages/zinnia_decisions/routing/link_table.cc
+++ b/packages/zinnia_decisions/routing/link_table.cc
@@ -13,14 +13,14 @@
     const double seconds_per_byte =
         link.bytes_per_second > 0.0 ? 1.0 / link.bytes_per_second : kFastSecondsPerByte;
     const Cost cost{std::chrono::duration<double>(link.one_way).count(), seconds_per_byte};
-    const auto from = NumberOf(link.from);
-    const auto to = NumberOf(link.to);
+    const auto from = InternDomain(link.from);
+    const auto to = InternDomain(link.to);
     m_costs[{from, to}] = cost;
     m_costs.try_emplace({to, from}, cost);
   }
 }
 
-std::uint32_t LinkTable::NumberOf(const FailureDomainName& domain) {
+std::uint32_t LinkTable::InternDomain(const FailureDomainName& domain) {
   return m_numbers.try_emplace(domain, static_cast<std::uint32_t>(m_numbers.size())).first->second;
 }
 
--- a/packages/zinnia_decisions/routing/link_table.h
+++ b/packages/zinnia_decisions/routing/link_table.h
@@ -22,7 +22,7 @@
   explicit LinkTable(const std::vector<Link>& links);
 
   /** The number of a domain, adding it if it is new. */
-  std::uint32_t NumberOf(const FailureDomainName& domain);
+  std::uint32_t InternDomain(const FailureDomainName& domain);
 
   /** Seconds to move `bytes` one way, without queueing. */
   double OneWaySeconds(std::uint32_t from, std::uint32_t to, double bytes) const;
