--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -12,7 +12,7 @@
 constexpr double kTokenBytes = 64.0;
 
 /** Tokens of a full batch, for what an iteration costs whatever is in it. */
-constexpr double kFullBatch = 16.0;
+constexpr double kFullBatchTokens = 16.0;
 
 /** Part of an empty server's step that does not come from the one token in it. */
 constexpr double kBaseShareOfEmptyStep = 0.7;
@@ -48,7 +48,7 @@
 
 double StepSeconds(const ServerRates& rates, double sessions, double between_tokens_seconds) {
   const double base = kBaseShareOfEmptyStep * rates.base_step_seconds;
-  const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatch;
+  const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatchTokens;
   const double use = sessions * per_token / between_tokens_seconds;
   const double curved = std::min(use, kHighestUse);
   const double room = 1.0 - curved;
