--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -18,7 +18,7 @@
 constexpr double kBaseShareOfEmptyStep = 0.7;
 
 /** A token arrives in the middle of an iteration on average. */
-constexpr double kIterationsUntilDone = 1.5;
+constexpr double kMeanIterationsPerToken = 1.5;
 constexpr double kHighestUse = 0.9;
 
 double LinkSeconds(const FleetIndex& index,
@@ -53,7 +53,7 @@
   const double curved = std::min(use, kHighestUse);
   const double room = 1.0 - curved;
   const double backlog = (use - curved) * between_tokens_seconds;
-  return kIterationsUntilDone * (base / room + backlog);
+  return kMeanIterationsPerToken * (base / room + backlog);
 }
 
 }  // namespace zinnia
