--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -19,7 +19,7 @@
 
 /** A token arrives in the middle of an iteration on average. */
 constexpr double kMeanIterationsPerToken = 1.5;
-constexpr double kHighestUse = 0.9;
+constexpr double kMaxUtilization = 0.9;
 
 double LinkSeconds(const FleetIndex& index,
                    const IndexedServer& server,
@@ -50,7 +50,7 @@
   const double base = kBaseShareOfEmptyStep * rates.base_step_seconds;
   const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatchTokens;
   const double use = sessions * per_token / between_tokens_seconds;
-  const double curved = std::min(use, kHighestUse);
+  const double curved = std::min(use, kMaxUtilization);
   const double room = 1.0 - curved;
   const double backlog = (use - curved) * between_tokens_seconds;
   return kMeanIterationsPerToken * (base / room + backlog);
