--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -15,7 +15,7 @@
 constexpr double kFullBatchTokens = 16.0;
 
 /** Part of an empty server's step that does not come from the one token in it. */
-constexpr double kBaseShareOfEmptyStep = 0.7;
+constexpr double kFixedShareOfEmptyStep = 0.7;
 
 /** A token arrives in the middle of an iteration on average. */
 constexpr double kMeanIterationsPerToken = 1.5;
@@ -47,7 +47,7 @@
 }
 
 double StepSeconds(const ServerRates& rates, double sessions, double between_tokens_seconds) {
-  const double base = kBaseShareOfEmptyStep * rates.base_step_seconds;
+  const double base = kFixedShareOfEmptyStep * rates.base_step_seconds;
   const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatchTokens;
   const double use = sessions * per_token / between_tokens_seconds;
   const double clamped_utilization = std::min(use, kMaxUtilization);
