--- a/packages/zinnia_decisions/routing/server_rates.cc
+++ b/packages/zinnia_decisions/routing/server_rates.cc
@@ -11,7 +11,7 @@
 /** A step of an empty server takes as long as this many tokens at full batch, because reading the
     weights is not shared. */
 constexpr double kEmptyStepTokens = 3.0;
-constexpr double kPrefillToDecode = 8.0;
+constexpr double kPrefillToDecodeRatio = 8.0;
 
 double SpeedOf(AcceleratorKind kind) {
   switch (kind) {
@@ -39,7 +39,8 @@
   const double speed = SpeedOf(view.server.accelerator);
   const double decode =
       MeasuredOr(view.load.decode_tokens_per_second, kNominalLayerTokensPerSecond * speed / layers);
-  const double prefill = MeasuredOr(view.load.prefill_tokens_per_second, kPrefillToDecode * decode);
+  const double prefill =
+      MeasuredOr(view.load.prefill_tokens_per_second, kPrefillToDecodeRatio * decode);
   const double measured_step = std::chrono::duration<double>(view.load.empty_step_time).count();
   return {.base_step_seconds = MeasuredOr(measured_step, kEmptyStepTokens / decode),
           .decode_tokens_per_second = decode * view.weight,
