--- a/packages/zinnia_decisions/routing/server_rates.cc
+++ b/packages/zinnia_decisions/routing/server_rates.cc
@@ -13,7 +13,7 @@
 constexpr double kEmptyStepTokens = 3.0;
 constexpr double kPrefillToDecodeRatio = 8.0;
 
-double SpeedOf(AcceleratorKind kind) {
+double RelativeSpeed(AcceleratorKind kind) {
   switch (kind) {
     case AcceleratorKind::kLarge:
       return 1.0;
@@ -36,7 +36,7 @@
 ServerRates RatesOf(const ServerView& view) {
   const double layers =
       view.server.loaded ? std::max<double>(1.0, view.server.loaded->layers.Count()) : 1.0;
-  const double speed = SpeedOf(view.server.accelerator);
+  const double speed = RelativeSpeed(view.server.accelerator);
   const double decode =
       MeasuredOr(view.load.decode_tokens_per_second, kNominalLayerTokensPerSecond * speed / layers);
   const double prefill =
