--- a/packages/zinnia_decisions/routing/pool_capacity.cc
+++ b/packages/zinnia_decisions/routing/pool_capacity.cc
@@ -9,7 +9,7 @@
 namespace zinnia {
 namespace {
 
-double NarrowestStage(const FleetIndex& index, const IndexedPipeline& pipeline) {
+double BottleneckTokensPerSecond(const FleetIndex& index, const IndexedPipeline& pipeline) {
   double narrowest = std::numeric_limits<double>::infinity();
   for (const IndexedStage& stage : pipeline.stages) {
     double tokens_per_second = 0.0;
@@ -30,7 +30,7 @@
   const FleetIndex index(fleet, none);
   double tokens_per_second = 0.0;
   for (const IndexedPipeline& pipeline : index.PipelinesOf(model)) {
-    tokens_per_second += NarrowestStage(index, pipeline);
+    tokens_per_second += BottleneckTokensPerSecond(index, pipeline);
   }
   return tokens_per_second * seconds_between_tokens / index.LiveInstances();
 }
