--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -16,7 +16,7 @@
   std::size_t holders = 0;
   std::set<FailureDomainName> held_in;
 
-  void TakeOne(std::vector<PlannedLoad>& loads) {
+  void ScheduleNextLoad(std::vector<PlannedLoad>& loads) {
     const auto new_domain = std::ranges::find_if(missing, [this](const FormableServer* server) {
       return !held_in.contains(server->failure_domain);
     });
@@ -59,7 +59,7 @@
     const std::size_t copies = Copies();
     for (StageProgress& stage : stages) {
       if (!stage.missing.empty() && stage.holders == copies) {
-        stage.TakeOne(loads);
+        stage.ScheduleNextLoad(loads);
       }
     }
   }
