--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -55,7 +55,7 @@
     return bytes;
   }
 
-  void TakeNextCopy(std::vector<PlannedLoad>& loads) {
+  void ScheduleNextCopy(std::vector<PlannedLoad>& loads) {
     const std::size_t copies = Copies();
     for (StageProgress& stage : stages) {
       if (!stage.missing.empty() && stage.holders == copies) {
@@ -108,7 +108,7 @@
     const auto next = std::ranges::min_element(all, {}, [](const ModelProgress& progress) {
       return std::pair(progress.Copies(), progress.BytesToNextCopy());
     });
-    next->TakeNextCopy(loads);
+    next->ScheduleNextCopy(loads);
   }
 }
 
