--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -14,15 +14,15 @@
   double bytes_per_load = 0.0;
   std::vector<const FormableServer*> missing;
   std::size_t holders = 0;
-  std::set<FailureDomainName> held_in;
+  std::set<FailureDomainName> holder_domains;
 
   void ScheduleNextLoad(std::vector<PlannedLoad>& loads) {
     const auto new_domain = std::ranges::find_if(missing, [this](const FormableServer* server) {
-      return !held_in.contains(server->failure_domain);
+      return !holder_domains.contains(server->failure_domain);
     });
     const auto next = new_domain == missing.end() ? missing.begin() : new_domain;
     loads.push_back({(*next)->name, range, bytes_per_load});
-    held_in.insert((*next)->failure_domain);
+    holder_domains.insert((*next)->failure_domain);
     ++holders;
     missing.erase(next);
   }
@@ -76,7 +76,7 @@
       const FormableServer& server = *servers.at(name);
       if (server.loaded == of_stage.range) {
         ++of_stage.holders;
-        of_stage.held_in.insert(server.failure_domain);
+        of_stage.holder_domains.insert(server.failure_domain);
       } else {
         of_stage.missing.push_back(&server);
       }
