--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -17,7 +17,7 @@
 using Servers = std::vector<const FormableServer*>;
 
 /** A further stage must bring at least this much, as it adds latency to every token. */
-constexpr double kWorthAStage = 1.03;
+constexpr double kMinGainPerStage = 1.03;
 constexpr std::size_t kLeastDomains = 2;
 constexpr std::size_t kMostStages = 16;
 
@@ -180,7 +180,7 @@
       continue;
     }
     const double rate = RateOf(model, stages);
-    if (rate > best.rate * kWorthAStage) {
+    if (rate > best.rate * kMinGainPerStage) {
       best = {std::move(stages), rate};
     }
   }
