--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -18,7 +18,7 @@
 
 /** A further stage must bring at least this much, as it adds latency to every token. */
 constexpr double kMinGainPerStage = 1.03;
-constexpr std::size_t kLeastDomains = 2;
+constexpr std::size_t kMinDomainsPerStage = 2;
 constexpr std::size_t kMostStages = 16;
 
 constexpr int kShareRounds = 12;
@@ -115,8 +115,8 @@
   std::vector<Stage> stages(count);
   for (const FormableServer* server : SortedByRate(servers)) {
     const auto poorest = std::ranges::min_element(stages, {}, [server](const Stage& stage) {
-      const bool lacks_domains =
-          stage.domains.size() < kLeastDomains && !stage.domains.contains(server->failure_domain);
+      const bool lacks_domains = stage.domains.size() < kMinDomainsPerStage &&
+                                 !stage.domains.contains(server->failure_domain);
       return std::pair(lacks_domains ? 0 : 1, stage.rate);
     });
     poorest->Add(*server);
@@ -171,11 +171,11 @@
 
 ModelPlan PlanModel(const FormableModel& model, const Servers& servers) {
   ModelPlan best;
-  const std::size_t most = std::min(kMostStages, servers.size() / kLeastDomains);
+  const std::size_t most = std::min(kMostStages, servers.size() / kMinDomainsPerStage);
   for (std::size_t count = 1; count <= most; ++count) {
     std::vector<Stage> stages = DealToStages(servers, count);
     const bool survives = std::ranges::all_of(
-        stages, [](const Stage& stage) { return stage.domains.size() >= kLeastDomains; });
+        stages, [](const Stage& stage) { return stage.domains.size() >= kMinDomainsPerStage; });
     if (!survives || !CutLayers(model, stages)) {
       continue;
     }
