--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -19,7 +19,7 @@
 /** A further stage must bring at least this much, as it adds latency to every token. */
 constexpr double kMinGainPerStage = 1.03;
 constexpr std::size_t kMinDomainsPerStage = 2;
-constexpr std::size_t kMostStages = 16;
+constexpr std::size_t kMaxStages = 16;
 
 constexpr int kShareRounds = 12;
 constexpr double kLargerShare = 1.25;
@@ -171,7 +171,7 @@
 
 ModelPlan PlanModel(const FormableModel& model, const Servers& servers) {
   ModelPlan best;
-  const std::size_t most = std::min(kMostStages, servers.size() / kMinDomainsPerStage);
+  const std::size_t most = std::min(kMaxStages, servers.size() / kMinDomainsPerStage);
   for (std::size_t count = 1; count <= most; ++count) {
     std::vector<Stage> stages = DealToStages(servers, count);
     const bool survives = std::ranges::all_of(
