--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -21,7 +21,7 @@
 constexpr std::size_t kMinDomainsPerStage = 2;
 constexpr std::size_t kMaxStages = 16;
 
-constexpr int kShareRounds = 12;
+constexpr int kMaxAllocationRounds = 12;
 constexpr double kLargerShare = 1.25;
 
 struct Stage {
@@ -235,7 +235,7 @@
     needs.push_back(model.demand_share * TotalCost(model));
   }
   std::size_t unserved = 0;
-  for (int round = 0; round < kShareRounds; ++round) {
+  for (int round = 0; round < kMaxAllocationRounds; ++round) {
     const std::vector<ModelPlan> plans = PlanAll(models, ShareOut(servers, needs));
     const auto failed = std::ranges::find_if(
         plans, [](const ModelPlan& planned) { return planned.stages.empty(); });
