--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxStages = 16;
 
 constexpr int kMaxAllocationRounds = 12;
-constexpr double kLargerShare = 1.25;
+constexpr double kDemandGrowth = 1.25;
 
 struct Stage {
   Servers servers;
@@ -245,7 +245,7 @@
     // A small model may be given too few servers for two domains at every stage, or too little
     // memory; it takes a larger share then than its demand alone gives it.
     unserved = static_cast<std::size_t>(failed - plans.begin());
-    needs[unserved] *= kLargerShare;
+    needs[unserved] *= kDemandGrowth;
   }
   return MakeError(
       ErrorKind::kInvalidRequest,
