--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -111,7 +111,7 @@
 }
 
 /** Deals servers to stages: to the stage that lacks this domain most, then to the slowest. */
-std::vector<Stage> DealToStages(const Servers& servers, std::size_t count) {
+std::vector<Stage> AssignToStages(const Servers& servers, std::size_t count) {
   std::vector<Stage> stages(count);
   for (const FormableServer* server : SortedByRate(servers)) {
     const auto poorest = std::ranges::min_element(stages, {}, [server](const Stage& stage) {
@@ -173,7 +173,7 @@
   ModelPlan best;
   const std::size_t most = std::min(kMaxStages, servers.size() / kMinDomainsPerStage);
   for (std::size_t count = 1; count <= most; ++count) {
-    std::vector<Stage> stages = DealToStages(servers, count);
+    std::vector<Stage> stages = AssignToStages(servers, count);
     const bool survives = std::ranges::all_of(
         stages, [](const Stage& stage) { return stage.domains.size() >= kMinDomainsPerStage; });
     if (!survives || !CutLayers(model, stages)) {
