--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -125,7 +125,7 @@
 }
 
 /** Cuts the layers in proportion to the stages' rates, within memory. False if they do not fit. */
-bool CutLayers(const FormableModel& model, std::vector<Stage>& stages) {
+bool PartitionLayers(const FormableModel& model, std::vector<Stage>& stages) {
   const auto layers = static_cast<std::uint32_t>(model.layer_costs.size());
   std::uint32_t first = 0;
   double cost_left = TotalCost(model);
@@ -176,7 +176,7 @@
     std::vector<Stage> stages = AssignToStages(servers, count);
     const bool survives = std::ranges::all_of(
         stages, [](const Stage& stage) { return stage.domains.size() >= kMinDomainsPerStage; });
-    if (!survives || !CutLayers(model, stages)) {
+    if (!survives || !PartitionLayers(model, stages)) {
       continue;
     }
     const double rate = RateOf(model, stages);
