--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -94,12 +94,12 @@
   }
   left = SortedByRate(left);
   while (!left.empty()) {
-    Share& neediest = *std::ranges::min_element(
+    Share& next_model = *std::ranges::min_element(
         shares, {}, [](const Share& share) { return share.rate / share.need; });
     const auto next = std::ranges::min_element(left, {}, [&](const FormableServer* server) {
-      return std::pair(neediest.domain_rates[server->failure_domain], -server->rate);
+      return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
-    neediest.Take(**next);
+    next_model.Take(**next);
     left.erase(next);
   }
   std::vector<Servers> result;
