--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -114,12 +114,12 @@
 std::vector<Stage> AssignToStages(const Servers& servers, std::size_t count) {
   std::vector<Stage> stages(count);
   for (const FormableServer* server : SortedByRate(servers)) {
-    const auto poorest = std::ranges::min_element(stages, {}, [server](const Stage& stage) {
+    const auto target_stage = std::ranges::min_element(stages, {}, [server](const Stage& stage) {
       const bool lacks_domains = stage.domains.size() < kMinDomainsPerStage &&
                                  !stage.domains.contains(server->failure_domain);
       return std::pair(lacks_domains ? 0 : 1, stage.rate);
     });
-    poorest->Add(*server);
+    target_stage->Add(*server);
   }
   return stages;
 }
