--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -142,8 +142,8 @@
     std::uint32_t end = first;
     while (end < layers && end - first < stage.memory) {
       const bool must = layers - end > memory_left;
-      const bool nearer = cost + model.layer_costs[end] / 2.0 <= due;
-      if (!must && !nearer) {
+      const bool closer_to_target = cost + model.layer_costs[end] / 2.0 <= due;
+      if (!must && !closer_to_target) {
         break;
       }
       cost += model.layer_costs[end++];
