--- a/bench/routing/forming.h
+++ b/bench/routing/forming.h
@@ -2,7 +2,7 @@
 
 namespace zinnia::bench {
 
-/** Prints how near to the bound PipelineFormer comes on seeded fleets of thirty servers, and what
+/** Prints how near to the bound PipelinePlanner comes on seeded fleets of thirty servers, and what
     forming costs for larger ones. */
 void PrintFormingFigures();
 
--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -227,8 +227,8 @@
 
 }  // namespace
 
-Result<FormationPlan> PipelineFormer::Form(const std::vector<FormableServer>& servers,
-                                           const std::vector<FormableModel>& models) {
+Result<FormationPlan> PipelinePlanner::Form(const std::vector<FormableServer>& servers,
+                                            const std::vector<FormableModel>& models) {
   std::vector<double> needs;
   needs.reserve(models.size());
   for (const FormableModel& model : models) {
--- a/packages/zinnia_decisions/routing/pipeline_former.h
+++ b/packages/zinnia_decisions/routing/pipeline_former.h
@@ -54,7 +54,7 @@
 
     Cost: servers times stages for each number of stages tried. @see OrderLoads
 */
-class PipelineFormer {
+class PipelinePlanner {
  public:
   /** Fails with kInvalidRequest if a model cannot be served through the loss of every domain. */
   static Result<FormationPlan> Form(const std::vector<FormableServer>& servers,
--- a/tests/routing/pipeline_former_test.cc
+++ b/tests/routing/pipeline_former_test.cc
@@ -42,7 +42,7 @@
 TEST(PipelineFormers, TheLossOfAnyDomainLeavesEveryModelServed) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
-    const auto plan = PipelineFormer::Form(servers, MakeModels());
+    const auto plan = PipelinePlanner::Form(servers, MakeModels());
     CHECK_TRUE(plan.has_value());
     std::map<BackendServerName, FailureDomainName> domains;
     for (const FormableServer& server : servers) {
@@ -64,7 +64,7 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
     const auto models = MakeModels();
-    const auto plan = PipelineFormer::Form(servers, models);
+    const auto plan = PipelinePlanner::Form(servers, models);
     CHECK_TRUE(plan.has_value());
     std::size_t placed = 0;
     for (std::size_t model = 0; model < models.size(); ++model) {
@@ -88,7 +88,7 @@
   for (FormableServer& server : servers) {
     server.failure_domain = "only";
   }
-  const auto plan = PipelineFormer::Form(servers, MakeModels());
+  const auto plan = PipelinePlanner::Form(servers, MakeModels());
   CHECK_TRUE(plan.error().kind == ErrorKind::kInvalidRequest);
   STRCMP_CONTAINS("assistant", plan.error().message.c_str());
 }
@@ -98,7 +98,7 @@
 TEST(PipelineFormers, LoadsCompleteOneModelBeforeTheNextBegins) {
   const auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
-  const auto plan = PipelineFormer::Form(servers, models);
+  const auto plan = PipelinePlanner::Form(servers, models);
   std::size_t stages_of_first = 0;
   while (plan->loads[stages_of_first].target.model == "drafting") {
     ++stages_of_first;
@@ -110,7 +110,7 @@
 TEST(PipelineFormers, LoadsNothingThatIsThere) {
   auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
-  const auto plan = PipelineFormer::Form(servers, models);
+  const auto plan = PipelinePlanner::Form(servers, models);
   for (const PlannedLoad& load : plan->loads) {
     std::ranges::find(servers, load.server, &FormableServer::name)->loaded = load.target;
   }
