--- a/tests/routing/pipeline_former_test.cc
+++ b/tests/routing/pipeline_former_test.cc
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-TEST_GROUP(PipelineFormers){};
+TEST_GROUP(PipelinePlannerTest){};
 
 // Symptom: a model is gone when one failure domain is. All holders of one of its stages were in
 // that domain. Cause: layer ranges are given out by rate only.
-TEST(PipelineFormers, TheLossOfAnyDomainLeavesEveryModelServed) {
+TEST(PipelinePlannerTest, TheLossOfAnyDomainLeavesEveryModelServed) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
     const auto plan = PipelinePlanner::Form(servers, MakeModels());
@@ -60,7 +60,7 @@
   }
 }
 
-TEST(PipelineFormers, CoversEveryLayerOnceWithinMemoryAndNearTheBound) {
+TEST(PipelinePlannerTest, CoversEveryLayerOnceWithinMemoryAndNearTheBound) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
     const auto models = MakeModels();
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(PipelineFormers, SaysWhichModelCannotSurviveTheLossOfADomain) {
+TEST(PipelinePlannerTest, SaysWhichModelCannotSurviveTheLossOfADomain) {
   auto servers = MakeServers(30, 1);
   for (FormableServer& server : servers) {
     server.failure_domain = "only";
@@ -95,7 +95,7 @@
 
 // Symptom: after a rollout over a slow weight store nothing is served for minutes, though half of
 // all bytes are there. Each model has some of its stages. Cause: loads in no useful order.
-TEST(PipelineFormers, LoadsCompleteOneModelBeforeTheNextBegins) {
+TEST(PipelinePlannerTest, LoadsCompleteOneModelBeforeTheNextBegins) {
   const auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
   const auto plan = PipelinePlanner::Form(servers, models);
@@ -107,7 +107,7 @@
   LONGS_EQUAL(servers.size(), plan->loads.size());
 }
 
-TEST(PipelineFormers, LoadsNothingThatIsThere) {
+TEST(PipelinePlannerTest, LoadsNothingThatIsThere) {
   auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
   const auto plan = PipelinePlanner::Form(servers, models);
