--- a/bench/routing/forming.cc
+++ b/bench/routing/forming.cc
@@ -11,11 +11,11 @@
 namespace zinnia::bench {
 namespace {
 
-std::vector<FormableServer> MakeServers(std::size_t count, std::uint64_t seed) {
+std::vector<PlannerServer> MakeServers(std::size_t count, std::uint64_t seed) {
   constexpr double kRates[] = {1'000.0, 625.0, 400.0};
   constexpr std::uint32_t kMemory[] = {32, 24, 20};
   RandomSource random(seed);
-  std::vector<FormableServer> servers;
+  std::vector<PlannerServer> servers;
   servers.reserve(count);
   for (std::size_t number = 0; number < count; ++number) {
     const std::size_t kind = RandomBelow(random, 3);
--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -12,12 +12,12 @@
 struct StageProgress {
   LoadedRange range;
   double bytes_per_load = 0.0;
-  std::vector<const FormableServer*> missing;
+  std::vector<const PlannerServer*> missing;
   std::size_t holders = 0;
   std::set<FailureDomainName> holder_domains;
 
   void ScheduleNextLoad(std::vector<PlannedLoad>& loads) {
-    const auto new_domain = std::ranges::find_if(missing, [this](const FormableServer* server) {
+    const auto new_domain = std::ranges::find_if(missing, [this](const PlannerServer* server) {
       return !holder_domains.contains(server->failure_domain);
     });
     const auto next = new_domain == missing.end() ? missing.begin() : new_domain;
@@ -65,7 +65,7 @@
   }
 };
 
-ModelProgress ProgressOf(const std::map<BackendServerName, const FormableServer*>& servers,
+ModelProgress ProgressOf(const std::map<BackendServerName, const PlannerServer*>& servers,
                          const FormableModel& model,
                          const Pipeline& pipeline) {
   ModelProgress progress;
@@ -73,7 +73,7 @@
     StageProgress of_stage{.range = {model.name, model.version, stage.layers},
                            .bytes_per_load = model.bytes_per_layer * stage.layers.Count()};
     for (const BackendServerName& name : stage.replicas) {
-      const FormableServer& server = *servers.at(name);
+      const PlannerServer& server = *servers.at(name);
       if (server.loaded == of_stage.range) {
         ++of_stage.holders;
         of_stage.holder_domains.insert(server.failure_domain);
@@ -88,11 +88,11 @@
 
 }  // namespace
 
-std::vector<PlannedLoad> OrderLoads(const std::vector<FormableServer>& servers,
+std::vector<PlannedLoad> OrderLoads(const std::vector<PlannerServer>& servers,
                                     const std::vector<FormableModel>& models,
                                     const std::vector<Pipeline>& pipelines) {
-  std::map<BackendServerName, const FormableServer*> by_name;
-  for (const FormableServer& server : servers) {
+  std::map<BackendServerName, const PlannerServer*> by_name;
+  for (const PlannerServer& server : servers) {
     by_name[server.name] = &server;
   }
   std::vector<ModelProgress> all;
--- a/packages/zinnia_decisions/routing/load_order.h
+++ b/packages/zinnia_decisions/routing/load_order.h
@@ -8,7 +8,7 @@
     that gives them out one after the other: always the model next that has the fewest complete
     copies, and of those the one whose next complete copy needs the fewest bytes. Within a stage,
     servers in domains that do not hold it yet come first. */
-std::vector<PlannedLoad> OrderLoads(const std::vector<FormableServer>& servers,
+std::vector<PlannedLoad> OrderLoads(const std::vector<PlannerServer>& servers,
                                     const std::vector<FormableModel>& models,
                                     const std::vector<Pipeline>& pipelines);
 
--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -14,7 +14,7 @@
 namespace zinnia {
 namespace {
 
-using Servers = std::vector<const FormableServer*>;
+using Servers = std::vector<const PlannerServer*>;
 
 /** A further stage must bring at least this much, as it adds latency to every token. */
 constexpr double kMinGainPerStage = 1.03;
@@ -31,7 +31,7 @@
   std::set<FailureDomainName> domains;
   LayerRange layers;
 
-  void Add(const FormableServer& server) {
+  void Add(const PlannerServer& server) {
     servers.push_back(&server);
     rate += server.rate;
     memory = std::min(memory, server.memory_layers);
@@ -48,9 +48,9 @@
   return std::accumulate(model.layer_costs.begin(), model.layer_costs.end(), 0.0);
 }
 
-double TotalRate(const std::vector<FormableServer>& servers) {
+double TotalRate(const std::vector<PlannerServer>& servers) {
   double rate = 0.0;
-  for (const FormableServer& server : servers) {
+  for (const PlannerServer& server : servers) {
     rate += server.rate;
   }
   return rate;
@@ -60,7 +60,7 @@
 Servers SortedByRate(const Servers& servers) {
   Servers sorted = servers;
   std::ranges::stable_sort(sorted, std::greater{},
-                           [](const FormableServer* server) { return server->rate; });
+                           [](const PlannerServer* server) { return server->rate; });
   return sorted;
 }
 
@@ -71,7 +71,7 @@
   double rate = 0.0;
   std::map<FailureDomainName, double> domain_rates;
 
-  void Take(const FormableServer& server) {
+  void Take(const PlannerServer& server) {
     servers.push_back(&server);
     rate += server.rate;
     domain_rates[server.failure_domain] += server.rate;
@@ -80,7 +80,7 @@
 
 /** Lets the model with the least rate for its demand take the next server, again and again: the
     fastest of the domain in which it has least. */
-std::vector<Servers> ShareOut(const std::vector<FormableServer>& servers,
+std::vector<Servers> ShareOut(const std::vector<PlannerServer>& servers,
                               const std::vector<double>& needs) {
   std::vector<Share> shares;
   shares.reserve(needs.size());
@@ -89,14 +89,14 @@
   }
   Servers left;
   left.reserve(servers.size());
-  for (const FormableServer& server : servers) {
+  for (const PlannerServer& server : servers) {
     left.push_back(&server);
   }
   left = SortedByRate(left);
   while (!left.empty()) {
     Share& next_model = *std::ranges::min_element(
         shares, {}, [](const Share& share) { return share.rate / share.need; });
-    const auto next = std::ranges::min_element(left, {}, [&](const FormableServer* server) {
+    const auto next = std::ranges::min_element(left, {}, [&](const PlannerServer* server) {
       return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
     next_model.Take(**next);
@@ -113,7 +113,7 @@
 /** Deals servers to stages: to the stage that lacks this domain most, then to the slowest. */
 std::vector<Stage> AssignToStages(const Servers& servers, std::size_t count) {
   std::vector<Stage> stages(count);
-  for (const FormableServer* server : SortedByRate(servers)) {
+  for (const PlannerServer* server : SortedByRate(servers)) {
     const auto target_stage = std::ranges::min_element(stages, {}, [server](const Stage& stage) {
       const bool lacks_domains = stage.domains.size() < kMinDomainsPerStage &&
                                  !stage.domains.contains(server->failure_domain);
@@ -191,7 +191,7 @@
   Pipeline pipeline{model.name, model.name, model.version};
   for (const Stage& stage : plan.stages) {
     PipelineStage formed{.layers = stage.layers};
-    for (const FormableServer* server : stage.servers) {
+    for (const PlannerServer* server : stage.servers) {
       formed.replicas.push_back(server->name);
     }
     pipeline.stages.push_back(std::move(formed));
@@ -209,7 +209,7 @@
   return plans;
 }
 
-FormationPlan MakeFormation(const std::vector<FormableServer>& servers,
+FormationPlan MakeFormation(const std::vector<PlannerServer>& servers,
                             const std::vector<FormableModel>& models,
                             const std::vector<ModelPlan>& plans) {
   FormationPlan formation{.token_rate = std::numeric_limits<double>::infinity()};
@@ -227,7 +227,7 @@
 
 }  // namespace
 
-Result<FormationPlan> PipelinePlanner::Form(const std::vector<FormableServer>& servers,
+Result<FormationPlan> PipelinePlanner::Form(const std::vector<PlannerServer>& servers,
                                             const std::vector<FormableModel>& models) {
   std::vector<double> needs;
   needs.reserve(models.size());
--- a/packages/zinnia_decisions/routing/pipeline_former.h
+++ b/packages/zinnia_decisions/routing/pipeline_former.h
@@ -10,7 +10,7 @@
 
 /** A backend server that can be given layers. `rate` is how much layer cost it works off in a
     second, `memory_layers` how many layers it can hold. */
-struct FormableServer {
+struct PlannerServer {
   BackendServerName name;
   FailureDomainName failure_domain;
   double rate = 1.0;
@@ -57,7 +57,7 @@
 class PipelinePlanner {
  public:
   /** Fails with kInvalidRequest if a model cannot be served through the loss of every domain. */
-  static Result<FormationPlan> Form(const std::vector<FormableServer>& servers,
+  static Result<FormationPlan> Form(const std::vector<PlannerServer>& servers,
                                     const std::vector<FormableModel>& models);
 };
 
--- a/tests/routing/pipeline_former_test.cc
+++ b/tests/routing/pipeline_former_test.cc
@@ -13,11 +13,11 @@
 namespace zinnia {
 namespace {
 
-std::vector<FormableServer> MakeServers(std::size_t count, std::uint64_t seed) {
+std::vector<PlannerServer> MakeServers(std::size_t count, std::uint64_t seed) {
   constexpr double kRates[] = {1'000.0, 620.0, 400.0};
   constexpr std::uint32_t kMemory[] = {32, 24, 20};
   RandomSource random(seed);
-  std::vector<FormableServer> servers;
+  std::vector<PlannerServer> servers;
   for (std::size_t number = 0; number < count; ++number) {
     const std::size_t kind = RandomBelow(random, 3);
     servers.push_back({"server-" + std::to_string(number), "domain-" + std::to_string(number % 3),
@@ -45,7 +45,7 @@
     const auto plan = PipelinePlanner::Form(servers, MakeModels());
     CHECK_TRUE(plan.has_value());
     std::map<BackendServerName, FailureDomainName> domains;
-    for (const FormableServer& server : servers) {
+    for (const PlannerServer& server : servers) {
       domains[server.name] = server.failure_domain;
     }
     for (const Pipeline& pipeline : plan->pipelines) {
@@ -85,7 +85,7 @@
 
 TEST(PipelinePlannerTest, SaysWhichModelCannotSurviveTheLossOfADomain) {
   auto servers = MakeServers(30, 1);
-  for (FormableServer& server : servers) {
+  for (PlannerServer& server : servers) {
     server.failure_domain = "only";
   }
   const auto plan = PipelinePlanner::Form(servers, MakeModels());
@@ -112,7 +112,7 @@
   const auto models = MakeModels();
   const auto plan = PipelinePlanner::Form(servers, models);
   for (const PlannedLoad& load : plan->loads) {
-    std::ranges::find(servers, load.server, &FormableServer::name)->loaded = load.target;
+    std::ranges::find(servers, load.server, &PlannerServer::name)->loaded = load.target;
   }
   LONGS_EQUAL(0, OrderLoads(servers, models, plan->pipelines).size());
 }
