--- a/bench/routing/forming.cc
+++ b/bench/routing/forming.cc
@@ -25,7 +25,7 @@
   return servers;
 }
 
-std::vector<FormableModel> MakeModels() {
+std::vector<PlannerModel> MakeModels() {
   return {{"assistant", "v1", std::vector<double>(48, 1.0), 0.7, 1e9},
           {"drafting", "v1", std::vector<double>(24, 1.0), 0.3, 1e9}};
 }
--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -66,7 +66,7 @@
 };
 
 ModelProgress ProgressOf(const std::map<BackendServerName, const PlannerServer*>& servers,
-                         const FormableModel& model,
+                         const PlannerModel& model,
                          const Pipeline& pipeline) {
   ModelProgress progress;
   for (const PipelineStage& stage : pipeline.stages) {
@@ -89,7 +89,7 @@
 }  // namespace
 
 std::vector<PlannedLoad> OrderLoads(const std::vector<PlannerServer>& servers,
-                                    const std::vector<FormableModel>& models,
+                                    const std::vector<PlannerModel>& models,
                                     const std::vector<Pipeline>& pipelines) {
   std::map<BackendServerName, const PlannerServer*> by_name;
   for (const PlannerServer& server : servers) {
--- a/packages/zinnia_decisions/routing/load_order.h
+++ b/packages/zinnia_decisions/routing/load_order.h
@@ -9,7 +9,7 @@
     copies, and of those the one whose next complete copy needs the fewest bytes. Within a stage,
     servers in domains that do not hold it yet come first. */
 std::vector<PlannedLoad> OrderLoads(const std::vector<PlannerServer>& servers,
-                                    const std::vector<FormableModel>& models,
+                                    const std::vector<PlannerModel>& models,
                                     const std::vector<Pipeline>& pipelines);
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -44,7 +44,7 @@
   double rate = 0.0;
 };
 
-double TotalCost(const FormableModel& model) {
+double TotalCost(const PlannerModel& model) {
   return std::accumulate(model.layer_costs.begin(), model.layer_costs.end(), 0.0);
 }
 
@@ -125,7 +125,7 @@
 }
 
 /** Cuts the layers in proportion to the stages' rates, within memory. False if they do not fit. */
-bool PartitionLayers(const FormableModel& model, std::vector<Stage>& stages) {
+bool PartitionLayers(const PlannerModel& model, std::vector<Stage>& stages) {
   const auto layers = static_cast<std::uint32_t>(model.layer_costs.size());
   std::uint32_t first = 0;
   double cost_left = TotalCost(model);
@@ -159,7 +159,7 @@
   return first == layers;
 }
 
-double RateOf(const FormableModel& model, const std::vector<Stage>& stages) {
+double RateOf(const PlannerModel& model, const std::vector<Stage>& stages) {
   double rate = std::numeric_limits<double>::infinity();
   for (const Stage& stage : stages) {
     const auto begin = model.layer_costs.begin() + stage.layers.first;
@@ -169,7 +169,7 @@
   return rate;
 }
 
-ModelPlan PlanModel(const FormableModel& model, const Servers& servers) {
+ModelPlan PlanModel(const PlannerModel& model, const Servers& servers) {
   ModelPlan best;
   const std::size_t most = std::min(kMaxStages, servers.size() / kMinDomainsPerStage);
   for (std::size_t count = 1; count <= most; ++count) {
@@ -187,7 +187,7 @@
   return best;
 }
 
-Pipeline MakePipeline(const FormableModel& model, const ModelPlan& plan) {
+Pipeline MakePipeline(const PlannerModel& model, const ModelPlan& plan) {
   Pipeline pipeline{model.name, model.name, model.version};
   for (const Stage& stage : plan.stages) {
     PipelineStage formed{.layers = stage.layers};
@@ -199,7 +199,7 @@
   return pipeline;
 }
 
-std::vector<ModelPlan> PlanAll(const std::vector<FormableModel>& models,
+std::vector<ModelPlan> PlanAll(const std::vector<PlannerModel>& models,
                                const std::vector<Servers>& shares) {
   std::vector<ModelPlan> plans;
   plans.reserve(models.size());
@@ -210,7 +210,7 @@
 }
 
 FormationPlan MakeFormation(const std::vector<PlannerServer>& servers,
-                            const std::vector<FormableModel>& models,
+                            const std::vector<PlannerModel>& models,
                             const std::vector<ModelPlan>& plans) {
   FormationPlan formation{.token_rate = std::numeric_limits<double>::infinity()};
   double cost_of_mix = 0.0;
@@ -228,10 +228,10 @@
 }  // namespace
 
 Result<FormationPlan> PipelinePlanner::Form(const std::vector<PlannerServer>& servers,
-                                            const std::vector<FormableModel>& models) {
+                                            const std::vector<PlannerModel>& models) {
   std::vector<double> needs;
   needs.reserve(models.size());
-  for (const FormableModel& model : models) {
+  for (const PlannerModel& model : models) {
     needs.push_back(model.demand_share * TotalCost(model));
   }
   std::size_t unserved = 0;
--- a/packages/zinnia_decisions/routing/pipeline_former.h
+++ b/packages/zinnia_decisions/routing/pipeline_former.h
@@ -19,7 +19,7 @@
 };
 
 /** A model to be served: the cost of each layer and the part of all tokens that it has to give. */
-struct FormableModel {
+struct PlannerModel {
   ModelName name;
   std::string version;
   std::vector<double> layer_costs;
@@ -58,7 +58,7 @@
  public:
   /** Fails with kInvalidRequest if a model cannot be served through the loss of every domain. */
   static Result<FormationPlan> Form(const std::vector<PlannerServer>& servers,
-                                    const std::vector<FormableModel>& models);
+                                    const std::vector<PlannerModel>& models);
 };
 
 }  // namespace zinnia
--- a/tests/routing/pipeline_former_test.cc
+++ b/tests/routing/pipeline_former_test.cc
@@ -26,7 +26,7 @@
   return servers;
 }
 
-std::vector<FormableModel> MakeModels() {
+std::vector<PlannerModel> MakeModels() {
   std::vector<double> unequal(48, 1.0);
   std::fill(unequal.begin(), unequal.begin() + 8, 1.5);
   return {{"assistant", "v1", unequal, 0.7, 1e9},
