--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -209,10 +209,10 @@
   return plans;
 }
 
-FormationPlan MakeFormation(const std::vector<PlannerServer>& servers,
-                            const std::vector<PlannerModel>& models,
-                            const std::vector<ModelPlan>& plans) {
-  FormationPlan formation{.token_rate = std::numeric_limits<double>::infinity()};
+PipelinePlan MakeFormation(const std::vector<PlannerServer>& servers,
+                           const std::vector<PlannerModel>& models,
+                           const std::vector<ModelPlan>& plans) {
+  PipelinePlan formation{.token_rate = std::numeric_limits<double>::infinity()};
   double cost_of_mix = 0.0;
   for (std::size_t model = 0; model < models.size(); ++model) {
     const double share = models[model].demand_share;
@@ -227,8 +227,8 @@
 
 }  // namespace
 
-Result<FormationPlan> PipelinePlanner::Form(const std::vector<PlannerServer>& servers,
-                                            const std::vector<PlannerModel>& models) {
+Result<PipelinePlan> PipelinePlanner::Form(const std::vector<PlannerServer>& servers,
+                                           const std::vector<PlannerModel>& models) {
   std::vector<double> needs;
   needs.reserve(models.size());
   for (const PlannerModel& model : models) {
--- a/packages/zinnia_decisions/routing/pipeline_former.h
+++ b/packages/zinnia_decisions/routing/pipeline_former.h
@@ -37,7 +37,7 @@
 /** Who holds what, as one pipeline a model, and which loads lead there, in this order.
     `token_rate` is what all models give together at their shares; `token_rate_bound` is what they
     could if every server could be split at will. */
-struct FormationPlan {
+struct PipelinePlan {
   std::vector<Pipeline> pipelines;
   std::vector<PlannedLoad> loads;
   double token_rate = 0.0;
@@ -57,8 +57,8 @@
 class PipelinePlanner {
  public:
   /** Fails with kInvalidRequest if a model cannot be served through the loss of every domain. */
-  static Result<FormationPlan> Form(const std::vector<PlannerServer>& servers,
-                                    const std::vector<PlannerModel>& models);
+  static Result<PipelinePlan> Form(const std::vector<PlannerServer>& servers,
+                                   const std::vector<PlannerModel>& models);
 };
 
 }  // namespace zinnia
