--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_former.cc
@@ -209,9 +209,9 @@
   return plans;
 }
 
-PipelinePlan MakeFormation(const std::vector<PlannerServer>& servers,
-                           const std::vector<PlannerModel>& models,
-                           const std::vector<ModelPlan>& plans) {
+PipelinePlan MakePipelinePlan(const std::vector<PlannerServer>& servers,
+                              const std::vector<PlannerModel>& models,
+                              const std::vector<ModelPlan>& plans) {
   PipelinePlan formation{.token_rate = std::numeric_limits<double>::infinity()};
   double cost_of_mix = 0.0;
   for (std::size_t model = 0; model < models.size(); ++model) {
@@ -240,7 +240,7 @@
     const auto failed = std::ranges::find_if(
         plans, [](const ModelPlan& planned) { return planned.stages.empty(); });
     if (failed == plans.end()) {
-      return MakeFormation(servers, models, plans);
+      return MakePipelinePlan(servers, models, plans);
     }
     // A small model may be given too few servers for two domains at every stage, or too little
     // memory; it takes a larger share then than its demand alone gives it.
