--- a/bench/routing/forming.cc
+++ b/bench/routing/forming.cc
@@ -6,7 +6,7 @@
 #include <chrono>
 
 #include "zinnia_base/random/random_source.h"
-#include "zinnia_decisions/routing/pipeline_former.h"
+#include "zinnia_decisions/routing/pipeline_planner.h"
 
 namespace zinnia::bench {
 namespace {
--- a/packages/zinnia_decisions/routing/load_order.h
+++ b/packages/zinnia_decisions/routing/load_order.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "zinnia_decisions/routing/pipeline_former.h"
+#include "zinnia_decisions/routing/pipeline_planner.h"
 
 namespace zinnia {
 
--- a/packages/zinnia_decisions/routing/pipeline_former.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/routing/pipeline_former.h"
+#include "zinnia_decisions/routing/pipeline_planner.h"
 
 #include <fmt/format.h>
 
