--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -49,10 +49,10 @@
 double StepSeconds(const ServerRates& rates, double sessions, double between_tokens_seconds) {
   const double base = kFixedShareOfEmptyStep * rates.base_step_seconds;
   const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatchTokens;
-  const double use = sessions * per_token / between_tokens_seconds;
-  const double clamped_utilization = std::min(use, kMaxUtilization);
+  const double utilization = sessions * per_token / between_tokens_seconds;
+  const double clamped_utilization = std::min(utilization, kMaxUtilization);
   const double room = 1.0 - clamped_utilization;
-  const double backlog = (use - clamped_utilization) * between_tokens_seconds;
+  const double backlog = (utilization - clamped_utilization) * between_tokens_seconds;
   return kMeanIterationsPerToken * (base / room + backlog);
 }
 
