--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -51,9 +51,9 @@
   const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatchTokens;
   const double utilization = sessions * per_token / between_tokens_seconds;
   const double clamped_utilization = std::min(utilization, kMaxUtilization);
-  const double room = 1.0 - clamped_utilization;
+  const double idle_fraction = 1.0 - clamped_utilization;
   const double backlog = (utilization - clamped_utilization) * between_tokens_seconds;
-  return kMeanIterationsPerToken * (base / room + backlog);
+  return kMeanIterationsPerToken * (base / idle_fraction + backlog);
 }
 
 }  // namespace zinnia
