--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /** What a hidden state of one position takes on the wire. */
-constexpr double kStateBytes = 16'384.0;
+constexpr double kHiddenStateBytes = 16'384.0;
 constexpr double kTokenBytes = 64.0;
 
 /** Tokens of a full batch, for what an iteration costs whatever is in it. */
@@ -25,8 +25,8 @@
                    const IndexedServer& server,
                    HopPosition position,
                    double positions) {
-  const double out = positions * (position.First() ? kTokenBytes : kStateBytes);
-  const double back = position.Last() ? kTokenBytes : positions * kStateBytes;
+  const double out = positions * (position.First() ? kTokenBytes : kHiddenStateBytes);
+  const double back = position.Last() ? kTokenBytes : positions * kHiddenStateBytes;
   return index.Links().OneWaySeconds(index.OwnDomain(), server.failure_domain, out) +
          index.Links().OneWaySeconds(server.failure_domain, index.OwnDomain(), back);
 }
