--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -39,20 +39,20 @@
   return all;
 }
 
-StageSelection CompletionChooser::SelectServer(const StageContext& question) {
-  SampleCandidates(question);
-  const std::uint64_t prefix = question.query.prefix_hash;
-  const std::uint32_t home = prefix == 0 ? 0 : PreferredServer(question);
+StageSelection CompletionChooser::SelectServer(const StageContext& context) {
+  SampleCandidates(context);
+  const std::uint64_t prefix = context.query.prefix_hash;
+  const std::uint32_t home = prefix == 0 ? 0 : PreferredServer(context);
   if (prefix != 0) {
     m_sampled.push_back(home);
   }
   StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : m_sampled) {
-    const std::uint64_t name_hash = question.index.Servers()[candidate].name_hash;
+    const std::uint64_t name_hash = context.index.Servers()[candidate].name_hash;
     const bool cached =
         prefix != 0 && (candidate == home || m_prefixes.WasSentTo(prefix, name_hash));
     const double noise = 1.0 + m_settings.noise * RandomUnit(m_random);
-    const double cost = CostOf(question, candidate, cached) * noise;
+    const double cost = CostOf(context, candidate, cached) * noise;
     if (cost < best.cost) {
       best = {candidate, cost};
     }
@@ -69,8 +69,8 @@
   }
 }
 
-void CompletionChooser::SampleCandidates(const StageContext& question) {
-  m_sampled.assign(question.candidates.begin(), question.candidates.end());
+void CompletionChooser::SampleCandidates(const StageContext& context) {
+  m_sampled.assign(context.candidates.begin(), context.candidates.end());
   if (m_sampled.size() <= m_settings.max_compared_servers) {
     return;
   }
@@ -81,12 +81,12 @@
   m_sampled.resize(m_settings.max_compared_servers);
 }
 
-std::uint32_t CompletionChooser::PreferredServer(const StageContext& question) const {
-  std::uint32_t home = question.candidates.front();
+std::uint32_t CompletionChooser::PreferredServer(const StageContext& context) const {
+  std::uint32_t home = context.candidates.front();
   double highest = -1.0;
-  for (const std::uint32_t candidate : question.candidates) {
-    const IndexedServer& server = question.index.Servers()[candidate];
-    const double rank = RendezvousRank(question.query.prefix_hash, server.name_hash,
+  for (const std::uint32_t candidate : context.candidates) {
+    const IndexedServer& server = context.index.Servers()[candidate];
+    const double rank = RendezvousRank(context.query.prefix_hash, server.name_hash,
                                        server.rates.prefill_tokens_per_second);
     if (rank > highest) {
       highest = rank;
@@ -96,12 +96,12 @@
   return home;
 }
 
-double CompletionChooser::CostOf(const StageContext& question,
+double CompletionChooser::CostOf(const StageContext& context,
                                  std::uint32_t candidate,
                                  bool probably_cached) const {
-  const IndexedServer& server = question.index.Servers()[candidate];
-  const auto hop = PredictHop(question.index, server, question.position, question.query);
-  const double sessions = ExpectedSessions(question.index, server);
+  const IndexedServer& server = context.index.Servers()[candidate];
+  const auto hop = PredictHop(context.index, server, context.position, context.query);
+  const double sessions = ExpectedSessions(context.index, server);
   const double cycle = m_settings.target_inter_token_seconds;
   const double step = StepSeconds(server.rates, sessions + 1.0, cycle);
   const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, cycle));
@@ -111,7 +111,7 @@
           std::max(0.0, hop.links_per_token - m_settings.slow_link_threshold_seconds);
   const double prefill =
       hop.prefill * (probably_cached ? 1.0 - m_settings.cached_prefill_fraction : 1.0);
-  return prefill + question.query.answer_tokens * per_token;
+  return prefill + context.query.answer_tokens * per_token;
 }
 
 double CompletionChooser::ExpectedSessions(const FleetIndex& index,
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -69,16 +69,16 @@
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
   std::size_t MaxComparedPipelines() const override { return m_settings.max_compared_pipelines; }
-  StageSelection SelectServer(const StageContext& question) override;
+  StageSelection SelectServer(const StageContext& context) override;
   void OnRouteUsed(const Route& route, const RouteQuery& query) override;
   std::string_view Reason() const override {
     return "shortest expected completion with the slowdown of others counted";
   }
 
  private:
-  void SampleCandidates(const StageContext& question);
-  std::uint32_t PreferredServer(const StageContext& question) const;
-  double CostOf(const StageContext& question, std::uint32_t candidate, bool probably_cached) const;
+  void SampleCandidates(const StageContext& context);
+  std::uint32_t PreferredServer(const StageContext& context) const;
+  double CostOf(const StageContext& context, std::uint32_t candidate, bool probably_cached) const;
   double ExpectedSessions(const FleetIndex& index, const IndexedServer& server) const;
 
   RandomSource m_random;
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -56,7 +56,7 @@
   /** After how many usable pipelines to stop looking. */
   virtual std::size_t MaxComparedPipelines() const;
 
-  virtual StageSelection SelectServer(const StageContext& question) = 0;
+  virtual StageSelection SelectServer(const StageContext& context) = 0;
 
   /** Called for each route that is really used. */
   virtual void OnRouteUsed(const Route& route, const RouteQuery& query);
--- a/packages/zinnia_decisions/routing/least_loaded_chooser.cc
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.cc
@@ -4,10 +4,10 @@
 
 namespace zinnia {
 
-StageSelection LeastLoadedChooser::SelectServer(const StageContext& question) {
+StageSelection LeastLoadedChooser::SelectServer(const StageContext& context) {
   StageSelection best{.cost = std::numeric_limits<double>::infinity()};
-  for (const std::uint32_t candidate : question.candidates) {
-    const double sessions = CorrectedSessions(question.index.Servers()[candidate]);
+  for (const std::uint32_t candidate : context.candidates) {
+    const double sessions = CorrectedSessions(context.index.Servers()[candidate]);
     if (sessions < best.cost) {
       best = {candidate, sessions};
     }
--- a/packages/zinnia_decisions/routing/least_loaded_chooser.h
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.h
@@ -11,7 +11,7 @@
   using IndexedChooser::IndexedChooser;
 
  protected:
-  StageSelection SelectServer(const StageContext& question) override;
+  StageSelection SelectServer(const StageContext& context) override;
   std::string_view Reason() const override { return "fewest sessions"; }
 };
 
--- a/packages/zinnia_decisions/routing/round_robin_chooser.cc
+++ b/packages/zinnia_decisions/routing/round_robin_chooser.cc
@@ -14,9 +14,9 @@
   return order;
 }
 
-StageSelection RoundRobinChooser::SelectServer(const StageContext& question) {
-  const std::size_t turn = m_next_server[{question.query.model, question.layers.first}]++;
-  return {.server = question.candidates[turn % question.candidates.size()], .cost = 0.0};
+StageSelection RoundRobinChooser::SelectServer(const StageContext& context) {
+  const std::size_t turn = m_next_server[{context.query.model, context.layers.first}]++;
+  return {.server = context.candidates[turn % context.candidates.size()], .cost = 0.0};
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/routing/round_robin_chooser.h
+++ b/packages/zinnia_decisions/routing/round_robin_chooser.h
@@ -15,7 +15,7 @@
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
   std::size_t MaxComparedPipelines() const override { return 1; }
-  StageSelection SelectServer(const StageContext& question) override;
+  StageSelection SelectServer(const StageContext& context) override;
   std::string_view Reason() const override { return "next in turn"; }
 
  private:
--- a/packages/zinnia_decisions/routing/shortest_completion_chooser.h
+++ b/packages/zinnia_decisions/routing/shortest_completion_chooser.h
@@ -12,7 +12,7 @@
   using IndexedChooser::IndexedChooser;
 
  protected:
-  StageSelection SelectServer(const StageContext& question) override;
+  StageSelection SelectServer(const StageContext& context) override;
   std::string_view Reason() const override { return "shortest expected completion"; }
 };
 
