--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -42,15 +42,15 @@
 StageSelection CompletionChooser::SelectServer(const StageContext& context) {
   SampleCandidates(context);
   const std::uint64_t prefix = context.query.prefix_hash;
-  const std::uint32_t home = prefix == 0 ? 0 : PreferredServer(context);
+  const std::uint32_t preferred = prefix == 0 ? 0 : PreferredServer(context);
   if (prefix != 0) {
-    m_sampled.push_back(home);
+    m_sampled.push_back(preferred);
   }
   StageSelection best{.cost = std::numeric_limits<double>::infinity()};
   for (const std::uint32_t candidate : m_sampled) {
     const std::uint64_t name_hash = context.index.Servers()[candidate].name_hash;
     const bool cached =
-        prefix != 0 && (candidate == home || m_prefixes.WasSentTo(prefix, name_hash));
+        prefix != 0 && (candidate == preferred || m_prefixes.WasSentTo(prefix, name_hash));
     const double noise = 1.0 + m_settings.noise * RandomUnit(m_random);
     const double cost = CostOf(context, candidate, cached) * noise;
     if (cost < best.cost) {
@@ -82,7 +82,7 @@
 }
 
 std::uint32_t CompletionChooser::PreferredServer(const StageContext& context) const {
-  std::uint32_t home = context.candidates.front();
+  std::uint32_t preferred = context.candidates.front();
   double highest = -1.0;
   for (const std::uint32_t candidate : context.candidates) {
     const IndexedServer& server = context.index.Servers()[candidate];
@@ -90,10 +90,10 @@
                                        server.rates.prefill_tokens_per_second);
     if (rank > highest) {
       highest = rank;
-      home = candidate;
+      preferred = candidate;
     }
   }
-  return home;
+  return preferred;
 }
 
 double CompletionChooser::CostOf(const StageContext& context,
