--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -28,7 +28,7 @@
     : IndexedChooser(clock),
       m_random(random),
       m_settings(settings),
-      m_prefixes(settings.prefix_history_capacity) {}
+      m_prefix_history(settings.prefix_history_capacity) {}
 
 std::vector<std::size_t> CompletionChooser::PipelineOrder(const RouteQuery& query,
                                                           std::size_t count) {
@@ -50,7 +50,7 @@
   for (const std::uint32_t candidate : m_sampled) {
     const std::uint64_t name_hash = context.index.Servers()[candidate].name_hash;
     const bool cached =
-        prefix != 0 && (candidate == preferred || m_prefixes.WasSentTo(prefix, name_hash));
+        prefix != 0 && (candidate == preferred || m_prefix_history.WasSentTo(prefix, name_hash));
     const double noise = 1.0 + m_settings.noise * RandomUnit(m_random);
     const double cost = CostOf(context, candidate, cached) * noise;
     if (cost < best.cost) {
@@ -65,7 +65,7 @@
     return;
   }
   for (const Route::Hop& hop : route.hops) {
-    m_prefixes.Remember(query.prefix_hash, Hash64(hop.server));
+    m_prefix_history.Remember(query.prefix_hash, Hash64(hop.server));
   }
 }
 
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -83,7 +83,7 @@
 
   RandomSource m_random;
   const CompletionChooserSettings m_settings;
-  PrefixHistory m_prefixes;
+  PrefixHistory m_prefix_history;
   std::vector<std::uint32_t> m_sampled;
 };
 
