--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -16,8 +16,9 @@
 double RendezvousRank(std::uint64_t prefix, std::uint64_t server, double weight) {
   const std::array<std::uint64_t, 2> both = {prefix, server};
   const std::uint64_t hash = Hash64({reinterpret_cast<const char*>(both.data()), sizeof(both)});
-  const double unit = (static_cast<double>(hash >> 11U) + 0.5) / static_cast<double>(1ULL << 53U);
-  return -weight / std::log(unit);
+  const double uniform =
+      (static_cast<double>(hash >> 11U) + 0.5) / static_cast<double>(1ULL << 53U);
+  return -weight / std::log(uniform);
 }
 
 }  // namespace
