--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -14,8 +14,8 @@
 /** Weighted rendezvous hashing: the highest rank is the home of the prefix, and a server is the
     home of a share of prefixes in proportion to its weight. */
 double RendezvousRank(std::uint64_t prefix, std::uint64_t server, double weight) {
-  const std::array<std::uint64_t, 2> both = {prefix, server};
-  const std::uint64_t hash = Hash64({reinterpret_cast<const char*>(both.data()), sizeof(both)});
+  const std::array<std::uint64_t, 2> key = {prefix, server};
+  const std::uint64_t hash = Hash64({reinterpret_cast<const char*>(key.data()), sizeof(key)});
   const double uniform =
       (static_cast<double>(hash >> 11U) + 0.5) / static_cast<double>(1ULL << 53U);
   return -weight / std::log(uniform);
