--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -66,7 +66,7 @@
     return;
   }
   for (const Route::Hop& hop : route.hops) {
-    m_prefix_history.Remember(query.prefix_hash, Hash64(hop.server));
+    m_prefix_history.Record(query.prefix_hash, Hash64(hop.server));
   }
 }
 
--- a/packages/zinnia_decisions/routing/prefix_history.cc
+++ b/packages/zinnia_decisions/routing/prefix_history.cc
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void PrefixHistory::Remember(std::uint64_t prefix, std::uint64_t server) {
+void PrefixHistory::Record(std::uint64_t prefix, std::uint64_t server) {
   const auto known = m_entry_by_prefix.find(prefix);
   if (known == m_entry_by_prefix.end()) {
     m_entries.push_front({prefix, {}});
--- a/packages/zinnia_decisions/routing/prefix_history.h
+++ b/packages/zinnia_decisions/routing/prefix_history.h
@@ -17,7 +17,7 @@
  public:
   explicit PrefixHistory(std::size_t capacity) : m_capacity(capacity) {}
 
-  void Remember(std::uint64_t prefix, std::uint64_t server);
+  void Record(std::uint64_t prefix, std::uint64_t server);
   bool WasSentTo(std::uint64_t prefix, std::uint64_t server) const;
   std::size_t Size() const { return m_entries.size(); }
 
--- a/tests/routing/chooser_test.cc
+++ b/tests/routing/chooser_test.cc
@@ -229,10 +229,10 @@
 
 TEST(Chooser, ForgetsThePrefixUsedLongestAgo) {
   PrefixHistory memory(2);
-  memory.Remember(1, 10);
-  memory.Remember(2, 10);
-  memory.Remember(1, 11);
-  memory.Remember(3, 10);
+  memory.Record(1, 10);
+  memory.Record(2, 10);
+  memory.Record(1, 11);
+  memory.Record(3, 10);
   LONGS_EQUAL(2, memory.Size());
   CHECK_FALSE(memory.WasSentTo(2, 10));
   CHECK_TRUE(memory.WasSentTo(1, 10) && memory.WasSentTo(1, 11));
