--- a/packages/zinnia_decisions/routing/local_server_loads.cc
+++ b/packages/zinnia_decisions/routing/local_server_loads.cc
@@ -9,13 +9,13 @@
 
 void LocalServerLoad::OnSent(TimePoint now) {
   ++m_in_flight;
-  Remember(now, 1);
+  RecordChange(now, 1);
 }
 
 void LocalServerLoad::OnFinished(TimePoint now) {
   if (m_in_flight > 0) {
     --m_in_flight;
-    Remember(now, -1);
+    RecordChange(now, -1);
   }
 }
 
@@ -30,7 +30,7 @@
   return change;
 }
 
-void LocalServerLoad::Remember(TimePoint now, int change) {
+void LocalServerLoad::RecordChange(TimePoint now, int change) {
   m_changes.emplace_back(now, change);
   if (m_changes.size() > kMaxRecordedChanges) {
     m_changes.pop_front();
--- a/packages/zinnia_decisions/routing/local_server_loads.h
+++ b/packages/zinnia_decisions/routing/local_server_loads.h
@@ -23,7 +23,7 @@
   double ChangeSince(TimePoint since);
 
  private:
-  void Remember(TimePoint now, int change);
+  void RecordChange(TimePoint now, int change);
 
   std::uint32_t m_in_flight = 0;
   std::deque<std::pair<TimePoint, int>> m_changes;
