--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -105,7 +105,7 @@
   }
   m_index = std::make_unique<FleetIndex>(fleet, m_local_loads);
   m_indexed_sequence = fleet.sequence;
-  m_local_loads.Forget(
+  m_local_loads.RemoveIdle(
       [&](const BackendServerName& server) { return m_index->Find(server) != nullptr; });
 }
 
--- a/packages/zinnia_decisions/routing/local_server_loads.h
+++ b/packages/zinnia_decisions/routing/local_server_loads.h
@@ -39,7 +39,7 @@
 
   /** Drops entries of idle servers that `still_known` does not name. */
   template <typename Predicate>
-  void Forget(Predicate still_known) {
+  void RemoveIdle(Predicate still_known) {
     std::erase_if(m_loads, [&](const auto& entry) {
       return entry.second.InFlight() == 0 && !still_known(entry.first);
     });
