--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -58,7 +58,7 @@
                          .rates = RatesOf(view),
                          .reported_sessions = reported,
                          .reported_at = view.load.reported_at,
-                         .own = &local_loads.Of(name)});
+                         .local_load = &local_loads.Of(name)});
     m_loaded.push_back(view.server.loaded);
   }
 }
--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -24,7 +24,7 @@
   ServerRates rates;
   double reported_sessions = 0.0;
   TimePoint reported_at{};
-  LocalServerLoad* own = nullptr;
+  LocalServerLoad* local_load = nullptr;
 };
 
 /** A stage with the servers that may take it: right model, version and layers, not leaving. Numbers
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -95,8 +95,9 @@
 void IndexedChooser::OnRouteUsed(const Route&, const RouteQuery&) {}
 
 double IndexedChooser::CorrectedSessions(const IndexedServer& server) {
-  const double corrected = server.reported_sessions + server.own->ChangeSince(server.reported_at);
-  return std::max<double>(corrected, server.own->InFlight());
+  const double corrected =
+      server.reported_sessions + server.local_load->ChangeSince(server.reported_at);
+  return std::max<double>(corrected, server.local_load->InFlight());
 }
 
 void IndexedChooser::Refresh(const FleetSnapshot& fleet) {
