--- a/packages/zinnia_decisions/routing/link_table.cc
+++ b/packages/zinnia_decisions/routing/link_table.cc
@@ -3,7 +3,7 @@
 namespace zinnia {
 namespace {
 
-constexpr double kFastOneWaySeconds = 0.0003;
+constexpr double kDefaultOneWaySeconds = 0.0003;
 constexpr double kDefaultSecondsPerByte = 1.0 / 1.25e9;
 
 }  // namespace
@@ -27,7 +27,7 @@
 double LinkTable::OneWaySeconds(std::uint32_t from, std::uint32_t to, double bytes) const {
   const auto known = m_costs.find({from, to});
   if (known == m_costs.end()) {
-    return kFastOneWaySeconds + bytes * kDefaultSecondsPerByte;
+    return kDefaultOneWaySeconds + bytes * kDefaultSecondsPerByte;
   }
   return known->second.one_way_seconds + bytes * known->second.seconds_per_byte;
 }
