--- a/packages/zinnia_decisions/routing/link_table.cc
+++ b/packages/zinnia_decisions/routing/link_table.cc
@@ -21,7 +21,8 @@
 }
 
 std::uint32_t LinkTable::InternDomain(const FailureDomainName& domain) {
-  return m_numbers.try_emplace(domain, static_cast<std::uint32_t>(m_numbers.size())).first->second;
+  return m_domain_ids.try_emplace(domain, static_cast<std::uint32_t>(m_domain_ids.size()))
+      .first->second;
 }
 
 double LinkTable::OneWaySeconds(std::uint32_t from, std::uint32_t to, double bytes) const {
--- a/packages/zinnia_decisions/routing/link_table.h
+++ b/packages/zinnia_decisions/routing/link_table.h
@@ -33,7 +33,7 @@
     double seconds_per_byte;
   };
 
-  std::map<FailureDomainName, std::uint32_t> m_numbers;
+  std::map<FailureDomainName, std::uint32_t> m_domain_ids;
   std::map<std::pair<std::uint32_t, std::uint32_t>, Cost> m_costs;
 };
 
