--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -21,8 +21,8 @@
 }
 
 const IndexedServer* FleetIndex::Find(const BackendServerName& server) const {
-  const auto found = m_numbers.find(server);
-  return found == m_numbers.end() ? nullptr : &m_servers[found->second];
+  const auto found = m_server_positions.find(server);
+  return found == m_server_positions.end() ? nullptr : &m_servers[found->second];
 }
 
 IndexedStage FleetIndex::ServersHolding(const ModelName& model,
@@ -49,7 +49,7 @@
 void FleetIndex::AddServers(const FleetSnapshot& fleet, LocalServerLoads& local_loads) {
   m_servers.reserve(fleet.servers.size());
   for (const auto& [name, view] : fleet.servers) {
-    m_numbers.emplace(name, static_cast<std::uint32_t>(m_servers.size()));
+    m_server_positions.emplace(name, static_cast<std::uint32_t>(m_servers.size()));
     const double reported = view.load.reported_running + view.load.reported_queued;
     m_servers.push_back({.name = name,
                          .name_hash = Hash64(name),
@@ -86,8 +86,8 @@
   IndexedStage indexed{.layers = stage.layers};
   const LoadedRange wanted{pipeline.model, pipeline.version, stage.layers};
   for (const BackendServerName& replica : stage.replicas) {
-    const auto found = m_numbers.find(replica);
-    if (found != m_numbers.end() && m_loaded[found->second] == wanted) {
+    const auto found = m_server_positions.find(replica);
+    if (found != m_server_positions.end() && m_loaded[found->second] == wanted) {
       AddIfUsable(found->second, indexed);
     }
   }
