--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -47,7 +47,7 @@
   if (!best) {
     return NoPipeline(query.model, "pipeline with a usable backend server at every stage");
   }
-  return Describe(MakeRoute(*best, query), query);
+  return MakeChoice(MakeRoute(*best, query), query);
 }
 
 Result<RouteChoice> IndexedChooser::Replace(const FleetSnapshot& fleet,
@@ -66,7 +66,7 @@
   }
   Route replaced = route;
   replaced.hops[hop].server = m_index->Servers()[pick->server].name;
-  return Describe(std::move(replaced), query);
+  return MakeChoice(std::move(replaced), query);
 }
 
 void IndexedChooser::OnSent(const Route& route, const RouteQuery& query) {
@@ -158,7 +158,7 @@
   return route;
 }
 
-RouteChoice IndexedChooser::Describe(Route route, const RouteQuery& query) const {
+RouteChoice IndexedChooser::MakeChoice(Route route, const RouteQuery& query) const {
   double first_token = 0.0;
   double between_tokens = 0.0;
   for (std::size_t hop = 0; hop < route.hops.size(); ++hop) {
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -82,7 +82,7 @@
                                          HopPosition position,
                                          const RouteQuery& query);
   void FilterExcluded(const std::vector<std::uint32_t>& servers, const RouteQuery& query);
-  RouteChoice Describe(Route route, const RouteQuery& query) const;
+  RouteChoice MakeChoice(Route route, const RouteQuery& query) const;
   Route MakeRoute(const Candidate& candidate, const RouteQuery& query) const;
 
   const Clock& m_clock;
