--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -27,7 +27,7 @@
 }  // namespace
 
 Result<RouteChoice> IndexedChooser::Choose(const FleetSnapshot& fleet, const RouteQuery& query) {
-  Refresh(fleet);
+  RefreshIndex(fleet);
   if (!m_index->KnowsModel(query.model)) {
     return MakeError(ErrorKind::kUnknownModel, fmt::format("no model \"{}\"", query.model));
   }
@@ -55,7 +55,7 @@
                                             std::size_t hop,
                                             const RouteQuery& query) {
   assert(hop < route.hops.size());  // the caller counts hops from the route that it passes
-  Refresh(fleet);
+  RefreshIndex(fleet);
   RouteQuery without_old = query;
   without_old.excluded.insert(route.hops[hop].server);
   const IndexedStage holders =
@@ -100,7 +100,7 @@
   return std::max<double>(corrected, server.local_load->InFlight());
 }
 
-void IndexedChooser::Refresh(const FleetSnapshot& fleet) {
+void IndexedChooser::RefreshIndex(const FleetSnapshot& fleet) {
   if (m_index != nullptr && fleet.sequence != 0 && fleet.sequence == m_indexed_sequence) {
     return;
   }
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -76,7 +76,7 @@
     double cost = 0.0;
   };
 
-  void Refresh(const FleetSnapshot& fleet);
+  void RefreshIndex(const FleetSnapshot& fleet);
   std::optional<Candidate> TryPipeline(const IndexedPipeline& pipeline, const RouteQuery& query);
   std::optional<StageSelection> TryStage(const IndexedStage& stage,
                                          HopPosition position,
