--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -36,7 +36,7 @@
   }
 
   /** Complete copies, counting only stages that can still grow. */
-  std::size_t Copies() const {
+  std::size_t CompleteCopies() const {
     std::size_t copies = SIZE_MAX;
     for (const StageProgress& stage : stages) {
       if (!stage.missing.empty()) {
@@ -49,14 +49,14 @@
   double BytesToNextCopy() const {
     double bytes = 0.0;
     for (const StageProgress& stage : stages) {
-      const bool needed = !stage.missing.empty() && stage.holders == Copies();
+      const bool needed = !stage.missing.empty() && stage.holders == CompleteCopies();
       bytes += needed ? stage.bytes_per_load : 0.0;
     }
     return bytes;
   }
 
   void ScheduleNextCopy(std::vector<PlannedLoad>& loads) {
-    const std::size_t copies = Copies();
+    const std::size_t copies = CompleteCopies();
     for (StageProgress& stage : stages) {
       if (!stage.missing.empty() && stage.holders == copies) {
         stage.ScheduleNextLoad(loads);
@@ -106,7 +106,7 @@
       return loads;
     }
     const auto next = std::ranges::min_element(all, {}, [](const ModelProgress& progress) {
-      return std::pair(progress.Copies(), progress.BytesToNextCopy());
+      return std::pair(progress.CompleteCopies(), progress.BytesToNextCopy());
     });
     next->ScheduleNextCopy(loads);
   }
