--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -80,8 +80,8 @@
 
 /** Lets the model with the least rate for its demand take the next server, again and again: the
     fastest of the domain in which it has least. */
-std::vector<Servers> ShareOut(const std::vector<PlannerServer>& servers,
-                              const std::vector<double>& needs) {
+std::vector<Servers> AllocateServers(const std::vector<PlannerServer>& servers,
+                                     const std::vector<double>& needs) {
   std::vector<Share> shares;
   shares.reserve(needs.size());
   for (const double need : needs) {
@@ -236,7 +236,7 @@
   }
   std::size_t unserved = 0;
   for (int round = 0; round < kMaxAllocationRounds; ++round) {
-    const std::vector<ModelPlan> plans = PlanAll(models, ShareOut(servers, needs));
+    const std::vector<ModelPlan> plans = PlanAll(models, AllocateServers(servers, needs));
     const auto failed = std::ranges::find_if(
         plans, [](const ModelPlan& planned) { return planned.stages.empty(); });
     if (failed == plans.end()) {
