--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -65,7 +65,7 @@
 }
 
 /** What a model has been given so far. */
-struct Share {
+struct ModelAllocation {
   Servers servers;
   double need = 1.0;
   double rate = 0.0;
@@ -82,7 +82,7 @@
     fastest of the domain in which it has least. */
 std::vector<Servers> AllocateServers(const std::vector<PlannerServer>& servers,
                                      const std::vector<double>& needs) {
-  std::vector<Share> shares;
+  std::vector<ModelAllocation> shares;
   shares.reserve(needs.size());
   for (const double need : needs) {
     shares.push_back({.need = need});
@@ -94,8 +94,8 @@
   }
   left = SortedByRate(left);
   while (!left.empty()) {
-    Share& next_model = *std::ranges::min_element(
-        shares, {}, [](const Share& share) { return share.rate / share.need; });
+    ModelAllocation& next_model = *std::ranges::min_element(
+        shares, {}, [](const ModelAllocation& share) { return share.rate / share.need; });
     const auto next = std::ranges::min_element(left, {}, [&](const PlannerServer* server) {
       return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
@@ -104,7 +104,7 @@
   }
   std::vector<Servers> result;
   result.reserve(shares.size());
-  for (Share& share : shares) {
+  for (ModelAllocation& share : shares) {
     result.push_back(std::move(share.servers));
   }
   return result;
