--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -71,7 +71,7 @@
   double rate = 0.0;
   std::map<FailureDomainName, double> domain_rates;
 
-  void Take(const PlannerServer& server) {
+  void Allocate(const PlannerServer& server) {
     servers.push_back(&server);
     rate += server.rate;
     domain_rates[server.failure_domain] += server.rate;
@@ -99,7 +99,7 @@
     const auto next = std::ranges::min_element(left, {}, [&](const PlannerServer* server) {
       return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
-    next_model.Take(**next);
+    next_model.Allocate(**next);
     left.erase(next);
   }
   std::vector<Servers> result;
