--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -67,7 +67,7 @@
 /** What a model has been given so far. */
 struct ModelAllocation {
   Servers servers;
-  double need = 1.0;
+  double demand = 1.0;
   double rate = 0.0;
   std::map<FailureDomainName, double> domain_rates;
 
@@ -85,7 +85,7 @@
   std::vector<ModelAllocation> shares;
   shares.reserve(needs.size());
   for (const double need : needs) {
-    shares.push_back({.need = need});
+    shares.push_back({.demand = need});
   }
   Servers left;
   left.reserve(servers.size());
@@ -95,7 +95,7 @@
   left = SortedByRate(left);
   while (!left.empty()) {
     ModelAllocation& next_model = *std::ranges::min_element(
-        shares, {}, [](const ModelAllocation& share) { return share.rate / share.need; });
+        shares, {}, [](const ModelAllocation& share) { return share.rate / share.demand; });
     const auto next = std::ranges::min_element(left, {}, [&](const PlannerServer* server) {
       return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
