--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -81,10 +81,10 @@
 /** Lets the model with the least rate for its demand take the next server, again and again: the
     fastest of the domain in which it has least. */
 std::vector<Servers> AllocateServers(const std::vector<PlannerServer>& servers,
-                                     const std::vector<double>& needs) {
+                                     const std::vector<double>& demands) {
   std::vector<ModelAllocation> shares;
-  shares.reserve(needs.size());
-  for (const double need : needs) {
+  shares.reserve(demands.size());
+  for (const double need : demands) {
     shares.push_back({.demand = need});
   }
   Servers left;
@@ -229,14 +229,14 @@
 
 Result<PipelinePlan> PipelinePlanner::Form(const std::vector<PlannerServer>& servers,
                                            const std::vector<PlannerModel>& models) {
-  std::vector<double> needs;
-  needs.reserve(models.size());
+  std::vector<double> demands;
+  demands.reserve(models.size());
   for (const PlannerModel& model : models) {
-    needs.push_back(model.demand_share * TotalCost(model));
+    demands.push_back(model.demand_share * TotalCost(model));
   }
   std::size_t unserved = 0;
   for (int round = 0; round < kMaxAllocationRounds; ++round) {
-    const std::vector<ModelPlan> plans = PlanAll(models, AllocateServers(servers, needs));
+    const std::vector<ModelPlan> plans = PlanAll(models, AllocateServers(servers, demands));
     const auto failed = std::ranges::find_if(
         plans, [](const ModelPlan& planned) { return planned.stages.empty(); });
     if (failed == plans.end()) {
@@ -245,7 +245,7 @@
     // A small model may be given too few servers for two domains at every stage, or too little
     // memory; it takes a larger share then than its demand alone gives it.
     unserved = static_cast<std::size_t>(failed - plans.begin());
-    needs[unserved] *= kDemandGrowth;
+    demands[unserved] *= kDemandGrowth;
   }
   return MakeError(
       ErrorKind::kInvalidRequest,
