--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -137,12 +137,12 @@
   }
   for (Stage& stage : stages) {
     memory_left -= stage.memory;
-    const double due = cost_left * stage.rate / rate_left;
+    const double target_cost = cost_left * stage.rate / rate_left;
     double cost = 0.0;
     std::uint32_t end = first;
     while (end < layers && end - first < stage.memory) {
       const bool must = layers - end > memory_left;
-      const bool closer_to_target = cost + model.layer_costs[end] / 2.0 <= due;
+      const bool closer_to_target = cost + model.layer_costs[end] / 2.0 <= target_cost;
       if (!must && !closer_to_target) {
         break;
       }
