--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -141,9 +141,9 @@
     double cost = 0.0;
     std::uint32_t end = first;
     while (end < layers && end - first < stage.memory) {
-      const bool must = layers - end > memory_left;
+      const bool required = layers - end > memory_left;
       const bool closer_to_target = cost + model.layer_costs[end] / 2.0 <= target_cost;
-      if (!must && !closer_to_target) {
+      if (!required && !closer_to_target) {
         break;
       }
       cost += model.layer_costs[end++];
