--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -174,9 +174,9 @@
   const std::size_t most = std::min(kMaxStages, servers.size() / kMinDomainsPerStage);
   for (std::size_t count = 1; count <= most; ++count) {
     std::vector<Stage> stages = AssignToStages(servers, count);
-    const bool survives = std::ranges::all_of(
+    const bool spans_domains = std::ranges::all_of(
         stages, [](const Stage& stage) { return stage.domains.size() >= kMinDomainsPerStage; });
-    if (!survives || !PartitionLayers(model, stages)) {
+    if (!spans_domains || !PartitionLayers(model, stages)) {
       continue;
     }
     const double rate = RateOf(model, stages);
