--- a/packages/zinnia_decisions/routing/pool_capacity.cc
+++ b/packages/zinnia_decisions/routing/pool_capacity.cc
@@ -26,8 +26,8 @@
 double ConcurrentSessionsFor(const FleetSnapshot& fleet,
                              const ModelName& model,
                              double seconds_between_tokens) {
-  LocalServerLoads none;
-  const FleetIndex index(fleet, none);
+  LocalServerLoads no_loads;
+  const FleetIndex index(fleet, no_loads);
   double tokens_per_second = 0.0;
   for (const IndexedPipeline& pipeline : index.PipelinesOf(model)) {
     tokens_per_second += BottleneckTokensPerSecond(index, pipeline);
