--- a/packages/zinnia_decisions/routing/pipeline_chooser.h
+++ b/packages/zinnia_decisions/routing/pipeline_chooser.h
@@ -10,8 +10,8 @@
 
 namespace zinnia {
 
-/** What a chooser needs to know of the work: how many tokens it has to read and may write, and
-   which servers must not be used (they failed this session, or hold an older version). */
+/** A request to be routed: the model, the expected prompt and output lengths in tokens, the hash of
+    the prompt prefix (0 if there is none) and the servers to leave out. */
 struct RouteQuery {
   ModelName model;
   std::uint32_t prompt_tokens = 0;
@@ -20,7 +20,7 @@
   std::set<BackendServerName> excluded;
 };
 
-/** A chosen route with what it is expected to cost and why it was chosen. */
+/** A route with its predicted latencies and the reason for the choice. */
 struct RouteChoice {
   Route route;
   Duration expected_first_token{};
@@ -28,11 +28,11 @@
   std::string reason;
 };
 
-/** Chooses the pipeline and one backend server for each of its stages.
+/** Chooses a pipeline and one backend server for each of its stages.
 
-    Only servers in state kLive, or kSuspect if a stage has no other, are chosen. Fails with
-    kUnknownModel or kNoPipeline. One chooser serves one traffic thread: what it sent since the last
-    load report is its own memory, told by OnSent and OnFinished.
+    Only servers in state kLive are chosen, or kSuspect if a stage has no live one. Fails with
+    kUnknownModel or kNoPipeline. Not thread-safe: each traffic thread has its own chooser, which
+    tracks the sessions that it routes through OnSent and OnFinished.
 
     @see FleetSnapshot, CompletionChooser, RoundRobinChooser
 */
@@ -42,7 +42,7 @@
 
   virtual Result<RouteChoice> Choose(const FleetSnapshot& fleet, const RouteQuery& query) = 0;
 
-  /** Chooses another server for hop `hop` of `route`, the rest staying as it is. */
+  /** Chooses another server for hop `hop` of `route` and keeps the other hops. */
   virtual Result<RouteChoice> Replace(const FleetSnapshot& fleet,
                                       const Route& route,
                                       std::size_t hop,
