--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -11,8 +11,8 @@
 namespace zinnia {
 namespace {
 
-/** Weighted rendezvous hashing: the highest rank is the home of the prefix, and a server is the
-    home of a share of prefixes in proportion to its weight. */
+/** Weighted rendezvous hashing: a prefix prefers the server with the highest rank, and each server
+    is preferred by a share of prefixes in proportion to its weight. */
 double RendezvousRank(std::uint64_t prefix, std::uint64_t server, double weight) {
   const std::array<std::uint64_t, 2> key = {prefix, server};
   const std::uint64_t hash = Hash64({reinterpret_cast<const char*>(key.data()), sizeof(key)});
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -6,57 +6,50 @@
 
 namespace zinnia {
 
-/** What steers CompletionChooser. The defaults are those that docs/design/routing.md measured. */
+/** Settings of CompletionChooser. docs/design/routing.md gives the reasons for the defaults. */
 struct CompletionChooserSettings {
-  /** How many servers of a stage are compared; of more, so many are drawn at random. */
+  /** Servers compared per stage. A larger stage is sampled at random. */
   std::size_t max_compared_servers = 8;
   std::size_t max_compared_pipelines = 8;
 
-  /** How much of the slowdown of the sessions already there counts against a server. 0 looks only
-      at this request. */
+  /** Weight of the slowdown that a new session causes for the sessions already at the server. 0
+      considers this request only. */
   double other_sessions_slowdown_weight = 1.0;
 
-  /** The time between tokens that users want. Servers count as full when their sessions could not
-      all have it. */
+  /** Target time between tokens. A server is full when it cannot meet it for all its sessions. */
   double target_inter_token_seconds = 0.035;
 
-  /** Seconds that a hop's links may take between two tokens before a route counts as slow, and how
-      often what goes beyond that is counted. Full servers make a slow link look like the cheaper
-      way, but whoever is sent over it cannot be in time at all; one notices admitted sessions that
-      miss their deadlines while the others are quick. Such links are still used when nothing else
-      is left or everything else is far too full. */
+  /** Link time per token and hop above which `slow_link_penalty` applies. Without the penalty,
+      sessions would be moved from busy servers to links too slow to meet any deadline. */
   double slow_link_threshold_seconds = 0.005;
+
+  /** Multiplies the link time above the threshold. */
   double slow_link_penalty = 5.0;
 
-  /** Part of a prompt that a cached prefix is expected to save. */
+  /** Fraction of the prefill time that a cached prefix is expected to save. */
   double cached_prefill_fraction = 0.5;
 
-  /** The sessions at a server are estimated twice: from its report, which counts everybody's but is
-      late, and from this chooser's own sessions times the number of instances, which is coarse but
-      never late. This is the share of the second. */
+  /** Weight of the local estimate of a server's sessions (this chooser's sessions times the number
+      of instances, current but coarse) against its load report (complete but stale). */
   double local_estimate_weight = 0.5;
 
-  /** Costs are multiplied by up to 1 + this at random. */
+  /** Each cost is multiplied by a random factor between 1 and 1 + `noise`. */
   double noise = 0.02;
 
-  /** Prefixes remembered by one chooser. */
   std::size_t prefix_history_capacity = 4096;
 };
 
-/** Chooses routes by expected completion and by what the choice costs everybody else.
+/** Chooses the route with the lowest expected completion time plus the slowdown that it causes for
+    other sessions.
 
-    A session is at one of its servers at a time. How much of a server it uses follows from the time
-    between tokens that users want. If sessions counted as if they were at all servers of a route
-    at once, pipelines of few stages would run full batches while longer ones had room.
+    Low load goes to fast, near servers; high load spreads in proportion to the servers' rates.
+    Since a session occupies one server of its route at a time, the load of a server follows from
+    the target time between tokens.
 
-    The expected time of a hop grows with the sessions at the server; a further session slows the
-    others too, and that slowdown is counted, so that load spreads by rate when it is high and goes
-    to fast near servers when it is low. Instances that see the same late report would all run to
-    the same server, and then all away from it; one notices load that swings with the period of the
-    reports. So each chooser also counts what it has in flight itself, which is never late, as if
-    the other instances had the same, compares only some servers drawn at random, and adds a little
-    noise. Equal prefixes go to the same servers
-    from every instance (rendezvous hashing), unless those are busy.
+    Instances that act on the same stale load report would overload the same server. Each chooser
+    therefore also extrapolates from its own sessions in flight, compares a random sample of servers
+    and adds noise to the costs. Weighted rendezvous hashing routes equal prefixes from every
+    instance to the same servers unless those are busy.
 
     @see PredictHop, ShortestCompletionChooser
 */
