--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -7,17 +7,17 @@
 namespace zinnia {
 namespace {
 
-/** What a hidden state of one position takes on the wire. */
+/** Size of one token's hidden state on the wire. */
 constexpr double kHiddenStateBytes = 16'384.0;
 constexpr double kTokenBytes = 64.0;
 
-/** Tokens of a full batch, for what an iteration costs whatever is in it. */
+/** Batch size at which the decode rate applies. */
 constexpr double kFullBatchTokens = 16.0;
 
-/** Part of an empty server's step that does not come from the one token in it. */
+/** Part of an idle server's step time that does not depend on the batch size. */
 constexpr double kFixedShareOfEmptyStep = 0.7;
 
-/** A token arrives in the middle of an iteration on average. */
+/** A token arrives halfway through an iteration on average and completes with the next one. */
 constexpr double kMeanIterationsPerToken = 1.5;
 constexpr double kMaxUtilization = 0.9;
 
--- a/packages/zinnia_decisions/routing/completion_model.h
+++ b/packages/zinnia_decisions/routing/completion_model.h
@@ -8,8 +8,8 @@
 struct IndexedServer;
 struct ServerRates;
 
-/** Where a hop stands in its route: the first gets text, the last gives tokens; all other legs
-    carry hidden states. */
+/** Position of a hop in its route. The first hop receives text and the last returns tokens; between
+    hops, hidden states are transferred. */
 struct HopPosition {
   std::size_t hop = 0;
   std::size_t hops = 1;
@@ -17,9 +17,9 @@
   bool Last() const { return hop + 1 == hops; }
 };
 
-/** What one hop is expected to add, in seconds. `base_per_token` is an empty server's step with
-    `links_per_token`, both legs of its links. `load_per_session` is how much each further session
-    at the server slows down every token there. */
+/** Predicted latency of one hop in seconds. `links_per_token` is the round trip over its links;
+    `base_per_token` adds the step time of an idle server. `load_per_session` is the increase of the
+    time per token with each session at the server. */
 struct HopPrediction {
   double prefill = 0.0;
   double base_per_token = 0.0;
@@ -27,25 +27,23 @@
   double load_per_session = 0.0;
 };
 
-/** Predicts the time of a hop from the rates of the server and the links on both sides.
+/** Predicts the latency of a hop from the server's rates and its links.
 
-    A batching server is taken as one that serves its sessions by turns: with n sessions a token
-    takes the step time of the empty server, or n tokens at full rate if that is longer. Both legs
-    run between the instance and the server, because states are relayed by the instance.
+    Assumes that the time per token grows linearly with the sessions at the server. The links in
+    both directions are those between the instance and the server, because the instance relays
+    hidden states.
 */
 HopPrediction PredictHop(const FleetIndex& index,
                          const IndexedServer& server,
                          HopPosition position,
                          const RouteQuery& query);
 
-/** Seconds that a token spends at a server which `sessions` sessions pass once in
-   `between_tokens_seconds`.
+/** Seconds that a token spends at a server that each of `sessions` sessions visits once every
+    `between_tokens_seconds`.
 
-    A session is at one server at a time, so the sessions of a route are not all in the batch: the
-    batch is what arrives during an iteration. The iteration lasts its base time and more for each
-    token in it, and a token also waits for the end of the one that is running. Beyond nearly full
-    use the rest is a backlog that every token waits for, so that full servers get further sessions
-    in proportion to their rates.
+    Models a batching server as a queue: a batch holds the tokens that arrive during one iteration,
+    and a new token first waits for the running iteration to end. Utilization is clamped below 1;
+    the excess counts as backlog, so that overloaded servers are still compared by their rates.
 
     @see CompletionChooser
 */
