--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -15,7 +15,7 @@
 class LocalServerLoad;
 class LocalServerLoads;
 
-/** One backend server as a chooser needs it, copied out of the snapshot. */
+/** Routing data of one backend server, copied from the snapshot. */
 struct IndexedServer {
   BackendServerName name;
   std::uint64_t name_hash = 0;
@@ -27,23 +27,24 @@
   LocalServerLoad* local_load = nullptr;
 };
 
-/** A stage with the servers that may take it: right model, version and layers, not leaving. Numbers
-    are positions in FleetIndex::Servers(). */
+/** A stage and its usable servers, which have the model, version and layers loaded and are live or
+    suspect. Servers are given as positions in FleetIndex::Servers(). */
 struct IndexedStage {
   LayerRange layers;
   std::vector<std::uint32_t> live;
   std::vector<std::uint32_t> suspect;
 };
 
-/** A pipeline that may get new sessions. */
+/** A pipeline that accepts new sessions. */
 struct IndexedPipeline {
   PipelineName name;
   std::string version;
   std::vector<IndexedStage> stages;
 };
 
-/** A FleetSnapshot put in order for choosing: servers by number, stages with their usable servers,
-    pipelines by model. Holds no reference to the snapshot.
+/** Lookup tables over a FleetSnapshot: servers by position, pipelines by model, and the usable
+    servers of each stage. Holds no reference to the snapshot, but points into the LocalServerLoads
+    that it is built with.
 
     @see IndexedChooser
 */
@@ -56,15 +57,15 @@
   std::uint32_t OwnDomain() const { return m_own_domain; }
   double LiveInstances() const { return m_live_instances; }
 
-  /** Null if the snapshot did not have the server. */
+  /** Returns null if the snapshot does not contain the server. */
   const IndexedServer* Find(const BackendServerName& server) const;
 
-  /** False if neither the configuration nor any pipeline names the model. */
+  /** Returns true if the configuration or a pipeline names the model. */
   bool KnowsModel(const ModelName& model) const { return m_pipelines.contains(model); }
   std::span<const IndexedPipeline> PipelinesOf(const ModelName& model) const;
 
-  /** All usable servers with this range of the model and version: those in pipelines if there are
-      any, else every server that has it loaded. */
+  /** Usable servers with this layer range of the model and version: those of a pipeline stage if
+      there is one, else all that have the range loaded. */
   IndexedStage ServersHolding(const ModelName& model,
                               const std::string& version,
                               LayerRange layers) const;
