--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -54,7 +54,7 @@
                                             const Route& route,
                                             std::size_t hop,
                                             const RouteQuery& query) {
-  assert(hop < route.hops.size());  // the caller counts hops from the route that it passes
+  assert(hop < route.hops.size());
   RefreshIndex(fleet);
   RouteQuery without_old = query;
   without_old.excluded.insert(route.hops[hop].server);
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -13,8 +13,8 @@
 
 namespace zinnia {
 
-/** One stage that needs a server: who may take it and what for. `candidates` is never empty and
-    holds no excluded server. */
+/** Input of SelectServer for one stage. `candidates` is not empty and contains no excluded server.
+ */
 struct StageContext {
   const FleetIndex& index;
   const RouteQuery& query;
@@ -23,17 +23,17 @@
   std::span<const std::uint32_t> candidates;
 };
 
-/** The server picked for a stage and what it counts towards the cost of the route. */
+/** The server selected for a stage and its part of the route's cost. */
 struct StageSelection {
   std::uint32_t server = 0;
   double cost = 0.0;
 };
 
-/** What all choosers share: which servers may be used at all, the index over the snapshot, the
-    memory of what was sent, the expected times. Subclasses say which of the allowed ones to take.
+/** Base class of the choosers: filters usable servers, indexes the snapshot, tracks this chooser's
+    sessions in flight and predicts latencies. Subclasses select among the usable servers.
 
-    A snapshot is indexed once and known again by its sequence number. Snapshots with sequence 0
-    are taken as unnumbered and indexed at every call, so number them where speed matters.
+    The index is rebuilt when the snapshot's sequence number changes, and at every call if the
+    number is 0.
 
     @see RoundRobinChooser, LeastLoadedChooser, ShortestCompletionChooser, CompletionChooser
 */
@@ -50,21 +50,21 @@
   void OnFinished(const Route& route, const RouteQuery& query) final;
 
  protected:
-  /** In which order to look at a model's pipelines; the first of the cheapest is taken. */
+  /** Order in which a model's pipelines are tried. Of equally cheap ones the first is chosen. */
   virtual std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count);
 
-  /** After how many usable pipelines to stop looking. */
+  /** Number of usable pipelines after which the search stops. */
   virtual std::size_t MaxComparedPipelines() const;
 
   virtual StageSelection SelectServer(const StageContext& context) = 0;
 
-  /** Called for each route that is really used. */
+  /** Called by OnSent for each route in use. */
   virtual void OnRouteUsed(const Route& route, const RouteQuery& query);
 
   virtual std::string_view Reason() const = 0;
 
-  /** Sessions believed to be at a server: the report, corrected by what was sent and finished here
-      since, and never fewer than are in flight from here. */
+  /** Estimated sessions at a server: the reported number plus this chooser's change since the
+      report, and at least its sessions in flight. */
   static double CorrectedSessions(const IndexedServer& server);
 
   const Clock& GetClock() const { return m_clock; }
