--- a/packages/zinnia_decisions/routing/least_loaded_chooser.h
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.h
@@ -4,8 +4,8 @@
 
 namespace zinnia {
 
-/** Takes the server with the fewest sessions at each stage, whatever its kind and its links. A
-    baseline for measurements. */
+/** Selects the server with the fewest sessions at each stage, regardless of its speed and links. A
+    baseline for benchmarks. */
 class LeastLoadedChooser final : public IndexedChooser {
  public:
   using IndexedChooser::IndexedChooser;
--- a/packages/zinnia_decisions/routing/round_robin_chooser.h
+++ b/packages/zinnia_decisions/routing/round_robin_chooser.h
@@ -7,7 +7,7 @@
 
 namespace zinnia {
 
-/** Takes pipelines and servers by turns, whatever their load. A baseline for measurements. */
+/** Selects pipelines and servers in turn, regardless of load. A baseline for benchmarks. */
 class RoundRobinChooser final : public IndexedChooser {
  public:
   using IndexedChooser::IndexedChooser;
--- a/packages/zinnia_decisions/routing/shortest_completion_chooser.h
+++ b/packages/zinnia_decisions/routing/shortest_completion_chooser.h
@@ -4,9 +4,9 @@
 
 namespace zinnia {
 
-/** Takes the route with the shortest expected completion of this one request, greedily. A baseline
-    for measurements: it does not care what its choice costs others, nor that other instances make
-    the same choice from the same reports. */
+/** Greedily selects the route with the shortest expected completion time of this request. A
+    baseline for benchmarks: it ignores the slowdown of other sessions, and that other instances
+    choose from the same reports. */
 class ShortestCompletionChooser final : public IndexedChooser {
  public:
   using IndexedChooser::IndexedChooser;
