--- a/packages/zinnia_decisions/routing/link_table.h
+++ b/packages/zinnia_decisions/routing/link_table.h
@@ -10,10 +10,10 @@
 
 namespace zinnia {
 
-/** Link costs between numbered failure domains, for quick lookup while choosing.
+/** Link costs between failure domains, looked up by numeric domain id.
 
-    Domains get small numbers in the order in which they are first seen. A pair that no Link names
-    costs what a fast link costs: operators describe only links that are slow.
+    A Link also applies to the opposite direction unless that has one of its own. Pairs without a
+    Link get the defaults of a fast link, since operators describe only slow links.
 
     @see FleetIndex
 */
@@ -21,10 +21,10 @@
  public:
   explicit LinkTable(const std::vector<Link>& links);
 
-  /** The number of a domain, adding it if it is new. */
+  /** Returns the id of a domain. Assigns the next free id if the domain is new. */
   std::uint32_t InternDomain(const FailureDomainName& domain);
 
-  /** Seconds to move `bytes` one way, without queueing. */
+  /** Returns the time to transfer `bytes` one way, without queueing. */
   double OneWaySeconds(std::uint32_t from, std::uint32_t to, double bytes) const;
 
  private:
