--- a/packages/zinnia_decisions/routing/local_server_loads.h
+++ b/packages/zinnia_decisions/routing/local_server_loads.h
@@ -11,15 +11,15 @@
 
 namespace zinnia {
 
-/** What this chooser itself has at one backend server: sessions in flight, and its latest sends
-    and finishes with their times, so that a report can be corrected by what came after it. */
+/** This chooser's sessions in flight at one backend server, with the times of the latest changes,
+   by which a stale load report is corrected. */
 class LocalServerLoad {
  public:
   void OnSent(TimePoint now);
   void OnFinished(TimePoint now);
   std::uint32_t InFlight() const { return m_in_flight; }
 
-  /** Sessions sent less sessions finished after `since`. Forgets what is older. */
+  /** Returns sessions sent minus sessions finished after `since`, and drops older changes. */
   double ChangeSince(TimePoint since);
 
  private:
@@ -29,7 +29,7 @@
   std::deque<std::pair<TimePoint, int>> m_changes;
 };
 
-/** LocalServerLoad of every backend server in view. Entries keep their address while they exist.
+/** The LocalServerLoad of each known backend server. Addresses of entries are stable.
 
     @see FleetIndex
 */
@@ -37,7 +37,7 @@
  public:
   LocalServerLoad& Of(const BackendServerName& server) { return m_loads[server]; }
 
-  /** Drops entries of idle servers that `still_known` does not name. */
+  /** Removes entries without sessions in flight for which `still_known` returns false. */
   template <typename Predicate>
   void RemoveIdle(Predicate still_known) {
     std::erase_if(m_loads, [&](const auto& entry) {
