--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -8,7 +8,7 @@
 namespace zinnia {
 namespace {
 
-/** Loads of one stage that are still to do, and the domains that hold it already. */
+/** Outstanding loads of one stage, and the failure domains that already hold it. */
 struct StageProgress {
   LoadedRange range;
   double bytes_per_load = 0.0;
@@ -35,7 +35,7 @@
     return std::ranges::all_of(stages, [](const auto& stage) { return stage.missing.empty(); });
   }
 
-  /** Complete copies, counting only stages that can still grow. */
+  /** Number of complete copies, over the stages with outstanding loads. */
   std::size_t CompleteCopies() const {
     std::size_t copies = SIZE_MAX;
     for (const StageProgress& stage : stages) {
--- a/packages/zinnia_decisions/routing/load_order.h
+++ b/packages/zinnia_decisions/routing/load_order.h
@@ -4,10 +4,10 @@
 
 namespace zinnia {
 
-/** The loads that turn what servers hold into what the pipelines say, ordered for a weight store
-    that gives them out one after the other: always the model next that has the fewest complete
-    copies, and of those the one whose next complete copy needs the fewest bytes. Within a stage,
-    servers in domains that do not hold it yet come first. */
+/** Returns the loads by which the servers reach the layer ranges that the pipelines assign to them,
+    in the order in which a weight store should serve them. The model with the fewest complete
+    copies comes first; ties go to the one with the fewest bytes to its next copy. Within a stage,
+    servers in failure domains without a holder come first. */
 std::vector<PlannedLoad> OrderLoads(const std::vector<PlannerServer>& servers,
                                     const std::vector<PlannerModel>& models,
                                     const std::vector<Pipeline>& pipelines);
