--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -16,7 +16,7 @@
 
 using Servers = std::vector<const PlannerServer*>;
 
-/** A further stage must bring at least this much, as it adds latency to every token. */
+/** Least rate gain of a further stage, since each adds latency to every token. */
 constexpr double kMinGainPerStage = 1.03;
 constexpr std::size_t kMinDomainsPerStage = 2;
 constexpr std::size_t kMaxStages = 16;
@@ -56,7 +56,7 @@
   return rate;
 }
 
-/** Fastest first, domain after domain, so that whoever deals them out gets both even. */
+/** Sorts by descending rate. Servers of equal rate keep their order. */
 Servers SortedByRate(const Servers& servers) {
   Servers sorted = servers;
   std::ranges::stable_sort(sorted, std::greater{},
@@ -64,7 +64,7 @@
   return sorted;
 }
 
-/** What a model has been given so far. */
+/** The servers allocated to one model. */
 struct ModelAllocation {
   Servers servers;
   double demand = 1.0;
@@ -78,8 +78,8 @@
   }
 };
 
-/** Lets the model with the least rate for its demand take the next server, again and again: the
-    fastest of the domain in which it has least. */
+/** Allocates servers to models. Each goes to the model with the lowest rate relative to its demand,
+    which gets the fastest server of the failure domain where its rate is lowest. */
 std::vector<Servers> AllocateServers(const std::vector<PlannerServer>& servers,
                                      const std::vector<double>& demands) {
   std::vector<ModelAllocation> shares;
@@ -110,7 +110,7 @@
   return result;
 }
 
-/** Deals servers to stages: to the stage that lacks this domain most, then to the slowest. */
+/** Assigns each server to a stage that lacks its failure domain, else to the slowest stage. */
 std::vector<Stage> AssignToStages(const Servers& servers, std::size_t count) {
   std::vector<Stage> stages(count);
   for (const PlannerServer* server : SortedByRate(servers)) {
@@ -124,7 +124,8 @@
   return stages;
 }
 
-/** Cuts the layers in proportion to the stages' rates, within memory. False if they do not fit. */
+/** Partitions the layers in proportion to the stages' rates, within memory. Returns false if they
+    do not fit. */
 bool PartitionLayers(const PlannerModel& model, std::vector<Stage>& stages) {
   const auto layers = static_cast<std::uint32_t>(model.layer_costs.size());
   std::uint32_t first = 0;
@@ -242,8 +243,7 @@
     if (failed == plans.end()) {
       return MakePipelinePlan(servers, models, plans);
     }
-    // A small model may be given too few servers for two domains at every stage, or too little
-    // memory; it takes a larger share then than its demand alone gives it.
+    // By demand alone, a small model can get too few failure domains or too little memory.
     unserved = static_cast<std::size_t>(failed - plans.begin());
     demands[unserved] *= kDemandGrowth;
   }
--- a/packages/zinnia_decisions/routing/pipeline_planner.h
+++ b/packages/zinnia_decisions/routing/pipeline_planner.h
@@ -8,8 +8,8 @@
 
 namespace zinnia {
 
-/** A backend server that can be given layers. `rate` is how much layer cost it works off in a
-    second, `memory_layers` how many layers it can hold. */
+/** A backend server available to the planner. `rate` is the layer cost that it computes per second,
+    `memory_layers` the number of layers that fit into its memory. */
 struct PlannerServer {
   BackendServerName name;
   FailureDomainName failure_domain;
@@ -18,7 +18,7 @@
   std::optional<LoadedRange> loaded;
 };
 
-/** A model to be served: the cost of each layer and the part of all tokens that it has to give. */
+/** A model to be served. `demand_share` is its fraction of all tokens. */
 struct PlannerModel {
   ModelName name;
   std::string version;
@@ -27,16 +27,16 @@
   double bytes_per_layer = 0.0;
 };
 
-/** What a server has to load to take its place. */
+/** A layer range that a server has to load. */
 struct PlannedLoad {
   BackendServerName server;
   LoadedRange target;
   double bytes = 0.0;
 };
 
-/** Who holds what, as one pipeline a model, and which loads lead there, in this order.
-    `token_rate` is what all models give together at their shares; `token_rate_bound` is what they
-    could if every server could be split at will. */
+/** One pipeline per model and the ordered loads that establish them. `token_rate` is the total
+   token rate of all models at their demand shares; `token_rate_bound` is its upper bound if servers
+    could be divided arbitrarily. */
 struct PipelinePlan {
   std::vector<Pipeline> pipelines;
   std::vector<PlannedLoad> loads;
@@ -44,19 +44,21 @@
   double token_rate_bound = 0.0;
 };
 
-/** Decides which layer range each backend server of a pool should hold.
+/** Assigns a layer range to each backend server of a pool.
 
-    Servers are shared out between models by demand, and within a model into stages of about equal
-    rate, each with servers in two failure domains or more, so that the loss of any one domain
-    leaves every model served. Layers are cut in proportion to the stages' rates within the memory
-    of their servers. Of the possible numbers of stages the one with the highest rate is taken, or
-    the lowest number close to it, because each stage adds latency to every token.
+    Servers are allocated to models by demand, and within a model to stages of about equal rate.
+    Each stage spans at least two failure domains, so that every model survives the loss of one.
+    Layers are partitioned in proportion to the stages' rates, within the memory of their servers.
+    A further stage is added only if it increases the rate noticeably, because each stage adds
+    latency to every token.
 
-    Cost: servers times stages for each number of stages tried. @see OrderLoads
+    The running time is proportional to servers times stages for each number of stages tried.
+
+    @see OrderLoads
 */
 class PipelinePlanner {
  public:
-  /** Fails with kInvalidRequest if a model cannot be served through the loss of every domain. */
+  /** Fails with kInvalidRequest if a model would not survive the loss of one failure domain. */
   static Result<PipelinePlan> Form(const std::vector<PlannerServer>& servers,
                                    const std::vector<PlannerModel>& models);
 };
