--- a/packages/zinnia_decisions/routing/pool_capacity.h
+++ b/packages/zinnia_decisions/routing/pool_capacity.h
@@ -4,11 +4,11 @@
 
 namespace zinnia {
 
-/** How many sessions of a model this instance should run at once, for
-    AdmissionController::SetPoolCapacity: its equal share of the tokens a second that the narrowest
-    stages decode, times the seconds a token may take through the whole pipeline.
+/** Returns the number of sessions of a model that this instance should run concurrently, for
+    AdmissionController::SetPoolCapacity: its equal share of the decode rate of the pipelines'
+    bottleneck stages, times the target seconds between tokens.
 
-    More sessions than that only wait in engines, where admission can no longer refuse them.
+    Further sessions would queue in engines, where admission control can no longer reject them.
 */
 double ConcurrentSessionsFor(const FleetSnapshot& fleet,
                              const ModelName& model,
