--- a/packages/zinnia_decisions/routing/prefix_history.h
+++ b/packages/zinnia_decisions/routing/prefix_history.h
@@ -7,11 +7,11 @@
 
 namespace zinnia {
 
-/** Remembers which backend servers lately got a prompt with a certain prefix, and so probably hold
-    it in their cache. Bounded: the prefix used longest ago is forgotten first, and of each prefix
-    only the latest few servers are kept.
+/** Records the backend servers to which each prompt prefix was sent recently and which therefore
+    probably have it cached. Evicts the least recently used prefix beyond `capacity`, and keeps the
+    latest few servers per prefix.
 
-    Servers are named by the hash of their name.
+    Servers are identified by the hash of their name.
 */
 class PrefixHistory {
  public:
