--- a/packages/zinnia_decisions/routing/server_rates.cc
+++ b/packages/zinnia_decisions/routing/server_rates.cc
@@ -5,11 +5,11 @@
 namespace zinnia {
 namespace {
 
-/** Layers times tokens a second of the fastest kind at full batch. */
+/** Decode rate of the fastest accelerator at full batch, in layers times tokens per second. */
 constexpr double kNominalLayerTokensPerSecond = 24'000.0;
 
-/** A step of an empty server takes as long as this many tokens at full batch, because reading the
-    weights is not shared. */
+/** Step time of an idle server in tokens at full batch. A single token bears the whole cost of
+    reading the weights. */
 constexpr double kEmptyStepTokens = 3.0;
 constexpr double kPrefillToDecodeRatio = 8.0;
 
