--- a/packages/zinnia_decisions/routing/prefix_history.h
+++ b/packages/zinnia_decisions/routing/prefix_history.h
@@ -8,8 +8,8 @@
 namespace zinnia {
 
 /** Records the backend servers to which each prompt prefix was sent recently and which therefore
-    probably have it cached. Evicts the least recently used prefix beyond `capacity`, and keeps the
-    latest few servers per prefix.
+    probably have it cached. Evicts the prefix recorded longest ago beyond `capacity`, and keeps
+    the latest few servers per prefix.
 
     Servers are identified by the hash of their name.
 */
