--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -58,7 +58,7 @@
 
   virtual StageSelection SelectServer(const StageContext& context) = 0;
 
-  /** Called by OnSent for each route in use. */
+  /** Called by OnSent with each route that was sent a request. */
   virtual void OnRouteUsed(const Route& route, const RouteQuery& query);
 
   virtual std::string_view Reason() const = 0;
