--- a/tests/routing/chooser_test.cc
+++ b/tests/routing/chooser_test.cc
@@ -26,7 +26,7 @@
   return choosers;
 }
 
-/** Servers that a chooser uses in many choices, each kept in flight. */
+/** Servers used over kChoices sessions, all of them still in flight. */
 std::set<BackendServerName> ServersUsed(PipelineChooser& chooser,
                                         const FleetSnapshot& fleet,
                                         const RouteQuery& query) {
@@ -55,22 +55,20 @@
   }
 };
 
-// Symptom: a session ends on a server that shuts down. A server begins to leave; instances go on
-// sending it new sessions. Cause: the chooser looks at the load but not at the state.
+// Guards against sending new sessions to a server that is shutting down.
 TEST(Chooser, NeverUsesALeavingServer) {
   m_fleet.servers["first-1"].state = BackendServerState::kLeaving;
   ExpectNeverUsed("first-1", MakeQuery());
 }
 
-// Symptom: an answer made of two model versions. A server is reloaded with a new version while the
-// pipeline still names it. Cause: the chooser trusts the pipeline, not what the engine holds.
+// Guards against mixing model versions in one response when a server reloads while its pipeline
+// still lists it.
 TEST(Chooser, NeverUsesAServerWithAnotherVersion) {
   m_fleet.servers["second-0"].server.loaded->version = "v2";
   ExpectNeverUsed("second-0", MakeQuery());
 }
 
-// Symptom: a recovered session fails again at once. Its server failed, and the chooser picks the
-// same one. Cause: exclusions of the query are not looked at.
+// Guards against routing a recovered session back to the server that failed.
 TEST(Chooser, NeverUsesAnExcludedServer) {
   RouteQuery query = MakeQuery();
   query.excluded = {"first-0"};
@@ -87,7 +85,7 @@
   }
 }
 
-TEST(Chooser, TellsAnUnknownModelFromAMissingPipeline) {
+TEST(Chooser, DistinguishesAnUnknownModelFromAMissingPipeline) {
   CompletionChooser chooser(m_time, RandomSource(1));
   RouteQuery query = MakeQuery();
   query.model = "other";
@@ -98,8 +96,7 @@
   CHECK_TRUE(draining.error().retry_after.has_value());
 }
 
-// Symptom: a recovery rebuilds the caches of all stages though one was lost. Cause: the replacement
-// chooses a whole new route.
+// Guards against rebuilding the caches of all stages when only one server was lost.
 TEST(Chooser, ReplaceKeepsTheOtherHops) {
   for (const auto& chooser : AllChoosers(m_time)) {
     const Route route = chooser->Choose(m_fleet, MakeQuery())->route;
@@ -117,10 +114,9 @@
   CHECK_TRUE(chooser.Replace(m_fleet, route, 0, MakeQuery()).has_value());
 }
 
-// Symptom: load swings between servers with the period of the load reports. Eight instances see
-// the same report, in which one server is empty, and all send everything there until the next
-// report. Cause: the report alone decides, not what was sent since.
-TEST(Chooser, InstancesWithTheSameStaleReportDoNotAllRunToOneServer) {
+// Guards against load that oscillates with the report interval because every instance sends all
+// sessions to the server that the last report showed as idle.
+TEST(Chooser, InstancesWithTheSameStaleReportDoNotOverloadOneServer) {
   for (auto& [name, view] : m_fleet.servers) {
     view.server.failure_domain = "a";
     view.load.reported_running = name.ends_with("0") ? 0 : 6;
@@ -141,9 +137,9 @@
   CHECK_TRUE(sessions["first-2"] > 8);
 }
 
-// Symptom: the same long prompt is read anew by every server, and a prompt that crashes servers
-// reaches a third one through another instance. Cause: each instance picks its own server.
-TEST(Chooser, EqualPrefixesLandOnTheSameServersFromEveryInstance) {
+// Guards against repeated prefill of the same prompt, and against spreading a prompt that crashes
+// servers, when instances route equal prefixes to different servers.
+TEST(Chooser, EveryInstanceRoutesEqualPrefixesToTheSameServers) {
   for (auto& [name, view] : m_fleet.servers) {
     view.server.failure_domain = "a";
   }
@@ -173,10 +169,9 @@
   CHECK_TRUE(ServersUsed(chooser, m_fleet, many).contains("first-2"));
 }
 
-// Symptom: admitted sessions miss their deadlines while the others are quick. The servers nearby
-// are well used, so the idle one behind a slow link looks cheaper, though nobody who is sent there
-// can be in time. Cause: the time of the link counts like any other time.
-TEST(Chooser, KeepsOffASlowLinkWhileTheServersNearbyAreWellUsed) {
+// Guards against missed deadlines when an idle server behind a slow link looks cheaper than busy
+// servers nearby.
+TEST(Chooser, AvoidsASlowLinkWhileServersNearbyAreBusy) {
   using namespace std::chrono_literals;
   m_fleet.links = {{"a", "c", 30ms, 1.25e7}, {"c", "a", 30ms, 1.25e7}};
   CompletionChooser chooser(m_time, RandomSource(1));
@@ -187,9 +182,8 @@
   }
 }
 
-// Symptom: pipelines of few stages run full batches while longer ones of the same model have room.
-// Cause: a session counts as if it were at all servers of its route at once, so that four quick
-// stages look as loaded as one slow one.
+// Guards against underused long pipelines, which result if a session is counted at all servers of
+// its route at once.
 TEST(Chooser, CountsASessionAtOneServerAtATime) {
   FleetBuilder builder;
   builder.AddServer("whole", {0, 16});
@@ -227,7 +221,7 @@
   CHECK_TRUE(sessions["first-0"] > 170 && sessions["first-0"] < 230);
 }
 
-TEST(Chooser, ForgetsThePrefixUsedLongestAgo) {
+TEST(Chooser, PrefixHistoryEvictsThePrefixRecordedLongestAgo) {
   PrefixHistory memory(2);
   memory.Record(1, 10);
   memory.Record(2, 10);
