--- a/tests/routing/measured_rates_test.cc
+++ b/tests/routing/measured_rates_test.cc
@@ -10,9 +10,8 @@
   FleetSnapshot m_fleet = MakeTwoStageFleet();
 };
 
-TEST(MeasuredRates, CapacityOfAPoolRestsOnThem) {
-  // Symptom: the admitted load has nothing to do with what the servers do. Sequence: servers are
-  // three times faster than their kind's nominal rate. Cause: measured rates never reach admission.
+TEST(MeasuredRates, PoolCapacityUsesMeasuredDecodeRates) {
+  // Guards against admission by nominal rates when the servers' measured rates differ.
   const double nominal = ConcurrentSessionsFor(m_fleet, "model", 0.035);
   for (auto& [name, view] : m_fleet.servers) {
     view.load.decode_tokens_per_second = 3 * RatesOf(view).decode_tokens_per_second;
@@ -20,7 +19,7 @@
   DOUBLES_EQUAL(3 * nominal, ConcurrentSessionsFor(m_fleet, "model", 0.035), 1e-6);
 }
 
-TEST(MeasuredRates, EmptyStepTimeIsTheMeasuredOne) {
+TEST(MeasuredRates, BaseStepUsesMeasuredEmptyStepTime) {
   ServerView& view = m_fleet.servers.at("first-0");
   view.load.decode_tokens_per_second = 32'000.0;
   view.load.empty_step_time = std::chrono::milliseconds(2);
