--- a/tests/routing/pipeline_planner_test.cc
+++ b/tests/routing/pipeline_planner_test.cc
@@ -37,8 +37,7 @@
 
 TEST_GROUP(PipelinePlannerTest){};
 
-// Symptom: a model is gone when one failure domain is. All holders of one of its stages were in
-// that domain. Cause: layer ranges are given out by rate only.
+// Guards against a stage whose servers are all in one failure domain.
 TEST(PipelinePlannerTest, TheLossOfAnyDomainLeavesEveryModelServed) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
@@ -83,7 +82,7 @@
   }
 }
 
-TEST(PipelinePlannerTest, SaysWhichModelCannotSurviveTheLossOfADomain) {
+TEST(PipelinePlannerTest, ErrorNamesTheModelThatCannotSurviveTheLossOfADomain) {
   auto servers = MakeServers(30, 1);
   for (PlannerServer& server : servers) {
     server.failure_domain = "only";
@@ -93,8 +92,7 @@
   STRCMP_CONTAINS("assistant", plan.error().message.c_str());
 }
 
-// Symptom: after a rollout over a slow weight store nothing is served for minutes, though half of
-// all bytes are there. Each model has some of its stages. Cause: loads in no useful order.
+// Guards against a rollout over a slow weight store that leaves every model incomplete for long.
 TEST(PipelinePlannerTest, LoadsCompleteOneModelBeforeTheNextBegins) {
   const auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
@@ -107,7 +105,7 @@
   LONGS_EQUAL(servers.size(), plan->loads.size());
 }
 
-TEST(PipelinePlannerTest, LoadsNothingThatIsThere) {
+TEST(PipelinePlannerTest, PlansNoLoadForRangesAlreadyLoaded) {
   auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
   const auto plan = PipelinePlanner::Form(servers, models);
