--- a/tests/routing/fleet_builder.h
+++ b/tests/routing/fleet_builder.h
@@ -8,7 +8,8 @@
 
 namespace zinnia {
 
-/** Builds small fleets for tests: servers with what they hold, and pipelines over them. */
+/** Builds fleet snapshots for tests. Servers are in failure domain "a" with "v1" of "model" loaded
+    unless stated otherwise. */
 class FleetBuilder {
  public:
   FleetBuilder() { m_fleet.own_failure_domain = "a"; }
@@ -35,7 +36,8 @@
   FleetSnapshot m_fleet;
 };
 
-/** Two stages of three replicas each: "first-N" and "second-N", one in each of domains a, b, c. */
+/** Two stages, "first-N" and "second-N", with one replica in each of the failure domains a, b, c.
+ */
 inline FleetSnapshot MakeTwoStageFleet() {
   FleetBuilder builder;
   const LayerRange first{0, 8};
