--- a/tests/routing/fleet_builder.h
+++ b/tests/routing/fleet_builder.h
@@ -36,8 +36,7 @@
   FleetSnapshot m_fleet;
 };
 
-/** Two stages, "first-N" and "second-N", with one replica in each of the failure domains a, b, c.
- */
+/** Two stages with one replica in each of the failure domains a, b, c: "first-N" and "second-N". */
 inline FleetSnapshot MakeTwoStageFleet() {
   FleetBuilder builder;
   const LayerRange first{0, 8};
