--- a/packages/zinnia_adapters/callers/chat_exchange.cc
+++ b/packages/zinnia_adapters/callers/chat_exchange.cc
@@ -137,8 +137,8 @@
   admission.request_class = RequestClass::kChat;
   admission.pool = m_request.model;
   admission.cost = EstimatePromptTokens(m_request.prompt) + m_request.max_tokens;
-  admission.expected_service_time =
-      estimate.expected_first_token + estimate.expected_between_tokens * m_request.max_tokens;
+  admission.expected_service_time = estimate.expected_time_to_first_token +
+                                    estimate.expected_between_tokens * m_request.max_tokens;
   admission.deadline = m_request.deadline;
   m_context.parts.admission.Request(
       std::move(admission),
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -173,7 +173,7 @@
     between_tokens += per_token;
   }
   return {.route = std::move(route),
-          .expected_first_token = FromSeconds(first_token),
+          .expected_time_to_first_token = FromSeconds(first_token),
           .expected_between_tokens = FromSeconds(between_tokens),
           .reason = std::string(Reason())};
 }
--- a/packages/zinnia_decisions/routing/pipeline_chooser.h
+++ b/packages/zinnia_decisions/routing/pipeline_chooser.h
@@ -23,7 +23,7 @@
 /** A route with its predicted latencies and the reason for the choice. */
 struct RouteChoice {
   Route route;
-  Duration expected_first_token{};
+  Duration expected_time_to_first_token{};
   Duration expected_between_tokens{};
   std::string reason;
 };
