--- a/packages/zinnia_adapters/callers/chat_exchange.cc
+++ b/packages/zinnia_adapters/callers/chat_exchange.cc
@@ -138,7 +138,7 @@
   admission.pool = m_request.model;
   admission.cost = EstimatePromptTokens(m_request.prompt) + m_request.max_tokens;
   admission.expected_service_time = estimate.expected_time_to_first_token +
-                                    estimate.expected_between_tokens * m_request.max_tokens;
+                                    estimate.expected_inter_token_latency * m_request.max_tokens;
   admission.deadline = m_request.deadline;
   m_context.parts.admission.Request(
       std::move(admission),
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -174,7 +174,7 @@
   }
   return {.route = std::move(route),
           .expected_time_to_first_token = FromSeconds(first_token),
-          .expected_between_tokens = FromSeconds(between_tokens),
+          .expected_inter_token_latency = FromSeconds(between_tokens),
           .reason = std::string(Reason())};
 }
 
--- a/packages/zinnia_decisions/routing/pipeline_chooser.h
+++ b/packages/zinnia_decisions/routing/pipeline_chooser.h
@@ -24,7 +24,7 @@
 struct RouteChoice {
   Route route;
   Duration expected_time_to_first_token{};
-  Duration expected_between_tokens{};
+  Duration expected_inter_token_latency{};
   std::string reason;
 };
 
