--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -200,8 +200,8 @@
   return pipeline;
 }
 
-std::vector<ModelPlan> PlanAll(const std::vector<PlannerModel>& models,
-                               const std::vector<Servers>& shares) {
+std::vector<ModelPlan> PlanModels(const std::vector<PlannerModel>& models,
+                                  const std::vector<Servers>& shares) {
   std::vector<ModelPlan> plans;
   plans.reserve(models.size());
   for (std::size_t model = 0; model < models.size(); ++model) {
@@ -237,7 +237,7 @@
   }
   std::size_t unserved = 0;
   for (int round = 0; round < kMaxAllocationRounds; ++round) {
-    const std::vector<ModelPlan> plans = PlanAll(models, AllocateServers(servers, demands));
+    const std::vector<ModelPlan> plans = PlanModels(models, AllocateServers(servers, demands));
     const auto failed = std::ranges::find_if(
         plans, [](const ModelPlan& planned) { return planned.stages.empty(); });
     if (failed == plans.end()) {
