--- a/packages/zinnia_decisions/routing/pool_capacity.cc
+++ b/packages/zinnia_decisions/routing/pool_capacity.cc
@@ -10,15 +10,15 @@
 namespace {
 
 double BottleneckTokensPerSecond(const FleetIndex& index, const IndexedPipeline& pipeline) {
-  double narrowest = std::numeric_limits<double>::infinity();
+  double bottleneck = std::numeric_limits<double>::infinity();
   for (const IndexedStage& stage : pipeline.stages) {
     double tokens_per_second = 0.0;
     for (const std::uint32_t server : stage.live) {
       tokens_per_second += index.Servers()[server].rates.decode_tokens_per_second;
     }
-    narrowest = std::min(narrowest, tokens_per_second);
+    bottleneck = std::min(bottleneck, tokens_per_second);
   }
-  return narrowest;
+  return bottleneck;
 }
 
 }  // namespace
