--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -87,20 +87,20 @@
   for (const double need : demands) {
     shares.push_back({.demand = need});
   }
-  Servers left;
-  left.reserve(servers.size());
+  Servers unallocated;
+  unallocated.reserve(servers.size());
   for (const PlannerServer& server : servers) {
-    left.push_back(&server);
+    unallocated.push_back(&server);
   }
-  left = SortedByRate(left);
-  while (!left.empty()) {
+  unallocated = SortedByRate(unallocated);
+  while (!unallocated.empty()) {
     ModelAllocation& next_model = *std::ranges::min_element(
         shares, {}, [](const ModelAllocation& share) { return share.rate / share.demand; });
-    const auto next = std::ranges::min_element(left, {}, [&](const PlannerServer* server) {
+    const auto next = std::ranges::min_element(unallocated, {}, [&](const PlannerServer* server) {
       return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
     next_model.Allocate(**next);
-    left.erase(next);
+    unallocated.erase(next);
   }
   std::vector<Servers> result;
   result.reserve(shares.size());
