--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -214,14 +214,14 @@
                               const std::vector<PlannerModel>& models,
                               const std::vector<ModelPlan>& plans) {
   PipelinePlan formation{.token_rate = std::numeric_limits<double>::infinity()};
-  double cost_of_mix = 0.0;
+  double mean_token_cost = 0.0;
   for (std::size_t model = 0; model < models.size(); ++model) {
     const double share = models[model].demand_share;
     formation.token_rate = std::min(formation.token_rate, plans[model].rate / share);
-    cost_of_mix += share * TotalCost(models[model]);
+    mean_token_cost += share * TotalCost(models[model]);
     formation.pipelines.push_back(MakePipeline(models[model], plans[model]));
   }
-  formation.token_rate_bound = TotalRate(servers) / cost_of_mix;
+  formation.token_rate_bound = TotalRate(servers) / mean_token_cost;
   formation.loads = OrderLoads(servers, models, formation.pipelines);
   return formation;
 }
