--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -160,7 +160,7 @@
   return first == layers;
 }
 
-double RateOf(const PlannerModel& model, const std::vector<Stage>& stages) {
+double BottleneckTokenRate(const PlannerModel& model, const std::vector<Stage>& stages) {
   double rate = std::numeric_limits<double>::infinity();
   for (const Stage& stage : stages) {
     const auto begin = model.layer_costs.begin() + stage.layers.first;
@@ -180,7 +180,7 @@
     if (!spans_domains || !PartitionLayers(model, stages)) {
       continue;
     }
-    const double rate = RateOf(model, stages);
+    const double rate = BottleneckTokenRate(model, stages);
     if (rate > best.rate * kMinGainPerStage) {
       best = {std::move(stages), rate};
     }
