--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -27,14 +27,14 @@
 struct Stage {
   Servers servers;
   double rate = 0.0;
-  std::uint32_t memory = std::numeric_limits<std::uint32_t>::max();
+  std::uint32_t max_layers = std::numeric_limits<std::uint32_t>::max();
   std::set<FailureDomainName> domains;
   LayerRange layers;
 
   void Add(const PlannerServer& server) {
     servers.push_back(&server);
     rate += server.rate;
-    memory = std::min(memory, server.memory_layers);
+    max_layers = std::min(max_layers, server.memory_layers);
     domains.insert(server.failure_domain);
   }
 };
@@ -134,14 +134,14 @@
   std::uint32_t memory_left = 0;
   for (const Stage& stage : stages) {
     rate_left += stage.rate;
-    memory_left += stage.memory;
+    memory_left += stage.max_layers;
   }
   for (Stage& stage : stages) {
-    memory_left -= stage.memory;
+    memory_left -= stage.max_layers;
     const double target_cost = cost_left * stage.rate / rate_left;
     double cost = 0.0;
     std::uint32_t end = first;
-    while (end < layers && end - first < stage.memory) {
+    while (end < layers && end - first < stage.max_layers) {
       const bool required = layers - end > memory_left;
       const bool closer_to_target = cost + model.layer_costs[end] / 2.0 <= target_cost;
       if (!required && !closer_to_target) {
