--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -131,18 +131,18 @@
   std::uint32_t first = 0;
   double cost_left = TotalCost(model);
   double rate_left = 0.0;
-  std::uint32_t memory_left = 0;
+  std::uint32_t layer_capacity_left = 0;
   for (const Stage& stage : stages) {
     rate_left += stage.rate;
-    memory_left += stage.max_layers;
+    layer_capacity_left += stage.max_layers;
   }
   for (Stage& stage : stages) {
-    memory_left -= stage.max_layers;
+    layer_capacity_left -= stage.max_layers;
     const double target_cost = cost_left * stage.rate / rate_left;
     double cost = 0.0;
     std::uint32_t end = first;
     while (end < layers && end - first < stage.max_layers) {
-      const bool required = layers - end > memory_left;
+      const bool required = layers - end > layer_capacity_left;
       const bool closer_to_target = cost + model.layer_costs[end] / 2.0 <= target_cost;
       if (!required && !closer_to_target) {
         break;
