--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -172,8 +172,8 @@
 
 ModelPlan PlanModel(const PlannerModel& model, const Servers& servers) {
   ModelPlan best;
-  const std::size_t most = std::min(kMaxStages, servers.size() / kMinDomainsPerStage);
-  for (std::size_t count = 1; count <= most; ++count) {
+  const std::size_t max_count = std::min(kMaxStages, servers.size() / kMinDomainsPerStage);
+  for (std::size_t count = 1; count <= max_count; ++count) {
     std::vector<Stage> stages = AssignToStages(servers, count);
     const bool spans_domains = std::ranges::all_of(
         stages, [](const Stage& stage) { return stage.domains.size() >= kMinDomainsPerStage; });
