--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -70,18 +70,18 @@
                          const Pipeline& pipeline) {
   ModelProgress progress;
   for (const PipelineStage& stage : pipeline.stages) {
-    StageProgress of_stage{.range = {model.name, model.version, stage.layers},
-                           .bytes_per_load = model.bytes_per_layer * stage.layers.Count()};
+    StageProgress stage_progress{.range = {model.name, model.version, stage.layers},
+                                 .bytes_per_load = model.bytes_per_layer * stage.layers.Count()};
     for (const BackendServerName& name : stage.replicas) {
       const PlannerServer& server = *servers.at(name);
-      if (server.loaded == of_stage.range) {
-        ++of_stage.holders;
-        of_stage.holder_domains.insert(server.failure_domain);
+      if (server.loaded == stage_progress.range) {
+        ++stage_progress.holders;
+        stage_progress.holder_domains.insert(server.failure_domain);
       } else {
-        of_stage.missing.push_back(&server);
+        stage_progress.missing.push_back(&server);
       }
     }
-    progress.stages.push_back(std::move(of_stage));
+    progress.stages.push_back(std::move(stage_progress));
   }
   return progress;
 }
