--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -70,7 +70,7 @@
     }
   }
   for (const Pipeline& pipeline : fleet.pipelines) {
-    std::vector<IndexedPipeline>& of_model = m_pipelines[pipeline.model];
+    std::vector<IndexedPipeline>& model_pipelines = m_pipelines[pipeline.model];
     if (pipeline.draining || pipeline.stages.empty()) {
       continue;
     }
@@ -78,7 +78,7 @@
     for (const PipelineStage& stage : pipeline.stages) {
       indexed.stages.push_back(MakeStage(pipeline, stage));
     }
-    of_model.push_back(std::move(indexed));
+    model_pipelines.push_back(std::move(indexed));
   }
 }
 
