--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -39,7 +39,7 @@
   IndexedStage stage{.layers = layers};
   const LoadedRange wanted{model, version, layers};
   for (std::uint32_t number = 0; number < m_servers.size(); ++number) {
-    if (m_loaded[number] == wanted) {
+    if (m_loaded_ranges[number] == wanted) {
       AddIfUsable(number, stage);
     }
   }
@@ -59,7 +59,7 @@
                          .reported_sessions = reported,
                          .reported_at = view.load.reported_at,
                          .local_load = &local_loads.Of(name)});
-    m_loaded.push_back(view.server.loaded);
+    m_loaded_ranges.push_back(view.server.loaded);
   }
 }
 
@@ -87,7 +87,7 @@
   const LoadedRange wanted{pipeline.model, pipeline.version, stage.layers};
   for (const BackendServerName& replica : stage.replicas) {
     const auto found = m_server_positions.find(replica);
-    if (found != m_server_positions.end() && m_loaded[found->second] == wanted) {
+    if (found != m_server_positions.end() && m_loaded_ranges[found->second] == wanted) {
       AddIfUsable(found->second, indexed);
     }
   }
--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -80,7 +80,7 @@
   std::uint32_t m_own_domain;
   double m_live_instances;
   std::vector<IndexedServer> m_servers;
-  std::vector<std::optional<LoadedRange>> m_loaded;
+  std::vector<std::optional<LoadedRange>> m_loaded_ranges;
   std::unordered_map<BackendServerName, std::uint32_t> m_server_positions;
   std::map<ModelName, std::vector<IndexedPipeline>> m_pipelines;
 };
