--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -103,9 +103,9 @@
   const IndexedServer& server = context.index.Servers()[candidate];
   const auto hop = PredictHop(context.index, server, context.position, context.query);
   const double sessions = ExpectedSessions(context.index, server);
-  const double cycle = m_settings.target_inter_token_seconds;
-  const double step = StepSeconds(server.rates, sessions + 1.0, cycle);
-  const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, cycle));
+  const double target_interval = m_settings.target_inter_token_seconds;
+  const double step = StepSeconds(server.rates, sessions + 1.0, target_interval);
+  const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, target_interval));
   const double per_token =
       hop.links_per_token + step + m_settings.other_sessions_slowdown_weight * slowdown +
       m_settings.slow_link_penalty *
