--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -56,11 +56,11 @@
                                             const RouteQuery& query) {
   assert(hop < route.hops.size());
   RefreshIndex(fleet);
-  RouteQuery without_old = query;
-  without_old.excluded.insert(route.hops[hop].server);
+  RouteQuery replacement_query = query;
+  replacement_query.excluded.insert(route.hops[hop].server);
   const IndexedStage holders =
       m_index->ServersHolding(route.model, route.version, route.hops[hop].layers);
-  const auto pick = TryStage(holders, {hop, route.hops.size()}, without_old);
+  const auto pick = TryStage(holders, {hop, route.hops.size()}, replacement_query);
   if (!pick) {
     return NoPipeline(route.model, "other backend server for the lost stage");
   }
