--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -33,14 +33,14 @@
   }
   const auto pipelines = m_index->PipelinesOf(query.model);
   std::optional<Candidate> best;
-  std::size_t usable = 0;
+  std::size_t usable_pipelines = 0;
   for (const std::size_t number : PipelineOrder(query, pipelines.size())) {
     auto candidate = TryPipeline(pipelines[number], query);
-    usable += candidate ? 1 : 0;
+    usable_pipelines += candidate ? 1 : 0;
     if (candidate && (!best || candidate->cost < best->cost)) {
       best = std::move(candidate);
     }
-    if (usable == MaxComparedPipelines()) {
+    if (usable_pipelines == MaxComparedPipelines()) {
       break;
     }
   }
