--- a/tests/routing/pipeline_planner_test.cc
+++ b/tests/routing/pipeline_planner_test.cc
@@ -49,11 +49,11 @@
     }
     for (const Pipeline& pipeline : plan->pipelines) {
       for (const PipelineStage& stage : pipeline.stages) {
-        std::set<FailureDomainName> in;
+        std::set<FailureDomainName> stage_domains;
         for (const BackendServerName& replica : stage.replicas) {
-          in.insert(domains.at(replica));
+          stage_domains.insert(domains.at(replica));
         }
-        CHECK_TRUE(in.size() >= 2);
+        CHECK_TRUE(stage_domains.size() >= 2);
       }
     }
   }
