--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -24,9 +24,9 @@
 double LinkSeconds(const FleetIndex& index,
                    const IndexedServer& server,
                    HopPosition position,
-                   double positions) {
-  const double out = positions * (position.First() ? kTokenBytes : kHiddenStateBytes);
-  const double back = position.Last() ? kTokenBytes : positions * kHiddenStateBytes;
+                   double tokens) {
+  const double out = tokens * (position.First() ? kTokenBytes : kHiddenStateBytes);
+  const double back = position.Last() ? kTokenBytes : tokens * kHiddenStateBytes;
   return index.Links().OneWaySeconds(index.OwnDomain(), server.failure_domain, out) +
          index.Links().OneWaySeconds(server.failure_domain, index.OwnDomain(), back);
 }
