--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -60,12 +60,12 @@
   replacement_query.excluded.insert(route.hops[hop].server);
   const IndexedStage holders =
       m_index->ServersHolding(route.model, route.version, route.hops[hop].layers);
-  const auto pick = TryStage(holders, {hop, route.hops.size()}, replacement_query);
-  if (!pick) {
+  const auto selection = TryStage(holders, {hop, route.hops.size()}, replacement_query);
+  if (!selection) {
     return NoPipeline(route.model, "other backend server for the lost stage");
   }
   Route replaced = route;
-  replaced.hops[hop].server = m_index->Servers()[pick->server].name;
+  replaced.hops[hop].server = m_index->Servers()[selection->server].name;
   return MakeChoice(std::move(replaced), query);
 }
 
@@ -115,12 +115,12 @@
     const RouteQuery& query) {
   Candidate candidate{.pipeline = &pipeline};
   for (std::size_t hop = 0; hop < pipeline.stages.size(); ++hop) {
-    const auto pick = TryStage(pipeline.stages[hop], {hop, pipeline.stages.size()}, query);
-    if (!pick) {
+    const auto selection = TryStage(pipeline.stages[hop], {hop, pipeline.stages.size()}, query);
+    if (!selection) {
       return std::nullopt;
     }
-    candidate.servers.push_back(pick->server);
-    candidate.cost += pick->cost;
+    candidate.servers.push_back(selection->server);
+    candidate.cost += selection->cost;
   }
   return candidate;
 }
