--- a/packages/zinnia_decisions/routing/fleet_index.cc
+++ b/packages/zinnia_decisions/routing/fleet_index.cc
@@ -38,9 +38,9 @@
   }
   IndexedStage stage{.layers = layers};
   const LoadedRange wanted{model, version, layers};
-  for (std::uint32_t number = 0; number < m_servers.size(); ++number) {
-    if (m_loaded_ranges[number] == wanted) {
-      AddIfUsable(number, stage);
+  for (std::uint32_t position = 0; position < m_servers.size(); ++position) {
+    if (m_loaded_ranges[position] == wanted) {
+      AddIfUsable(position, stage);
     }
   }
   return stage;
@@ -94,15 +94,15 @@
   return indexed;
 }
 
-void FleetIndex::AddIfUsable(std::uint32_t number, IndexedStage& stage) const {
-  const IndexedServer& server = m_servers[number];
+void FleetIndex::AddIfUsable(std::uint32_t position, IndexedStage& stage) const {
+  const IndexedServer& server = m_servers[position];
   if (server.rates.decode_tokens_per_second <= 0.0) {
     return;
   }
   if (server.state == BackendServerState::kLive) {
-    stage.live.push_back(number);
+    stage.live.push_back(position);
   } else if (server.state == BackendServerState::kSuspect) {
-    stage.suspect.push_back(number);
+    stage.suspect.push_back(position);
   }
 }
 
--- a/packages/zinnia_decisions/routing/fleet_index.h
+++ b/packages/zinnia_decisions/routing/fleet_index.h
@@ -74,7 +74,7 @@
   void AddServers(const FleetSnapshot& fleet, LocalServerLoads& local_loads);
   void AddPipelines(const FleetSnapshot& fleet);
   IndexedStage MakeStage(const Pipeline& pipeline, const PipelineStage& stage) const;
-  void AddIfUsable(std::uint32_t number, IndexedStage& stage) const;
+  void AddIfUsable(std::uint32_t position, IndexedStage& stage) const;
 
   LinkTable m_links;
   std::uint32_t m_own_domain;
