--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -82,10 +82,10 @@
     which gets the fastest server of the failure domain where its rate is lowest. */
 std::vector<Servers> AllocateServers(const std::vector<PlannerServer>& servers,
                                      const std::vector<double>& demands) {
-  std::vector<ModelAllocation> shares;
-  shares.reserve(demands.size());
+  std::vector<ModelAllocation> allocations;
+  allocations.reserve(demands.size());
   for (const double need : demands) {
-    shares.push_back({.demand = need});
+    allocations.push_back({.demand = need});
   }
   Servers unallocated;
   unallocated.reserve(servers.size());
@@ -95,7 +95,7 @@
   unallocated = SortedByRate(unallocated);
   while (!unallocated.empty()) {
     ModelAllocation& next_model = *std::ranges::min_element(
-        shares, {}, [](const ModelAllocation& share) { return share.rate / share.demand; });
+        allocations, {}, [](const ModelAllocation& share) { return share.rate / share.demand; });
     const auto next = std::ranges::min_element(unallocated, {}, [&](const PlannerServer* server) {
       return std::pair(next_model.domain_rates[server->failure_domain], -server->rate);
     });
@@ -103,8 +103,8 @@
     unallocated.erase(next);
   }
   std::vector<Servers> result;
-  result.reserve(shares.size());
-  for (ModelAllocation& share : shares) {
+  result.reserve(allocations.size());
+  for (ModelAllocation& share : allocations) {
     result.push_back(std::move(share.servers));
   }
   return result;
@@ -201,11 +201,11 @@
 }
 
 std::vector<ModelPlan> PlanModels(const std::vector<PlannerModel>& models,
-                                  const std::vector<Servers>& shares) {
+                                  const std::vector<Servers>& allocations) {
   std::vector<ModelPlan> plans;
   plans.reserve(models.size());
   for (std::size_t model = 0; model < models.size(); ++model) {
-    plans.push_back(PlanModel(models[model], shares[model]));
+    plans.push_back(PlanModel(models[model], allocations[model]));
   }
   return plans;
 }
