--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -191,11 +191,11 @@
 Pipeline MakePipeline(const PlannerModel& model, const ModelPlan& plan) {
   Pipeline pipeline{model.name, model.name, model.version};
   for (const Stage& stage : plan.stages) {
-    PipelineStage formed{.layers = stage.layers};
+    PipelineStage planned_stage{.layers = stage.layers};
     for (const PlannerServer* server : stage.servers) {
-      formed.replicas.push_back(server->name);
+      planned_stage.replicas.push_back(server->name);
     }
-    pipeline.stages.push_back(std::move(formed));
+    pipeline.stages.push_back(std::move(planned_stage));
   }
   return pipeline;
 }
