--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -16,7 +16,7 @@
 
 using Servers = std::vector<const PlannerServer*>;
 
-/** Least rate gain of a further stage, since each adds latency to every token. */
+/** Factor by which a further stage must raise the rate, since each adds latency to every token. */
 constexpr double kMinGainPerStage = 1.03;
 constexpr std::size_t kMinDomainsPerStage = 2;
 constexpr std::size_t kMaxStages = 16;
