--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -6,7 +6,7 @@
 
 namespace zinnia {
 
-/** Settings of CompletionChooser. docs/design/routing.md gives the reasons for the defaults. */
+/** Settings of CompletionChooser, described in docs/design/routing.md. */
 struct CompletionChooserSettings {
   /** Servers compared per stage. A larger stage is sampled at random. */
   std::size_t max_compared_servers = 8;
--- a/packages/zinnia_decisions/routing/indexed_chooser.h
+++ b/packages/zinnia_decisions/routing/indexed_chooser.h
@@ -13,8 +13,7 @@
 
 namespace zinnia {
 
-/** Input of SelectServer for one stage. `candidates` is not empty and contains no excluded server.
- */
+/** Input of SelectServer for one stage. `candidates` is never empty and has no excluded server. */
 struct StageContext {
   const FleetIndex& index;
   const RouteQuery& query;
--- a/packages/zinnia_decisions/routing/local_server_loads.h
+++ b/packages/zinnia_decisions/routing/local_server_loads.h
@@ -11,8 +11,8 @@
 
 namespace zinnia {
 
-/** This chooser's sessions in flight at one backend server, with the times of the latest changes,
-   by which a stale load report is corrected. */
+/** This chooser's sessions in flight at one backend server, with the times of the latest
+    changes, by which a stale load report is corrected. */
 class LocalServerLoad {
  public:
   void OnSent(TimePoint now);
--- a/packages/zinnia_decisions/routing/pipeline_planner.h
+++ b/packages/zinnia_decisions/routing/pipeline_planner.h
@@ -34,8 +34,8 @@
   double bytes = 0.0;
 };
 
-/** One pipeline per model and the ordered loads that establish them. `token_rate` is the total
-   token rate of all models at their demand shares; `token_rate_bound` is its upper bound if servers
+/** One pipeline per model and the ordered loads that establish them. `token_rate` is that of
+    all models together at their demand shares; `token_rate_bound` is its upper bound if servers
     could be divided arbitrarily. */
 struct PipelinePlan {
   std::vector<Pipeline> pipelines;
--- a/packages/zinnia_decisions/routing/server_rates.h
+++ b/packages/zinnia_decisions/routing/server_rates.h
@@ -12,8 +12,9 @@
   double prefill_tokens_per_second = 0.0;
 };
 
-/** Returns the measured rates where the load report has them, else nominal rates by accelerator
-   kind and number of layers. The configured weight scales the decode and prefill rates. */
+/** Returns the measured rates where the load report has them, else nominal rates by
+    accelerator kind and number of layers. The configured weight scales the decode and prefill
+   rates. */
 ServerRates RatesOf(const ServerView& view);
 
 }  // namespace zinnia
