--- a/bench/routing/forming.cc
+++ b/bench/routing/forming.cc
@@ -35,7 +35,7 @@
   double sum = 0.0;
   double worst = 1.0;
   for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
-    const auto plan = PipelinePlanner::Form(MakeServers(30, seed), MakeModels());
+    const auto plan = PipelinePlanner::Plan(MakeServers(30, seed), MakeModels());
     const double ratio = plan ? plan->token_rate / plan->token_rate_bound : 0.0;
     sum += ratio;
     worst = std::min(worst, ratio);
@@ -51,7 +51,7 @@
   for (const std::size_t count : {30, 300, 1'200}) {
     const auto servers = MakeServers(count, 1);
     const auto begin = std::chrono::steady_clock::now();
-    const auto plan = PipelinePlanner::Form(servers, MakeModels());
+    const auto plan = PipelinePlanner::Plan(servers, MakeModels());
     const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - begin;
     fmt::print("former_{}_servers_ms={:.2f}\nformer_{}_servers_bound_ratio={:.4f}\n", count,
                took.count(), count, plan ? plan->token_rate / plan->token_rate_bound : 0.0);
--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -228,7 +228,7 @@
 
 }  // namespace
 
-Result<PipelinePlan> PipelinePlanner::Form(const std::vector<PlannerServer>& servers,
+Result<PipelinePlan> PipelinePlanner::Plan(const std::vector<PlannerServer>& servers,
                                            const std::vector<PlannerModel>& models) {
   std::vector<double> demands;
   demands.reserve(models.size());
--- a/packages/zinnia_decisions/routing/pipeline_planner.h
+++ b/packages/zinnia_decisions/routing/pipeline_planner.h
@@ -59,7 +59,7 @@
 class PipelinePlanner {
  public:
   /** Fails with kInvalidRequest if a model would not survive the loss of one failure domain. */
-  static Result<PipelinePlan> Form(const std::vector<PlannerServer>& servers,
+  static Result<PipelinePlan> Plan(const std::vector<PlannerServer>& servers,
                                    const std::vector<PlannerModel>& models);
 };
 
--- a/tests/routing/pipeline_planner_test.cc
+++ b/tests/routing/pipeline_planner_test.cc
@@ -41,7 +41,7 @@
 TEST(PipelinePlannerTest, TheLossOfAnyDomainLeavesEveryModelServed) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
-    const auto plan = PipelinePlanner::Form(servers, MakeModels());
+    const auto plan = PipelinePlanner::Plan(servers, MakeModels());
     CHECK_TRUE(plan.has_value());
     std::map<BackendServerName, FailureDomainName> domains;
     for (const PlannerServer& server : servers) {
@@ -63,7 +63,7 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
     const auto models = MakeModels();
-    const auto plan = PipelinePlanner::Form(servers, models);
+    const auto plan = PipelinePlanner::Plan(servers, models);
     CHECK_TRUE(plan.has_value());
     std::size_t placed = 0;
     for (std::size_t model = 0; model < models.size(); ++model) {
@@ -87,7 +87,7 @@
   for (PlannerServer& server : servers) {
     server.failure_domain = "only";
   }
-  const auto plan = PipelinePlanner::Form(servers, MakeModels());
+  const auto plan = PipelinePlanner::Plan(servers, MakeModels());
   CHECK_TRUE(plan.error().kind == ErrorKind::kInvalidRequest);
   STRCMP_CONTAINS("assistant", plan.error().message.c_str());
 }
@@ -96,7 +96,7 @@
 TEST(PipelinePlannerTest, LoadsCompleteOneModelBeforeTheNextBegins) {
   const auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
-  const auto plan = PipelinePlanner::Form(servers, models);
+  const auto plan = PipelinePlanner::Plan(servers, models);
   std::size_t stages_of_first = 0;
   while (plan->loads[stages_of_first].target.model == "drafting") {
     ++stages_of_first;
@@ -108,7 +108,7 @@
 TEST(PipelinePlannerTest, PlansNoLoadForRangesAlreadyLoaded) {
   auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
-  const auto plan = PipelinePlanner::Form(servers, models);
+  const auto plan = PipelinePlanner::Plan(servers, models);
   for (const PlannedLoad& load : plan->loads) {
     std::ranges::find(servers, load.server, &PlannerServer::name)->loaded = load.target;
   }
