--- a/packages/zinnia_decisions/routing/pipeline_planner.cc
+++ b/packages/zinnia_decisions/routing/pipeline_planner.cc
@@ -84,8 +84,8 @@
                                      const std::vector<double>& demands) {
   std::vector<ModelAllocation> allocations;
   allocations.reserve(demands.size());
-  for (const double model_demand : demands) {
-    allocations.push_back({.demand = model_demand});
+  for (const double demand : demands) {
+    allocations.push_back({.demand = demand});
   }
   Servers unallocated;
   unallocated.reserve(servers.size());
