--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -72,14 +72,14 @@
 
 void CompletionChooser::SampleCandidates(const StageContext& context) {
   m_sampled.assign(context.candidates.begin(), context.candidates.end());
-  if (m_sampled.size() <= m_settings.max_compared_servers) {
+  if (m_sampled.size() <= m_settings.compared_servers) {
     return;
   }
-  for (std::size_t drawn = 0; drawn < m_settings.max_compared_servers; ++drawn) {
+  for (std::size_t drawn = 0; drawn < m_settings.compared_servers; ++drawn) {
     const std::size_t other = drawn + RandomBelow(m_random, m_sampled.size() - drawn);
     std::swap(m_sampled[drawn], m_sampled[other]);
   }
-  m_sampled.resize(m_settings.max_compared_servers);
+  m_sampled.resize(m_settings.compared_servers);
 }
 
 std::uint32_t CompletionChooser::PreferredServer(const StageContext& context) const {
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -9,7 +9,7 @@
 /** Settings of CompletionChooser, described in docs/design/routing.md. */
 struct CompletionChooserSettings {
   /** Servers compared per stage. A larger stage is sampled at random. */
-  std::size_t max_compared_servers = 8;
+  std::size_t compared_servers = 8;
   std::size_t max_compared_pipelines = 8;
 
   /** Weight of the slowdown that a new session causes for the sessions already at the server. 0
