--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -34,7 +34,7 @@
 std::vector<std::size_t> CompletionChooser::PipelineOrder(const RouteQuery& query,
                                                           std::size_t count) {
   auto all = IndexedChooser::PipelineOrder(query, count);
-  for (std::size_t drawn = 0; drawn < std::min(m_settings.max_compared_pipelines, count); ++drawn) {
+  for (std::size_t drawn = 0; drawn < std::min(m_settings.compared_pipelines, count); ++drawn) {
     std::swap(all[drawn], all[drawn + RandomBelow(m_random, count - drawn)]);
   }
   return all;
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -10,7 +10,7 @@
 struct CompletionChooserSettings {
   /** Servers compared per stage. A larger stage is sampled at random. */
   std::size_t compared_servers = 8;
-  std::size_t max_compared_pipelines = 8;
+  std::size_t compared_pipelines = 8;
 
   /** Weight of the slowdown that a new session causes for the sessions already at the server. 0
       considers this request only. */
@@ -61,7 +61,7 @@
 
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
-  std::size_t MaxComparedPipelines() const override { return m_settings.max_compared_pipelines; }
+  std::size_t MaxComparedPipelines() const override { return m_settings.compared_pipelines; }
   StageSelection SelectServer(const StageContext& context) override;
   void OnRouteUsed(const Route& route, const RouteQuery& query) override;
   std::string_view Reason() const override {
