--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -107,7 +107,7 @@
   const double step = StepSeconds(server.rates, sessions + 1.0, target_interval);
   const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, target_interval));
   const double per_token =
-      hop.links_per_token + step + m_settings.other_sessions_slowdown_weight * slowdown +
+      hop.links_per_token + step + m_settings.slowdown_of_others * slowdown +
       m_settings.slow_link_penalty *
           std::max(0.0, hop.links_per_token - m_settings.slow_link_threshold_seconds);
   const double prefill =
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -14,7 +14,7 @@
 
   /** Weight of the slowdown that a new session causes for the sessions already at the server. 0
       considers this request only. */
-  double other_sessions_slowdown_weight = 1.0;
+  double slowdown_of_others = 1.0;
 
   /** Target time between tokens. A server is full when it cannot meet it for all its sessions. */
   double target_inter_token_seconds = 0.035;
