--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -103,7 +103,7 @@
   const IndexedServer& server = context.index.Servers()[candidate];
   const auto hop = PredictHop(context.index, server, context.position, context.query);
   const double sessions = ExpectedSessions(context.index, server);
-  const double target_interval = m_settings.target_inter_token_seconds;
+  const double target_interval = m_settings.wanted_between_tokens_seconds;
   const double step = StepSeconds(server.rates, sessions + 1.0, target_interval);
   const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, target_interval));
   const double per_token =
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -17,7 +17,7 @@
   double slowdown_of_others = 1.0;
 
   /** Target time between tokens. A server is full when it cannot meet it for all its sessions. */
-  double target_inter_token_seconds = 0.035;
+  double wanted_between_tokens_seconds = 0.035;
 
   /** Link time per token and hop above which `slow_link_penalty` applies. Without the penalty,
       sessions would be moved from busy servers to links too slow to meet any deadline. */
