--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -21,7 +21,7 @@
 
   /** Link time per token and hop above which `slow_link_penalty` applies. Without the penalty,
       sessions would be moved from busy servers to links too slow to meet any deadline. */
-  double slow_link_threshold_seconds = 0.005;
+  double tolerated_link_seconds = 0.005;
 
   /** Multiplies the link time above the threshold. */
   double slow_link_penalty = 5.0;
