--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -108,7 +108,7 @@
   const double slowdown = sessions * (step - StepSeconds(server.rates, sessions, target_interval));
   const double per_token =
       hop.links_per_token + step + m_settings.slowdown_of_others * slowdown +
-      m_settings.slow_link_penalty *
+      m_settings.weight_of_slow_links *
           std::max(0.0, hop.links_per_token - m_settings.tolerated_link_seconds);
   const double prefill =
       hop.prefill * (probably_cached ? 1.0 - m_settings.cached_prefill_fraction : 1.0);
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -19,12 +19,12 @@
   /** Target time between tokens. A server is full when it cannot meet it for all its sessions. */
   double wanted_between_tokens_seconds = 0.035;
 
-  /** Link time per token and hop above which `slow_link_penalty` applies. Without the penalty,
+  /** Link time per token and hop above which `weight_of_slow_links` applies. Without the penalty,
       sessions would be moved from busy servers to links too slow to meet any deadline. */
   double tolerated_link_seconds = 0.005;
 
   /** Multiplies the link time above the threshold. */
-  double slow_link_penalty = 5.0;
+  double weight_of_slow_links = 5.0;
 
   /** Fraction of the prefill time that a cached prefix is expected to save. */
   double cached_prefill_fraction = 0.5;
