--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -110,8 +110,7 @@
       hop.links_per_token + step + m_settings.slowdown_of_others * slowdown +
       m_settings.weight_of_slow_links *
           std::max(0.0, hop.links_per_token - m_settings.tolerated_link_seconds);
-  const double prefill =
-      hop.prefill * (probably_cached ? 1.0 - m_settings.cached_prefill_fraction : 1.0);
+  const double prefill = hop.prefill * (probably_cached ? 1.0 - m_settings.cached_share : 1.0);
   return prefill + context.query.answer_tokens * per_token;
 }
 
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -27,7 +27,7 @@
   double weight_of_slow_links = 5.0;
 
   /** Fraction of the prefill time that a cached prefix is expected to save. */
-  double cached_prefill_fraction = 0.5;
+  double cached_share = 0.5;
 
   /** Weight of the local estimate of a server's sessions (this chooser's sessions times the number
       of instances, current but coarse) against its load report (complete but stale). */
