--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -116,7 +116,7 @@
 
 double CompletionChooser::ExpectedSessions(const FleetIndex& index,
                                            const IndexedServer& server) const {
-  const double local_weight = m_settings.local_estimate_weight;
+  const double local_weight = m_settings.trust_in_own_sessions;
   const double local_estimate = server.local_load->InFlight() * index.LiveInstances();
   return local_weight * local_estimate + (1.0 - local_weight) * CorrectedSessions(server);
 }
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -31,7 +31,7 @@
 
   /** Weight of the local estimate of a server's sessions (this chooser's sessions times the number
       of instances, current but coarse) against its load report (complete but stale). */
-  double local_estimate_weight = 0.5;
+  double trust_in_own_sessions = 0.5;
 
   /** Each cost is multiplied by a random factor between 1 and 1 + `noise`. */
   double noise = 0.02;
