--- a/packages/zinnia_decisions/routing/completion_chooser.cc
+++ b/packages/zinnia_decisions/routing/completion_chooser.cc
@@ -29,7 +29,7 @@
     : IndexedChooser(clock),
       m_random(random),
       m_settings(settings),
-      m_prefix_history(settings.prefix_history_capacity) {}
+      m_prefix_history(settings.remembered_prefixes) {}
 
 std::vector<std::size_t> CompletionChooser::PipelineOrder(const RouteQuery& query,
                                                           std::size_t count) {
--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -36,7 +36,7 @@
   /** Each cost is multiplied by a random factor between 1 and 1 + `noise`. */
   double noise = 0.02;
 
-  std::size_t prefix_history_capacity = 4096;
+  std::size_t remembered_prefixes = 4096;
 };
 
 /** Chooses the route with the lowest expected completion time plus the slowdown that it causes for
