--- a/packages/zinnia_decisions/routing/completion_chooser.h
+++ b/packages/zinnia_decisions/routing/completion_chooser.h
@@ -6,7 +6,7 @@
 
 namespace zinnia {
 
-/** Settings of CompletionChooser, described in docs/design/routing.md. */
+/** Settings of CompletionChooser, described in docs/operations/routing.md. */
 struct CompletionChooserSettings {
   /** Servers compared per stage. A larger stage is sampled at random. */
   std::size_t compared_servers = 8;
@@ -19,7 +19,7 @@
   /** Target time between tokens. A server is full when it cannot meet it for all its sessions. */
   double wanted_between_tokens_seconds = 0.035;
 
-  /** Link time per token and hop above which `weight_of_slow_links` applies. Without the penalty,
+  /** Link time per token and hop above which `weight_of_slow_links` applies. Without it,
       sessions would be moved from busy servers to links too slow to meet any deadline. */
   double tolerated_link_seconds = 0.005;
 
