--- a/packages/zinnia_decisions/routing/completion_model.cc
+++ b/packages/zinnia_decisions/routing/completion_model.cc
@@ -7,26 +7,26 @@
 namespace zinnia {
 namespace {
 
-/** What a hidden state of one position takes on the wire. */
-constexpr double kStateBytes = 16'384.0;
+/** Size of one token's hidden state on the wire. */
+constexpr double kHiddenStateBytes = 16'384.0;
 constexpr double kTokenBytes = 64.0;
 
-/** Tokens of a full batch, for what an iteration costs whatever is in it. */
-constexpr double kFullBatch = 16.0;
+/** Batch size at which the decode rate applies. */
+constexpr double kFullBatchTokens = 16.0;
 
-/** Part of an empty server's step that does not come from the one token in it. */
-constexpr double kBaseShareOfEmptyStep = 0.7;
+/** Part of an idle server's step time that does not depend on the batch size. */
+constexpr double kFixedShareOfEmptyStep = 0.7;
 
-/** A token arrives in the middle of an iteration on average. */
-constexpr double kIterationsUntilDone = 1.5;
-constexpr double kHighestUse = 0.9;
+/** A token arrives halfway through an iteration on average and completes with the next one. */
+constexpr double kMeanIterationsPerToken = 1.5;
+constexpr double kMaxUtilization = 0.9;
 
 double LinkSeconds(const FleetIndex& index,
                    const IndexedServer& server,
                    HopPosition position,
-                   double positions) {
-  const double out = positions * (position.First() ? kTokenBytes : kStateBytes);
-  const double back = position.Last() ? kTokenBytes : positions * kStateBytes;
+                   double tokens) {
+  const double out = tokens * (position.First() ? kTokenBytes : kHiddenStateBytes);
+  const double back = position.Last() ? kTokenBytes : tokens * kHiddenStateBytes;
   return index.Links().OneWaySeconds(index.OwnDomain(), server.failure_domain, out) +
          index.Links().OneWaySeconds(server.failure_domain, index.OwnDomain(), back);
 }
@@ -47,13 +47,13 @@
 }
 
 double StepSeconds(const ServerRates& rates, double sessions, double between_tokens_seconds) {
-  const double base = kBaseShareOfEmptyStep * rates.base_step_seconds;
-  const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatch;
-  const double use = sessions * per_token / between_tokens_seconds;
-  const double curved = std::min(use, kHighestUse);
-  const double room = 1.0 - curved;
-  const double backlog = (use - curved) * between_tokens_seconds;
-  return kIterationsUntilDone * (base / room + backlog);
+  const double base = kFixedShareOfEmptyStep * rates.base_step_seconds;
+  const double per_token = 1.0 / rates.decode_tokens_per_second - base / kFullBatchTokens;
+  const double utilization = sessions * per_token / between_tokens_seconds;
+  const double clamped_utilization = std::min(utilization, kMaxUtilization);
+  const double idle_fraction = 1.0 - clamped_utilization;
+  const double backlog = (utilization - clamped_utilization) * between_tokens_seconds;
+  return kMeanIterationsPerToken * (base / idle_fraction + backlog);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/routing/indexed_chooser.cc
+++ b/packages/zinnia_decisions/routing/indexed_chooser.cc
@@ -27,58 +27,58 @@
 }  // namespace
 
 Result<RouteChoice> IndexedChooser::Choose(const FleetSnapshot& fleet, const RouteQuery& query) {
-  Refresh(fleet);
+  RefreshIndex(fleet);
   if (!m_index->KnowsModel(query.model)) {
     return MakeError(ErrorKind::kUnknownModel, fmt::format("no model \"{}\"", query.model));
   }
   const auto pipelines = m_index->PipelinesOf(query.model);
   std::optional<Candidate> best;
-  std::size_t usable = 0;
+  std::size_t usable_pipelines = 0;
   for (const std::size_t number : PipelineOrder(query, pipelines.size())) {
     auto candidate = TryPipeline(pipelines[number], query);
-    usable += candidate ? 1 : 0;
+    usable_pipelines += candidate ? 1 : 0;
     if (candidate && (!best || candidate->cost < best->cost)) {
       best = std::move(candidate);
     }
-    if (usable == ComparedPipelines()) {
+    if (usable_pipelines == MaxComparedPipelines()) {
       break;
     }
   }
   if (!best) {
     return NoPipeline(query.model, "pipeline with a usable backend server at every stage");
   }
-  return Describe(MakeRoute(*best, query), query);
+  return MakeChoice(MakeRoute(*best, query), query);
 }
 
 Result<RouteChoice> IndexedChooser::Replace(const FleetSnapshot& fleet,
                                             const Route& route,
                                             std::size_t hop,
                                             const RouteQuery& query) {
-  assert(hop < route.hops.size());  // the caller counts hops from the route that it passes
-  Refresh(fleet);
-  RouteQuery without_old = query;
-  without_old.excluded.insert(route.hops[hop].server);
+  assert(hop < route.hops.size());
+  RefreshIndex(fleet);
+  RouteQuery replacement_query = query;
+  replacement_query.excluded.insert(route.hops[hop].server);
   const IndexedStage holders =
-      m_index->HoldersOf(route.model, route.version, route.hops[hop].layers);
-  const auto pick = TryStage(holders, {hop, route.hops.size()}, without_old);
-  if (!pick) {
+      m_index->ServersHolding(route.model, route.version, route.hops[hop].layers);
+  const auto selection = TryStage(holders, {hop, route.hops.size()}, replacement_query);
+  if (!selection) {
     return NoPipeline(route.model, "other backend server for the lost stage");
   }
   Route replaced = route;
-  replaced.hops[hop].server = m_index->Servers()[pick->server].name;
-  return Describe(std::move(replaced), query);
+  replaced.hops[hop].server = m_index->Servers()[selection->server].name;
+  return MakeChoice(std::move(replaced), query);
 }
 
 void IndexedChooser::OnSent(const Route& route, const RouteQuery& query) {
   for (const Route::Hop& hop : route.hops) {
-    m_own_loads.Of(hop.server).OnSent(m_clock.Now());
+    m_local_loads.Of(hop.server).OnSent(m_clock.Now());
   }
   OnRouteUsed(route, query);
 }
 
 void IndexedChooser::OnFinished(const Route& route, const RouteQuery&) {
   for (const Route::Hop& hop : route.hops) {
-    m_own_loads.Of(hop.server).OnFinished(m_clock.Now());
+    m_local_loads.Of(hop.server).OnFinished(m_clock.Now());
   }
 }
 
@@ -88,24 +88,25 @@
   return all;
 }
 
-std::size_t IndexedChooser::ComparedPipelines() const {
+std::size_t IndexedChooser::MaxComparedPipelines() const {
   return std::numeric_limits<std::size_t>::max();
 }
 
 void IndexedChooser::OnRouteUsed(const Route&, const RouteQuery&) {}
 
 double IndexedChooser::CorrectedSessions(const IndexedServer& server) {
-  const double corrected = server.reported_sessions + server.own->ChangeSince(server.reported_at);
-  return std::max<double>(corrected, server.own->InFlight());
+  const double corrected =
+      server.reported_sessions + server.local_load->ChangeSince(server.reported_at);
+  return std::max<double>(corrected, server.local_load->InFlight());
 }
 
-void IndexedChooser::Refresh(const FleetSnapshot& fleet) {
+void IndexedChooser::RefreshIndex(const FleetSnapshot& fleet) {
   if (m_index != nullptr && fleet.sequence != 0 && fleet.sequence == m_indexed_sequence) {
     return;
   }
-  m_index = std::make_unique<FleetIndex>(fleet, m_own_loads);
+  m_index = std::make_unique<FleetIndex>(fleet, m_local_loads);
   m_indexed_sequence = fleet.sequence;
-  m_own_loads.Forget(
+  m_local_loads.RemoveIdle(
       [&](const BackendServerName& server) { return m_index->Find(server) != nullptr; });
 }
 
@@ -114,31 +115,31 @@
     const RouteQuery& query) {
   Candidate candidate{.pipeline = &pipeline};
   for (std::size_t hop = 0; hop < pipeline.stages.size(); ++hop) {
-    const auto pick = TryStage(pipeline.stages[hop], {hop, pipeline.stages.size()}, query);
-    if (!pick) {
+    const auto selection = TryStage(pipeline.stages[hop], {hop, pipeline.stages.size()}, query);
+    if (!selection) {
       return std::nullopt;
     }
-    candidate.servers.push_back(pick->server);
-    candidate.cost += pick->cost;
+    candidate.servers.push_back(selection->server);
+    candidate.cost += selection->cost;
   }
   return candidate;
 }
 
-std::optional<StagePick> IndexedChooser::TryStage(const IndexedStage& stage,
-                                                  HopPosition position,
-                                                  const RouteQuery& query) {
-  KeepAllowed(stage.live, query);
+std::optional<StageSelection> IndexedChooser::TryStage(const IndexedStage& stage,
+                                                       HopPosition position,
+                                                       const RouteQuery& query) {
+  FilterExcluded(stage.live, query);
   if (m_allowed.empty()) {
-    KeepAllowed(stage.suspect, query);
+    FilterExcluded(stage.suspect, query);
   }
   if (m_allowed.empty()) {
     return std::nullopt;
   }
-  return PickServer({*m_index, query, stage.layers, position, m_allowed});
+  return SelectServer({*m_index, query, stage.layers, position, m_allowed});
 }
 
-void IndexedChooser::KeepAllowed(const std::vector<std::uint32_t>& servers,
-                                 const RouteQuery& query) {
+void IndexedChooser::FilterExcluded(const std::vector<std::uint32_t>& servers,
+                                    const RouteQuery& query) {
   m_allowed.clear();
   for (const std::uint32_t server : servers) {
     if (query.excluded.empty() || !query.excluded.contains(m_index->Servers()[server].name)) {
@@ -157,7 +158,7 @@
   return route;
 }
 
-RouteChoice IndexedChooser::Describe(Route route, const RouteQuery& query) const {
+RouteChoice IndexedChooser::MakeChoice(Route route, const RouteQuery& query) const {
   double first_token = 0.0;
   double between_tokens = 0.0;
   for (std::size_t hop = 0; hop < route.hops.size(); ++hop) {
@@ -172,8 +173,8 @@
     between_tokens += per_token;
   }
   return {.route = std::move(route),
-          .expected_first_token = FromSeconds(first_token),
-          .expected_between_tokens = FromSeconds(between_tokens),
+          .expected_time_to_first_token = FromSeconds(first_token),
+          .expected_inter_token_latency = FromSeconds(between_tokens),
           .reason = std::string(Reason())};
 }
 
--- a/packages/zinnia_decisions/routing/least_loaded_chooser.h
+++ b/packages/zinnia_decisions/routing/least_loaded_chooser.h
@@ -4,14 +4,14 @@
 
 namespace zinnia {
 
-/** Takes the server with the fewest sessions at each stage, whatever its kind and its links. A
-    baseline for measurements. */
+/** Selects the server with the fewest sessions at each stage, regardless of its speed and links. A
+    baseline for benchmarks. */
 class LeastLoadedChooser final : public IndexedChooser {
  public:
   using IndexedChooser::IndexedChooser;
 
  protected:
-  StagePick PickServer(const StageQuestion& question) override;
+  StageSelection SelectServer(const StageContext& context) override;
   std::string_view Reason() const override { return "fewest sessions"; }
 };
 
--- a/packages/zinnia_decisions/routing/load_order.cc
+++ b/packages/zinnia_decisions/routing/load_order.cc
@@ -8,21 +8,21 @@
 namespace zinnia {
 namespace {
 
-/** Loads of one stage that are still to do, and the domains that hold it already. */
+/** Outstanding loads of one stage, and the failure domains that already hold it. */
 struct StageProgress {
   LoadedRange range;
   double bytes_per_load = 0.0;
-  std::vector<const FormableServer*> missing;
+  std::vector<const PlannerServer*> missing;
   std::size_t holders = 0;
-  std::set<FailureDomainName> held_in;
+  std::set<FailureDomainName> holder_domains;
 
-  void TakeOne(std::vector<PlannedLoad>& loads) {
-    const auto new_domain = std::ranges::find_if(missing, [this](const FormableServer* server) {
-      return !held_in.contains(server->failure_domain);
+  void ScheduleNextLoad(std::vector<PlannedLoad>& loads) {
+    const auto new_domain = std::ranges::find_if(missing, [this](const PlannerServer* server) {
+      return !holder_domains.contains(server->failure_domain);
     });
     const auto next = new_domain == missing.end() ? missing.begin() : new_domain;
     loads.push_back({(*next)->name, range, bytes_per_load});
-    held_in.insert((*next)->failure_domain);
+    holder_domains.insert((*next)->failure_domain);
     ++holders;
     missing.erase(next);
   }
@@ -35,8 +35,8 @@
     return std::ranges::all_of(stages, [](const auto& stage) { return stage.missing.empty(); });
   }
 
-  /** Complete copies, counting only stages that can still grow. */
-  std::size_t Copies() const {
+  /** Number of complete copies, over the stages with outstanding loads. */
+  std::size_t CompleteCopies() const {
     std::size_t copies = SIZE_MAX;
     for (const StageProgress& stage : stages) {
       if (!stage.missing.empty()) {
@@ -49,50 +49,50 @@
   double BytesToNextCopy() const {
     double bytes = 0.0;
     for (const StageProgress& stage : stages) {
-      const bool needed = !stage.missing.empty() && stage.holders == Copies();
+      const bool needed = !stage.missing.empty() && stage.holders == CompleteCopies();
       bytes += needed ? stage.bytes_per_load : 0.0;
     }
     return bytes;
   }
 
-  void TakeNextCopy(std::vector<PlannedLoad>& loads) {
-    const std::size_t copies = Copies();
+  void ScheduleNextCopy(std::vector<PlannedLoad>& loads) {
+    const std::size_t copies = CompleteCopies();
     for (StageProgress& stage : stages) {
       if (!stage.missing.empty() && stage.holders == copies) {
-        stage.TakeOne(loads);
+        stage.ScheduleNextLoad(loads);
       }
     }
   }
 };
 
-ModelProgress ProgressOf(const std::map<BackendServerName, const FormableServer*>& servers,
-                         const FormableModel& model,
+ModelProgress ProgressOf(const std::map<BackendServerName, const PlannerServer*>& servers,
+                         const PlannerModel& model,
                          const Pipeline& pipeline) {
   ModelProgress progress;
   for (const PipelineStage& stage : pipeline.stages) {
-    StageProgress of_stage{.range = {model.name, model.version, stage.layers},
-                           .bytes_per_load = model.bytes_per_layer * stage.layers.Count()};
+    StageProgress stage_progress{.range = {model.name, model.version, stage.layers},
+                                 .bytes_per_load = model.bytes_per_layer * stage.layers.Count()};
     for (const BackendServerName& name : stage.replicas) {
-      const FormableServer& server = *servers.at(name);
-      if (server.loaded == of_stage.range) {
-        ++of_stage.holders;
-        of_stage.held_in.insert(server.failure_domain);
+      const PlannerServer& server = *servers.at(name);
+      if (server.loaded == stage_progress.range) {
+        ++stage_progress.holders;
+        stage_progress.holder_domains.insert(server.failure_domain);
       } else {
-        of_stage.missing.push_back(&server);
+        stage_progress.missing.push_back(&server);
       }
     }
-    progress.stages.push_back(std::move(of_stage));
+    progress.stages.push_back(std::move(stage_progress));
   }
   return progress;
 }
 
 }  // namespace
 
-std::vector<PlannedLoad> OrderLoads(const std::vector<FormableServer>& servers,
-                                    const std::vector<FormableModel>& models,
+std::vector<PlannedLoad> OrderLoads(const std::vector<PlannerServer>& servers,
+                                    const std::vector<PlannerModel>& models,
                                     const std::vector<Pipeline>& pipelines) {
-  std::map<BackendServerName, const FormableServer*> by_name;
-  for (const FormableServer& server : servers) {
+  std::map<BackendServerName, const PlannerServer*> by_name;
+  for (const PlannerServer& server : servers) {
     by_name[server.name] = &server;
   }
   std::vector<ModelProgress> all;
@@ -106,9 +106,9 @@
       return loads;
     }
     const auto next = std::ranges::min_element(all, {}, [](const ModelProgress& progress) {
-      return std::pair(progress.Copies(), progress.BytesToNextCopy());
+      return std::pair(progress.CompleteCopies(), progress.BytesToNextCopy());
     });
-    next->TakeNextCopy(loads);
+    next->ScheduleNextCopy(loads);
   }
 }
 
--- a/packages/zinnia_decisions/routing/own_loads.cc
+++ b/packages/zinnia_decisions/routing/local_server_loads.cc
@@ -1,25 +1,25 @@
-#include "zinnia_decisions/routing/own_loads.h"
+#include "zinnia_decisions/routing/local_server_loads.h"
 
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kRememberedChanges = 256;
+constexpr std::size_t kMaxRecordedChanges = 256;
 
 }  // namespace
 
-void OwnLoad::OnSent(TimePoint now) {
+void LocalServerLoad::OnSent(TimePoint now) {
   ++m_in_flight;
-  Remember(now, 1);
+  RecordChange(now, 1);
 }
 
-void OwnLoad::OnFinished(TimePoint now) {
+void LocalServerLoad::OnFinished(TimePoint now) {
   if (m_in_flight > 0) {
     --m_in_flight;
-    Remember(now, -1);
+    RecordChange(now, -1);
   }
 }
 
-double OwnLoad::ChangeSince(TimePoint since) {
+double LocalServerLoad::ChangeSince(TimePoint since) {
   while (!m_changes.empty() && m_changes.front().first <= since) {
     m_changes.pop_front();
   }
@@ -30,9 +30,9 @@
   return change;
 }
 
-void OwnLoad::Remember(TimePoint now, int change) {
+void LocalServerLoad::RecordChange(TimePoint now, int change) {
   m_changes.emplace_back(now, change);
-  if (m_changes.size() > kRememberedChanges) {
+  if (m_changes.size() > kMaxRecordedChanges) {
     m_changes.pop_front();
   }
 }
--- a/packages/zinnia_decisions/routing/own_loads.h
+++ b/packages/zinnia_decisions/routing/local_server_loads.h
@@ -11,42 +11,42 @@
 
 namespace zinnia {
 
-/** What this chooser itself has at one backend server: sessions in flight, and its latest sends
-    and finishes with their times, so that a report can be corrected by what came after it. */
-class OwnLoad {
+/** This chooser's sessions in flight at one backend server, with the times of the latest
+    changes, by which a stale load report is corrected. */
+class LocalServerLoad {
  public:
   void OnSent(TimePoint now);
   void OnFinished(TimePoint now);
   std::uint32_t InFlight() const { return m_in_flight; }
 
-  /** Sessions sent less sessions finished after `since`. Forgets what is older. */
+  /** Returns sessions sent minus sessions finished after `since`, and drops older changes. */
   double ChangeSince(TimePoint since);
 
  private:
-  void Remember(TimePoint now, int change);
+  void RecordChange(TimePoint now, int change);
 
   std::uint32_t m_in_flight = 0;
   std::deque<std::pair<TimePoint, int>> m_changes;
 };
 
-/** OwnLoad of every backend server in view. Entries keep their address while they exist.
+/** The LocalServerLoad of each known backend server. Addresses of entries are stable.
 
     @see FleetIndex
 */
-class OwnLoads {
+class LocalServerLoads {
  public:
-  OwnLoad& Of(const BackendServerName& server) { return m_loads[server]; }
+  LocalServerLoad& Of(const BackendServerName& server) { return m_loads[server]; }
 
-  /** Drops entries of idle servers that `still_known` does not name. */
+  /** Removes entries without sessions in flight for which `still_known` returns false. */
   template <typename Predicate>
-  void Forget(Predicate still_known) {
+  void RemoveIdle(Predicate still_known) {
     std::erase_if(m_loads, [&](const auto& entry) {
       return entry.second.InFlight() == 0 && !still_known(entry.first);
     });
   }
 
  private:
-  std::unordered_map<BackendServerName, OwnLoad> m_loads;
+  std::unordered_map<BackendServerName, LocalServerLoad> m_loads;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/routing/prefix_memory.h
+++ b/packages/zinnia_decisions/routing/prefix_history.h
@@ -7,17 +7,17 @@
 
 namespace zinnia {
 
-/** Remembers which backend servers lately got a prompt with a certain prefix, and so probably hold
-    it in their cache. Bounded: the prefix used longest ago is forgotten first, and of each prefix
-    only the latest few servers are kept.
+/** Records the backend servers to which each prompt prefix was sent recently and which therefore
+    probably have it cached. Evicts the prefix recorded longest ago beyond `capacity`, and keeps
+    the latest few servers per prefix.
 
-    Servers are named by the hash of their name.
+    Servers are identified by the hash of their name.
 */
-class PrefixMemory {
+class PrefixHistory {
  public:
-  explicit PrefixMemory(std::size_t capacity) : m_capacity(capacity) {}
+  explicit PrefixHistory(std::size_t capacity) : m_capacity(capacity) {}
 
-  void Remember(std::uint64_t prefix, std::uint64_t server);
+  void Record(std::uint64_t prefix, std::uint64_t server);
   bool WasSentTo(std::uint64_t prefix, std::uint64_t server) const;
   std::size_t Size() const { return m_entries.size(); }
 
@@ -29,7 +29,7 @@
 
   std::size_t m_capacity;
   std::list<Entry> m_entries;
-  std::unordered_map<std::uint64_t, std::list<Entry>::iterator> m_by_prefix;
+  std::unordered_map<std::uint64_t, std::list<Entry>::iterator> m_entry_by_prefix;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/routing/round_robin_chooser.h
+++ b/packages/zinnia_decisions/routing/round_robin_chooser.h
@@ -7,15 +7,15 @@
 
 namespace zinnia {
 
-/** Takes pipelines and servers by turns, whatever their load. A baseline for measurements. */
+/** Selects pipelines and servers in turn, regardless of load. A baseline for benchmarks. */
 class RoundRobinChooser final : public IndexedChooser {
  public:
   using IndexedChooser::IndexedChooser;
 
  protected:
   std::vector<std::size_t> PipelineOrder(const RouteQuery& query, std::size_t count) override;
-  std::size_t ComparedPipelines() const override { return 1; }
-  StagePick PickServer(const StageQuestion& question) override;
+  std::size_t MaxComparedPipelines() const override { return 1; }
+  StageSelection SelectServer(const StageContext& context) override;
   std::string_view Reason() const override { return "next in turn"; }
 
  private:
--- a/packages/zinnia_decisions/routing/server_rates.cc
+++ b/packages/zinnia_decisions/routing/server_rates.cc
@@ -5,15 +5,15 @@
 namespace zinnia {
 namespace {
 
-/** Layers times tokens a second of the fastest kind at full batch. */
+/** Decode rate of the fastest accelerator at full batch, in layers times tokens per second. */
 constexpr double kNominalLayerTokensPerSecond = 24'000.0;
 
-/** A step of an empty server takes as long as this many tokens at full batch, because reading the
-    weights is not shared. */
+/** Step time of an idle server in tokens at full batch. A single token bears the whole cost of
+    reading the weights. */
 constexpr double kEmptyStepTokens = 3.0;
-constexpr double kPrefillToDecode = 8.0;
+constexpr double kPrefillToDecodeRatio = 8.0;
 
-double SpeedOf(AcceleratorKind kind) {
+double RelativeSpeed(AcceleratorKind kind) {
   switch (kind) {
     case AcceleratorKind::kLarge:
       return 1.0;
@@ -36,10 +36,11 @@
 ServerRates RatesOf(const ServerView& view) {
   const double layers =
       view.server.loaded ? std::max<double>(1.0, view.server.loaded->layers.Count()) : 1.0;
-  const double speed = SpeedOf(view.server.accelerator);
+  const double speed = RelativeSpeed(view.server.accelerator);
   const double decode =
       MeasuredOr(view.load.decode_tokens_per_second, kNominalLayerTokensPerSecond * speed / layers);
-  const double prefill = MeasuredOr(view.load.prefill_tokens_per_second, kPrefillToDecode * decode);
+  const double prefill =
+      MeasuredOr(view.load.prefill_tokens_per_second, kPrefillToDecodeRatio * decode);
   const double measured_step = std::chrono::duration<double>(view.load.empty_step_time).count();
   return {.base_step_seconds = MeasuredOr(measured_step, kEmptyStepTokens / decode),
           .decode_tokens_per_second = decode * view.weight,
--- a/tests/routing/pipeline_former_test.cc
+++ b/tests/routing/pipeline_planner_test.cc
@@ -6,18 +6,18 @@
 
 #include "zinnia_base/random/random_source.h"
 #include "zinnia_decisions/routing/load_order.h"
-#include "zinnia_decisions/routing/pipeline_former.h"
+#include "zinnia_decisions/routing/pipeline_planner.h"
 
 #include <CppUTest/TestHarness.h>
 
 namespace zinnia {
 namespace {
 
-std::vector<FormableServer> MakeServers(std::size_t count, std::uint64_t seed) {
+std::vector<PlannerServer> MakeServers(std::size_t count, std::uint64_t seed) {
   constexpr double kRates[] = {1'000.0, 620.0, 400.0};
   constexpr std::uint32_t kMemory[] = {32, 24, 20};
   RandomSource random(seed);
-  std::vector<FormableServer> servers;
+  std::vector<PlannerServer> servers;
   for (std::size_t number = 0; number < count; ++number) {
     const std::size_t kind = RandomBelow(random, 3);
     servers.push_back({"server-" + std::to_string(number), "domain-" + std::to_string(number % 3),
@@ -26,7 +26,7 @@
   return servers;
 }
 
-std::vector<FormableModel> MakeModels() {
+std::vector<PlannerModel> MakeModels() {
   std::vector<double> unequal(48, 1.0);
   std::fill(unequal.begin(), unequal.begin() + 8, 1.5);
   return {{"assistant", "v1", unequal, 0.7, 1e9},
@@ -35,36 +35,35 @@
 
 }  // namespace
 
-TEST_GROUP(PipelineFormers){};
+TEST_GROUP(PipelinePlannerTest){};
 
-// Symptom: a model is gone when one failure domain is. All holders of one of its stages were in
-// that domain. Cause: layer ranges are given out by rate only.
-TEST(PipelineFormers, TheLossOfAnyDomainLeavesEveryModelServed) {
+// Guards against a stage whose servers are all in one failure domain.
+TEST(PipelinePlannerTest, TheLossOfAnyDomainLeavesEveryModelServed) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
-    const auto plan = PipelineFormer::Form(servers, MakeModels());
+    const auto plan = PipelinePlanner::Plan(servers, MakeModels());
     CHECK_TRUE(plan.has_value());
     std::map<BackendServerName, FailureDomainName> domains;
-    for (const FormableServer& server : servers) {
+    for (const PlannerServer& server : servers) {
       domains[server.name] = server.failure_domain;
     }
     for (const Pipeline& pipeline : plan->pipelines) {
       for (const PipelineStage& stage : pipeline.stages) {
-        std::set<FailureDomainName> in;
+        std::set<FailureDomainName> stage_domains;
         for (const BackendServerName& replica : stage.replicas) {
-          in.insert(domains.at(replica));
+          stage_domains.insert(domains.at(replica));
         }
-        CHECK_TRUE(in.size() >= 2);
+        CHECK_TRUE(stage_domains.size() >= 2);
       }
     }
   }
 }
 
-TEST(PipelineFormers, CoversEveryLayerOnceWithinMemoryAndNearTheBound) {
+TEST(PipelinePlannerTest, CoversEveryLayerOnceWithinMemoryAndNearTheBound) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const auto servers = MakeServers(30, seed);
     const auto models = MakeModels();
-    const auto plan = PipelineFormer::Form(servers, models);
+    const auto plan = PipelinePlanner::Plan(servers, models);
     CHECK_TRUE(plan.has_value());
     std::size_t placed = 0;
     for (std::size_t model = 0; model < models.size(); ++model) {
@@ -83,22 +82,21 @@
   }
 }
 
-TEST(PipelineFormers, SaysWhichModelCannotSurviveTheLossOfADomain) {
+TEST(PipelinePlannerTest, ErrorNamesTheModelThatCannotSurviveTheLossOfADomain) {
   auto servers = MakeServers(30, 1);
-  for (FormableServer& server : servers) {
+  for (PlannerServer& server : servers) {
     server.failure_domain = "only";
   }
-  const auto plan = PipelineFormer::Form(servers, MakeModels());
+  const auto plan = PipelinePlanner::Plan(servers, MakeModels());
   CHECK_TRUE(plan.error().kind == ErrorKind::kInvalidRequest);
   STRCMP_CONTAINS("assistant", plan.error().message.c_str());
 }
 
-// Symptom: after a rollout over a slow weight store nothing is served for minutes, though half of
-// all bytes are there. Each model has some of its stages. Cause: loads in no useful order.
-TEST(PipelineFormers, LoadsCompleteOneModelBeforeTheNextBegins) {
+// Guards against a rollout over a slow weight store that leaves every model incomplete for long.
+TEST(PipelinePlannerTest, LoadsCompleteOneModelBeforeTheNextBegins) {
   const auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
-  const auto plan = PipelineFormer::Form(servers, models);
+  const auto plan = PipelinePlanner::Plan(servers, models);
   std::size_t stages_of_first = 0;
   while (plan->loads[stages_of_first].target.model == "drafting") {
     ++stages_of_first;
@@ -107,12 +105,12 @@
   LONGS_EQUAL(servers.size(), plan->loads.size());
 }
 
-TEST(PipelineFormers, LoadsNothingThatIsThere) {
+TEST(PipelinePlannerTest, PlansNoLoadForRangesAlreadyLoaded) {
   auto servers = MakeServers(30, 1);
   const auto models = MakeModels();
-  const auto plan = PipelineFormer::Form(servers, models);
+  const auto plan = PipelinePlanner::Plan(servers, models);
   for (const PlannedLoad& load : plan->loads) {
-    std::ranges::find(servers, load.server, &FormableServer::name)->loaded = load.target;
+    std::ranges::find(servers, load.server, &PlannerServer::name)->loaded = load.target;
   }
   LONGS_EQUAL(0, OrderLoads(servers, models, plan->pipelines).size());
 }
