--- a/packages/zinnia_adapters/fleet_news/news_client.cc
+++ b/packages/zinnia_adapters/fleet_news/news_client.cc
@@ -65,7 +65,7 @@
   Impl(kj::AsyncIoContext& io, const Clock& clock) : m_io(io), m_clock(clock), m_tasks(*this) {}
 
   void Exchange(const NetworkAddress& address,
-                const NewsReport& report,
+                const InstanceReport& report,
                 std::function<void(Result<MirrorDelta>)> callback);
 
  private:
@@ -99,7 +99,7 @@
 }
 
 void NewsClient::Impl::Exchange(const NetworkAddress& address,
-                                const NewsReport& report,
+                                const InstanceReport& report,
                                 std::function<void(Result<MirrorDelta>)> callback) {
   Peer& peer = m_peers[address];
   if (m_clock.Now() < peer.not_before || peer.in_flight >= kMostCallsInFlight) {
@@ -143,7 +143,7 @@
 NewsClient::~NewsClient() = default;
 
 void NewsClient::Exchange(const NetworkAddress& peer,
-                          const NewsReport& report,
+                          const InstanceReport& report,
                           std::function<void(Result<MirrorDelta>)> callback) {
   m_impl->Exchange(peer, report, std::move(callback));
 }
--- a/packages/zinnia_adapters/fleet_news/news_client.h
+++ b/packages/zinnia_adapters/fleet_news/news_client.h
@@ -20,7 +20,7 @@
   ~NewsClient() override;
 
   void Exchange(const NetworkAddress& peer,
-                const NewsReport& report,
+                const InstanceReport& report,
                 std::function<void(Result<MirrorDelta>)> callback) override;
 
  private:
--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-void Write(wire::NewsReport::Builder to, const NewsReport& report) {
+void Write(wire::NewsReport::Builder to, const InstanceReport& report) {
   auto instance = to.initInstance();
   instance.setName(report.instance.name);
   instance.setIp(report.instance.peer_address.ip);
@@ -109,8 +109,8 @@
   }
 }
 
-NewsReport Read(wire::NewsReport::Reader from) {
-  NewsReport report;
+InstanceReport Read(wire::NewsReport::Reader from) {
+  InstanceReport report;
   const auto instance = from.getInstance();
   report.instance.name = ToText(instance.getName());
   report.instance.peer_address = {ToText(instance.getIp()), instance.getPort()};
--- a/packages/zinnia_adapters/fleet_news/news_codec.h
+++ b/packages/zinnia_adapters/fleet_news/news_codec.h
@@ -1,14 +1,14 @@
 #pragma once
 
 #include "zinnia_adapters/fleet_news/fleet_news.capnp.h"
+#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
 #include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
-#include "zinnia_decisions/forwarding/beliefs/news_report.h"
 
 /** Between the messages of fleet_news.capnp and the core's types. */
 namespace zinnia::news_codec {
 
-void Write(wire::NewsReport::Builder to, const NewsReport& report);
-NewsReport Read(wire::NewsReport::Reader from);
+void Write(wire::NewsReport::Builder to, const InstanceReport& report);
+InstanceReport Read(wire::NewsReport::Reader from);
 void Write(wire::NewsDelta::Builder to, const MirrorDelta& delta);
 MirrorDelta Read(wire::NewsDelta::Reader from);
 
--- a/packages/zinnia_decisions/forwarding/beliefs/news_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -22,7 +22,7 @@
 };
 
 /** What an instance tells a peer a few times a second. */
-struct NewsReport {
+struct InstanceReport {
   Instance instance;
 
   /** How far it knows the store's records. */
--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
@@ -125,7 +125,7 @@
   const std::vector<Instance>& members = m_relays.Members();
   const std::size_t parts = IntervalsBetweenMemberReports();
   const std::size_t count = (members.size() + parts - 1) / parts;
-  const NewsReport report = MakeReport(Recipient::kMember);
+  const InstanceReport report = MakeReport(Recipient::kMember);
   for (std::size_t told = 0; told < count; ++told) {
     const Instance& member = members[m_next_member++ % members.size()];
     Send(member, KindOf(member), report);
@@ -133,7 +133,7 @@
 }
 
 void NewsExchange::TellMembers() {
-  const NewsReport report = MakeReport(Recipient::kMember);
+  const InstanceReport report = MakeReport(Recipient::kMember);
   for (const Instance& member : m_relays.Members()) {
     Send(member, KindOf(member), report);
   }
@@ -149,7 +149,7 @@
 }
 
 void NewsExchange::TellRelays(Recipient recipient, const std::vector<Instance>& relays) {
-  const NewsReport report = MakeReport(recipient);
+  const InstanceReport report = MakeReport(recipient);
   for (const Instance& relay : relays) {
     Send(relay, recipient, report);
   }
@@ -181,7 +181,7 @@
   return AgeOf(m_steady_seen_at, m_clock.Now());
 }
 
-void NewsExchange::AddLoads(Recipient recipient, NewsReport& report) {
+void NewsExchange::AddLoads(Recipient recipient, InstanceReport& report) {
   const FailureDomainName& own = m_instances.Self().failure_domain;
   if (!m_relays.IsRelay()) {
     report.uses = m_uses;
@@ -204,11 +204,11 @@
   }
 }
 
-NewsReport NewsExchange::MakeReport(Recipient recipient) {
+InstanceReport NewsExchange::MakeReport(Recipient recipient) {
   const TimePoint now = m_clock.Now();
   std::erase_if(m_stalls,
                 [now](const auto& stall) { return now - stall.second > kStallNewsLifetime; });
-  NewsReport report;
+  InstanceReport report;
   report.instance = m_instances.Self();
   report.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
   AddLoads(recipient, report);
@@ -229,7 +229,7 @@
   return report;
 }
 
-void NewsExchange::Send(const Instance& peer, Recipient recipient, NewsReport report) {
+void NewsExchange::Send(const Instance& peer, Recipient recipient, InstanceReport report) {
   const FailureDomainName& own = m_instances.Self().failure_domain;
   const auto sum = report.domain_uses.find(own);
   if (sum != report.domain_uses.end() && recipient != Recipient::kFarRelay) {
@@ -255,7 +255,7 @@
   }
   m_fetch_began_at = now;
   const std::uint64_t number = ++m_fetch_number;
-  NewsReport report;
+  InstanceReport report;
   report.instance = m_instances.Self();
   report.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
   report.wants_records = true;
@@ -322,7 +322,7 @@
   return m_steady_seen_at && m_clock.Now() - *m_steady_seen_at < kSteadyNewsLifetime;
 }
 
-void NewsExchange::TakeInLoads(const NewsReport& report, bool is_near) {
+void NewsExchange::TakeInLoads(const InstanceReport& report, bool is_near) {
   if (is_near) {
     m_member_loads.Set(report.instance.name, report.uses);
   }
@@ -339,7 +339,7 @@
   }
 }
 
-void NewsExchange::TakeInStalls(const NewsReport& report) {
+void NewsExchange::TakeInStalls(const InstanceReport& report) {
   std::vector<StallNews> news;
   for (const StallNews& stall : report.stalls) {
     if (!m_stalls.contains(stall.server)) {
@@ -356,7 +356,7 @@
   }
 }
 
-MirrorDelta NewsExchange::OnNews(const NewsReport& report) {
+MirrorDelta NewsExchange::OnNews(const InstanceReport& report) {
   const TimePoint now = m_clock.Now();
   if (report.leaving) {
     m_instances.OnLeft(report.instance.name);
--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/news_exchange.h
@@ -9,8 +9,8 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_base/time/scheduler.h"
+#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
 #include "zinnia_decisions/forwarding/beliefs/member_loads.h"
-#include "zinnia_decisions/forwarding/beliefs/news_report.h"
 #include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
 #include "zinnia_decisions/ports/news_transport.h"
 
@@ -118,7 +118,7 @@
   /** Whether some peer said lately that the store serves it without failures. */
   bool SomePeerIsSteady() const;
 
-  MirrorDelta OnNews(const NewsReport& report) override;
+  MirrorDelta OnNews(const InstanceReport& report) override;
 
  private:
   enum class Recipient { kMember, kOwnRelay, kFarRelay };
@@ -126,13 +126,13 @@
   void Tick();
   void AskSeeds();
   void TellAsRelay();
-  NewsReport MakeReport(Recipient recipient);
-  void AddLoads(Recipient recipient, NewsReport& report);
+  InstanceReport MakeReport(Recipient recipient);
+  void AddLoads(Recipient recipient, InstanceReport& report);
   void TellMembersInTurn();
   void TellMembers();
   void TellOwnDomain();
   void TellRelays(Recipient recipient, const std::vector<Instance>& relays);
-  void Send(const Instance& peer, Recipient recipient, NewsReport report);
+  void Send(const Instance& peer, Recipient recipient, InstanceReport report);
   Recipient KindOf(const Instance& peer) const;
 
   /** How long a relay, or the word of a reader, may keep away before this instance helps itself. */
@@ -140,8 +140,8 @@
   std::uint64_t IntervalsBetweenMemberReports() const;
   std::optional<std::chrono::milliseconds> ReaderAge() const;
   std::optional<std::chrono::milliseconds> SteadyAge() const;
-  void TakeInLoads(const NewsReport& report, bool is_near);
-  void TakeInStalls(const NewsReport& report);
+  void TakeInLoads(const InstanceReport& report, bool is_near);
+  void TakeInStalls(const InstanceReport& report);
 
   /** Called when `peer` turns out to know the store's records up to `revision`. */
   void FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision);
--- a/packages/zinnia_decisions/ports/news_transport.h
+++ b/packages/zinnia_decisions/ports/news_transport.h
@@ -3,8 +3,8 @@
 #include <functional>
 
 #include "zinnia_base/errors/result.h"
+#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
 #include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
-#include "zinnia_decisions/forwarding/beliefs/news_report.h"
 #include "zinnia_world/fleet/network_address.h"
 
 namespace zinnia {
@@ -18,7 +18,7 @@
       want records, the answer has none and says only how far the peer knows them: it must not be
       merged. */
   virtual void Exchange(const NetworkAddress& peer,
-                        const NewsReport& report,
+                        const InstanceReport& report,
                         std::function<void(Result<MirrorDelta>)> callback) = 0;
 };
 
@@ -26,7 +26,7 @@
 class NewsListener {
  public:
   virtual ~NewsListener() = default;
-  virtual MirrorDelta OnNews(const NewsReport& report) = 0;
+  virtual MirrorDelta OnNews(const InstanceReport& report) = 0;
 };
 
 }  // namespace zinnia
--- a/tests/adapters/news_codec_test.cc
+++ b/tests/adapters/news_codec_test.cc
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-TEST_GROUP(NewsCodec){
-    static NewsReport SendOver(const NewsReport& report){capnp::MallocMessageBuilder message;
+TEST_GROUP(NewsCodec){static InstanceReport SendOver(const InstanceReport& report){
+    capnp::MallocMessageBuilder message;
 auto written = message.initRoot<wire::NewsReport>();
 news_codec::Write(written, report);
 return news_codec::Read(written.asReader());
@@ -21,7 +21,7 @@
 // instead of 268. Sequence: each knows its own size from its settings and the others' from news.
 // Cause: sizes rounded on the way, so that each takes itself for the largest.
 TEST(NewsCodec, SizesOfMachinesArriveAsTheyWere) {
-  NewsReport report;
+  InstanceReport report;
   report.instance.name = "a";
   report.instance.failure_domain = "d";
   report.instance.cores = 0.12;
@@ -30,17 +30,17 @@
 }
 
 TEST(NewsCodec, AgesOfWordsArriveAndMayBeUnknown) {
-  NewsReport report;
+  InstanceReport report;
   report.reader_age = milliseconds(730);
-  const NewsReport read = SendOver(report);
+  const InstanceReport read = SendOver(report);
   CHECK_EQUAL(730, read.reader_age->count());
   CHECK_FALSE(read.steady_age.has_value());
 }
 
 TEST(NewsCodec, LimitsOfServersAndTheirEndArrive) {
-  NewsReport report;
+  InstanceReport report;
   report.server_limits = {{"a", 11.2, milliseconds(40)}, {"b", std::nullopt, milliseconds(0)}};
-  const NewsReport read = SendOver(report);
+  const InstanceReport read = SendOver(report);
   CHECK_EQUAL(2U, read.server_limits.size());
   STRCMP_EQUAL("a", read.server_limits[0].server.c_str());
   DOUBLES_EQUAL(11.2, read.server_limits[0].requests_per_second.value(), 1e-9);
@@ -53,15 +53,15 @@
   capnp::MallocMessageBuilder message;
   auto older = message.initRoot<wire::NewsReport>();
   older.setIsReader(true);
-  const NewsReport read = news_codec::Read(older.asReader());
+  const InstanceReport read = news_codec::Read(older.asReader());
   CHECK_EQUAL(0, read.reader_age->count());
   CHECK_FALSE(read.steady_age.has_value());
 }
 
 TEST(NewsCodec, WhatAServerSaidOfItselfArrives) {
-  NewsReport report;
+  InstanceReport report;
   report.server_news = {{"s", {20, 40}, false}, {"t", {}, true}};
-  const NewsReport read = SendOver(report);
+  const InstanceReport read = SendOver(report);
   CHECK_EQUAL(2U, read.server_news.size());
   CHECK_TRUE(read.server_news[0].layers == (LayerRange{20, 40}));
   CHECK_FALSE(read.server_news[0].leaving);
@@ -70,7 +70,7 @@
 }
 
 TEST(NewsCodec, SumsArriveByFailureDomain) {
-  NewsReport report;
+  InstanceReport report;
   report.domain_uses["x"]["s"] = {3, 12.5, 1};
   CHECK_TRUE(SendOver(report).domain_uses == report.domain_uses);
 }
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -37,7 +37,7 @@
   };
   struct Transport final : NewsTransport {
     void Exchange(const NetworkAddress&,
-                  const NewsReport&,
+                  const InstanceReport&,
                   std::function<void(Result<MirrorDelta>)>) override {}
   };
   struct Sink final : NewsSink {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -14,7 +14,7 @@
 TEST_GROUP(News) {
   struct Transport final : NewsTransport {
     void Exchange(const NetworkAddress& peer,
-                  const NewsReport& report,
+                  const InstanceReport& report,
                   std::function<void(Result<MirrorDelta>)> callback) override {
       sent.emplace_back(peer, report);
       if (report.wants_records && answers_to_fetches) {
@@ -23,7 +23,7 @@
         callback(*answer);
       }
     }
-    std::vector<std::pair<NetworkAddress, NewsReport>> sent;
+    std::vector<std::pair<NetworkAddress, InstanceReport>> sent;
     std::optional<MirrorDelta> answer;
     std::optional<MirrorDelta> answers_to_fetches;
   };
@@ -62,8 +62,8 @@
     return instance;
   }
 
-  NewsReport ReportOf(const std::string& name) {
-    NewsReport report;
+  InstanceReport ReportOf(const std::string& name) {
+    InstanceReport report;
     report.instance = MakeInstance(name, 2);
     return report;
   }
@@ -78,7 +78,7 @@
   }
 
   /** What it tells peers now. */
-  NewsReport LastReport() {
+  InstanceReport LastReport() {
     news.TellLeaving();
     return transport.sent.back().second;
   }
@@ -101,7 +101,7 @@
 // reports with all of it. Cause: sixteen copies at once, none of which arrived within its limit.
 TEST(News, AnInstanceThatIsBehindFetchesFromOnePeerAtATime) {
   for (const char* name : {"a", "b", "c"}) {
-    NewsReport report = ReportOf(name);
+    InstanceReport report = ReportOf(name);
     report.revision = 9;
     news.OnNews(report);
   }
@@ -109,7 +109,7 @@
   CHECK_TRUE(transport.sent[0].second.wants_records);
 
   time.AdvanceBy(seconds(1));
-  NewsReport report = ReportOf("b");
+  InstanceReport report = ReportOf("b");
   report.revision = 9;
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
   news.OnNews(report);
@@ -121,7 +121,7 @@
 
 TEST(News, AReportIsAnsweredWithRecordsOnlyIfItWantsThem) {
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
-  NewsReport report = ReportOf("peer");
+  InstanceReport report = ReportOf("peer");
   CHECK_EQUAL(0U, news.OnNews(report).records.size());
   CHECK_EQUAL(9U, news.OnNews(report).revision);
   report.wants_records = true;
@@ -160,7 +160,7 @@
   news.SetSlowServers({{"s", 5.0, milliseconds(10)}});
   news.TellLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.slow_servers.size());
-  NewsReport report = ReportOf("peer");
+  InstanceReport report = ReportOf("peer");
   report.slow_servers = {{"other", 4.0, milliseconds(30)}};
   news.OnNews(report);
   STRCMP_EQUAL("other", sink.slow.at(0).server.c_str());
@@ -174,14 +174,14 @@
   time.AdvanceBy(seconds(1));
   news.TellLeaving();
   CHECK_EQUAL(0U, transport.sent.back().second.server_news.size());
-  NewsReport report = ReportOf("peer");
+  InstanceReport report = ReportOf("peer");
   report.server_news = {{"other", {0, 5}}};
   news.OnNews(report);
   STRCMP_EQUAL("other", sink.layers.at(0).server.c_str());
 }
 
 TEST(News, AStallHeardIsTakenInOnce) {
-  NewsReport report = ReportOf("peer");
+  InstanceReport report = ReportOf("peer");
   report.stalls.push_back({"s", milliseconds(30)});
   news.OnNews(report);
   news.OnNews(report);
@@ -193,7 +193,7 @@
 // takes its own failures for an outage of the store.
 TEST(News, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
   CHECK_FALSE(news.SomePeerIsSteady());
-  NewsReport report = ReportOf("peer");
+  InstanceReport report = ReportOf("peer");
   report.steady_age = milliseconds(0);
   news.OnNews(report);
   CHECK_TRUE(news.SomePeerIsSteady());
@@ -205,7 +205,7 @@
 // instance polls briefly for fear of deaf watches. Cause: no division of that work.
 TEST(News, TheReadersReadAndTheOthersOnlyWhenTheyAreSilent) {
   const auto hear = [this](const char* name) {
-    NewsReport report = ReportOf(name);
+    InstanceReport report = ReportOf(name);
     report.reader_age = milliseconds(0);
     news.OnNews(report);
   };
@@ -227,7 +227,7 @@
 // without its age.
 TEST(News, TheWordOfAReaderAgesOnItsWay) {
   Know({"another", "before"});
-  NewsReport report = ReportOf("another");
+  InstanceReport report = ReportOf("another");
   report.reader_age = milliseconds(700);
   news.OnNews(report);
   time.AdvanceBy(milliseconds(400));
@@ -253,7 +253,7 @@
 }
 
 TEST(News, AnInstanceThatLeavesIsForgottenAtOnce) {
-  NewsReport report = ReportOf("peer");
+  InstanceReport report = ReportOf("peer");
   news.OnNews(report);
   report.leaving = true;
   news.OnNews(report);
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -23,7 +23,7 @@
 /** One instance of a fleet of which all talk over the test's own transport. */
 struct TestInstance final : NewsTransport, NewsSink {
   using Callback = std::function<void(Result<MirrorDelta>)>;
-  using Deliver = std::function<void(const NetworkAddress&, const NewsReport&, Callback)>;
+  using Deliver = std::function<void(const NetworkAddress&, const InstanceReport&, Callback)>;
 
   TestInstance(VirtualTime& time, const Instance& self)
       : store(time),
@@ -31,7 +31,9 @@
         instances(time, self),
         news(*this, time, time, instances, mirror, *this, {}, {}) {}
 
-  void Exchange(const NetworkAddress& peer, const NewsReport& report, Callback callback) override {
+  void Exchange(const NetworkAddress& peer,
+                const InstanceReport& report,
+                Callback callback) override {
     if (!is_alive) {
       return;
     }
@@ -102,7 +104,7 @@
       for (int member = 0; member < kMembers; ++member) {
         const Instance self = Describe(domain, member);
         auto instance = std::make_unique<TestInstance>(time, self);
-        instance->deliver = [this](const NetworkAddress& to, const NewsReport& report,
+        instance->deliver = [this](const NetworkAddress& to, const InstanceReport& report,
                                    const TestInstance::Callback& callback) {
           Deliver(to, report, callback);
         };
@@ -120,7 +122,7 @@
     Keep(seconds(2));
   }
 
-  void Deliver(const NetworkAddress& to, const NewsReport& report,
+  void Deliver(const NetworkAddress& to, const InstanceReport& report,
                const TestInstance::Callback& callback) {
     calls.push_back(time.ScheduleAfter(kWayOfNews, [this, to, report, callback] {
       TestInstance& peer = *fleet.at(to);
