--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 
 #include <algorithm>
 #include <utility>
@@ -51,14 +51,14 @@
 
 }  // namespace
 
-NewsExchange::NewsExchange(NewsTransport& transport,
-                           Scheduler& scheduler,
-                           const Clock& clock,
-                           InstanceDirectory& instances,
-                           StoreMirror& mirror,
-                           NewsSink& sink,
-                           std::vector<NetworkAddress> seeds,
-                           NewsSettings settings)
+ReportExchange::ReportExchange(NewsTransport& transport,
+                               Scheduler& scheduler,
+                               const Clock& clock,
+                               InstanceDirectory& instances,
+                               StoreMirror& mirror,
+                               NewsSink& sink,
+                               std::vector<NetworkAddress> seeds,
+                               NewsSettings settings)
     : m_transport(transport),
       m_scheduler(scheduler),
       m_clock(clock),
@@ -70,22 +70,22 @@
       m_relays(clock, instances),
       m_member_loads(clock) {}
 
-void NewsExchange::Start() {
+void ReportExchange::Start() {
   m_started_at = m_clock.Now();
   Tick();
 }
 
-std::uint64_t NewsExchange::IntervalsBetweenMemberReports() const {
+std::uint64_t ReportExchange::IntervalsBetweenMemberReports() const {
   const auto wanted = m_settings.interval_per_member * m_relays.Members().size();
   const auto intervals = (wanted + m_settings.interval / 2) / m_settings.interval;
   return std::max<std::uint64_t>(1, static_cast<std::uint64_t>(intervals));
 }
 
-Duration NewsExchange::SilenceLimit() const {
+Duration ReportExchange::SilenceLimit() const {
   return kSilenceBeyondIntervals + 2 * m_settings.interval * IntervalsBetweenMemberReports();
 }
 
-void NewsExchange::Tick() {
+void ReportExchange::Tick() {
   m_relays.Refresh(SilenceLimit());
   if (m_relays.Members().empty() && m_relays.FarRelays().empty()) {
     AskSeeds();
@@ -99,7 +99,7 @@
   m_timer = m_scheduler.ScheduleAfter(m_settings.interval, [this] { Tick(); });
 }
 
-void NewsExchange::AskSeeds() {
+void ReportExchange::AskSeeds() {
   for (const NetworkAddress& seed : m_seeds) {
     if (seed != m_instances.Self().peer_address) {
       Instance unknown;
@@ -109,7 +109,7 @@
   }
 }
 
-void NewsExchange::TellAsRelay() {
+void ReportExchange::TellAsRelay() {
   m_domain_sum = m_member_loads.Sum(m_uses);
   m_sink.OnDomainUses(m_instances.Self().failure_domain, m_member_loads.Sum({}));
   TellMembersInTurn();
@@ -121,7 +121,7 @@
 }
 
 /** A part of the members in each interval, so that a relay's work is even. */
-void NewsExchange::TellMembersInTurn() {
+void ReportExchange::TellMembersInTurn() {
   const std::vector<Instance>& members = m_relays.Members();
   const std::size_t parts = IntervalsBetweenMemberReports();
   const std::size_t count = (members.size() + parts - 1) / parts;
@@ -132,7 +132,7 @@
   }
 }
 
-void NewsExchange::TellMembers() {
+void ReportExchange::TellMembers() {
   const InstanceReport report = MakeReport(Recipient::kMember);
   for (const Instance& member : m_relays.Members()) {
     Send(member, KindOf(member), report);
@@ -140,7 +140,7 @@
 }
 
 /** Itself or over its relays. */
-void NewsExchange::TellOwnDomain() {
+void ReportExchange::TellOwnDomain() {
   if (m_relays.IsRelay()) {
     TellMembers();
   } else {
@@ -148,40 +148,40 @@
   }
 }
 
-void NewsExchange::TellRelays(Recipient recipient, const std::vector<Instance>& relays) {
+void ReportExchange::TellRelays(Recipient recipient, const std::vector<Instance>& relays) {
   const InstanceReport report = MakeReport(recipient);
   for (const Instance& relay : relays) {
     Send(relay, recipient, report);
   }
 }
 
-NewsExchange::Recipient NewsExchange::KindOf(const Instance& peer) const {
+ReportExchange::Recipient ReportExchange::KindOf(const Instance& peer) const {
   const std::vector<Instance>& own = m_relays.OwnRelays();
   const bool is_relay = std::any_of(own.begin(), own.end(),
                                     [&](const Instance& relay) { return relay.name == peer.name; });
   return is_relay ? Recipient::kOwnRelay : Recipient::kMember;
 }
 
-std::optional<milliseconds> NewsExchange::ReaderAge() const {
+std::optional<milliseconds> ReportExchange::ReaderAge() const {
   if (m_mirror.IsReading() && m_mirror.IsInContact()) {
     return milliseconds(0);
   }
   return AgeOf(m_reader_seen_at, m_clock.Now());
 }
 
-std::string NewsExchange::DescribeReaderAge() const {
+std::string ReportExchange::DescribeReaderAge() const {
   const auto age = AgeOf(m_reader_seen_at, m_clock.Now());
   return age ? std::to_string(age->count()) : "never";
 }
 
-std::optional<milliseconds> NewsExchange::SteadyAge() const {
+std::optional<milliseconds> ReportExchange::SteadyAge() const {
   if (m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure)) {
     return milliseconds(0);
   }
   return AgeOf(m_steady_seen_at, m_clock.Now());
 }
 
-void NewsExchange::AddLoads(Recipient recipient, InstanceReport& report) {
+void ReportExchange::AddLoads(Recipient recipient, InstanceReport& report) {
   const FailureDomainName& own = m_instances.Self().failure_domain;
   if (!m_relays.IsRelay()) {
     report.uses = m_uses;
@@ -204,7 +204,7 @@
   }
 }
 
-InstanceReport NewsExchange::MakeReport(Recipient recipient) {
+InstanceReport ReportExchange::MakeReport(Recipient recipient) {
   const TimePoint now = m_clock.Now();
   std::erase_if(m_stalls,
                 [now](const auto& stall) { return now - stall.second > kStallNewsLifetime; });
@@ -229,7 +229,7 @@
   return report;
 }
 
-void NewsExchange::Send(const Instance& peer, Recipient recipient, InstanceReport report) {
+void ReportExchange::Send(const Instance& peer, Recipient recipient, InstanceReport report) {
   const FailureDomainName& own = m_instances.Self().failure_domain;
   const auto sum = report.domain_uses.find(own);
   if (sum != report.domain_uses.end() && recipient != Recipient::kFarRelay) {
@@ -247,7 +247,7 @@
       }));
 }
 
-void NewsExchange::FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision) {
+void ReportExchange::FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision) {
   const TimePoint now = m_clock.Now();
   const bool is_behind = revision > m_mirror.Revision() || (revision > 0 && !m_mirror.IsFilled());
   if (!is_behind || (m_fetch_began_at && now - *m_fetch_began_at < kFetchPatience)) {
@@ -270,7 +270,7 @@
                        }));
 }
 
-void NewsExchange::TellStall(const BackendServerName& server) {
+void ReportExchange::TellStall(const BackendServerName& server) {
   const bool is_news = !m_stalls.contains(server);
   m_stalls[server] = m_clock.Now();
   if (!is_news) {
@@ -280,7 +280,7 @@
   TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
 }
 
-void NewsExchange::TellServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
+void ReportExchange::TellServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
     TellOwnDomain();
@@ -290,7 +290,7 @@
   }
 }
 
-void NewsExchange::TellAdvance() {
+void ReportExchange::TellAdvance() {
   if (m_mirror.Revision() <= m_told_revision) {
     return;
   }
@@ -305,7 +305,7 @@
   }
 }
 
-void NewsExchange::TellLeaving() {
+void ReportExchange::TellLeaving() {
   m_leaving = true;
   TellOwnDomain();
   if (m_relays.IsRelay()) {
@@ -313,16 +313,16 @@
   }
 }
 
-bool NewsExchange::ShouldRead() const {
+bool ReportExchange::ShouldRead() const {
   const TimePoint last_word = m_reader_seen_at.value_or(m_started_at);
   return m_relays.IsReader() || m_clock.Now() - last_word >= SilenceLimit();
 }
 
-bool NewsExchange::SomePeerIsSteady() const {
+bool ReportExchange::SomePeerIsSteady() const {
   return m_steady_seen_at && m_clock.Now() - *m_steady_seen_at < kSteadyNewsLifetime;
 }
 
-void NewsExchange::TakeInLoads(const InstanceReport& report, bool is_near) {
+void ReportExchange::TakeInLoads(const InstanceReport& report, bool is_near) {
   if (is_near) {
     m_member_loads.Set(report.instance.name, report.uses);
   }
@@ -339,7 +339,7 @@
   }
 }
 
-void NewsExchange::TakeInStalls(const InstanceReport& report) {
+void ReportExchange::TakeInStalls(const InstanceReport& report) {
   std::vector<StallNews> news;
   for (const StallNews& stall : report.stalls) {
     if (!m_stalls.contains(stall.server)) {
@@ -356,7 +356,7 @@
   }
 }
 
-MirrorDelta NewsExchange::OnNews(const InstanceReport& report) {
+MirrorDelta ReportExchange::OnNews(const InstanceReport& report) {
   const TimePoint now = m_clock.Now();
   if (report.leaving) {
     m_instances.OnLeft(report.instance.name);
--- a/packages/zinnia_decisions/forwarding/beliefs/news_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -32,7 +32,7 @@
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
 
-/** Intervals of NewsExchange. */
+/** Intervals of ReportExchange. */
 struct NewsSettings {
   /** The shortest between two reports to one peer; loads are about twice as old when a path is
       chosen. */
@@ -63,17 +63,17 @@
 
     @see RelayDirectory, StoreMirror
 */
-class NewsExchange final : public NewsListener {
+class ReportExchange final : public NewsListener {
  public:
   /** All must outlive it. `seeds` are asked while no peer is known. */
-  NewsExchange(NewsTransport& transport,
-               Scheduler& scheduler,
-               const Clock& clock,
-               InstanceDirectory& instances,
-               StoreMirror& mirror,
-               NewsSink& sink,
-               std::vector<NetworkAddress> seeds,
-               NewsSettings settings);
+  ReportExchange(NewsTransport& transport,
+                 Scheduler& scheduler,
+                 const Clock& clock,
+                 InstanceDirectory& instances,
+                 StoreMirror& mirror,
+                 NewsSink& sink,
+                 std::vector<NetworkAddress> seeds,
+                 NewsSettings settings);
 
   void Start();
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -10,7 +10,7 @@
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/server_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 #include "zinnia_decisions/forwarding/limits/recent_instances.h"
@@ -58,7 +58,7 @@
   /** Gives up the roles and this instance's record. */
   void Stop();
 
-  NewsExchange& News() { return m_news; }
+  ReportExchange& News() { return m_news; }
 
   /** Traffic, here or at a peer, found that a server does not go on. */
   void NoteStalled(const BackendServerName& server);
@@ -89,7 +89,7 @@
   StoreMirror m_mirror;
   ServerDirectory m_servers;
   InstanceRegistration m_registration;
-  NewsExchange m_news;
+  ReportExchange m_news;
   std::map<ServiceName, std::unique_ptr<LayerPlacer>> m_placers;
 
   /** Since when nobody holds the right to give a pool orders. */
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -1,7 +1,7 @@
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 
 #include <CppUTest/TestHarness.h>
@@ -53,7 +53,7 @@
   InstanceDirectory instances{time, MakeInstance("self", 1)};
   Transport transport;
   Sink sink;
-  NewsExchange news{transport, time, time, instances, mirror, sink, {{"10.0.0.7", 7}}, {}};
+  ReportExchange news{transport, time, time, instances, mirror, sink, {{"10.0.0.7", 7}}, {}};
 
   static Instance MakeInstance(const std::string& name, std::uint16_t port) {
     Instance instance;
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -1,8 +1,8 @@
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/member_loads.h"
-#include "zinnia_decisions/forwarding/beliefs/news_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 
 #include <algorithm>
@@ -63,7 +63,7 @@
   SilentLogger logger;
   StoreMirror mirror;
   InstanceDirectory instances;
-  NewsExchange news;
+  ReportExchange news;
   Deliver deliver;
   std::map<FailureDomainName, LoadBook::Uses> uses;
   std::vector<std::string> stalls;
