--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -32,7 +32,7 @@
     BeginDrain, some seconds later StopAccepting, and Stop when InFlight is empty. Used from the
    main thread only.
 */
-class ForwardingDaemon final : private NewsSink {
+class ForwardingDaemon final : private ReportSink {
  public:
   /** Fails with kInvalidSettings. */
   static Result<std::unique_ptr<ForwardingDaemon>> Create(ForwardingSettings settings,
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -56,7 +56,7 @@
                                const Clock& clock,
                                InstanceDirectory& instances,
                                StoreMirror& mirror,
-                               NewsSink& sink,
+                               ReportSink& sink,
                                std::vector<NetworkAddress> seeds,
                                NewsSettings settings)
     : m_transport(transport),
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -20,9 +20,9 @@
 class StoreMirror;
 
 /** Hears what peers told. Called on the control thread. */
-class NewsSink {
+class ReportSink {
  public:
-  virtual ~NewsSink() = default;
+  virtual ~ReportSink() = default;
 
   /** What the instances of a failure domain have in flight; of the own domain, all but this one. */
   virtual void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) = 0;
@@ -71,7 +71,7 @@
                  const Clock& clock,
                  InstanceDirectory& instances,
                  StoreMirror& mirror,
-                 NewsSink& sink,
+                 ReportSink& sink,
                  std::vector<NetworkAddress> seeds,
                  NewsSettings settings);
 
@@ -151,7 +151,7 @@
   const Clock& m_clock;
   InstanceDirectory& m_instances;
   StoreMirror& m_mirror;
-  NewsSink& m_sink;
+  ReportSink& m_sink;
   const std::vector<NetworkAddress> m_seeds;
   const NewsSettings m_settings;
   RelayDirectory m_relays;
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -36,7 +36,7 @@
   LayerOrders& layer_orders;
   DecisionRecorder& recorder;
   Logger& logger;
-  NewsSink& sink;
+  ReportSink& sink;
   Instance self;
   std::vector<NetworkAddress> seeds;
 
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -40,7 +40,7 @@
                   const InstanceReport&,
                   std::function<void(Result<MirrorDelta>)>) override {}
   };
-  struct Sink final : NewsSink {
+  struct Sink final : ReportSink {
     void OnDomainUses(const FailureDomainName&, LoadBook::Uses) override {}
     void OnPeerStalls(const std::vector<StallNews>&) override {}
     void OnPeerServerNews(const ServerNews&) override {}
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -27,7 +27,7 @@
     std::optional<MirrorDelta> answer;
     std::optional<MirrorDelta> answers_to_fetches;
   };
-  struct Sink final : NewsSink {
+  struct Sink final : ReportSink {
     void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses reported) override {
       uses[domain] = std::move(reported);
     }
