--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -58,7 +58,7 @@
                                StoreMirror& mirror,
                                ReportSink& sink,
                                std::vector<NetworkAddress> seeds,
-                               NewsSettings settings)
+                               ReportExchangeSettings settings)
     : m_transport(transport),
       m_scheduler(scheduler),
       m_clock(clock),
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -33,7 +33,7 @@
 };
 
 /** Intervals of ReportExchange. */
-struct NewsSettings {
+struct ReportExchangeSettings {
   /** The shortest between two reports to one peer; loads are about twice as old when a path is
       chosen. */
   std::chrono::milliseconds interval{200};
@@ -73,7 +73,7 @@
                  StoreMirror& mirror,
                  ReportSink& sink,
                  std::vector<NetworkAddress> seeds,
-                 NewsSettings settings);
+                 ReportExchangeSettings settings);
 
   void Start();
 
@@ -153,7 +153,7 @@
   StoreMirror& m_mirror;
   ReportSink& m_sink;
   const std::vector<NetworkAddress> m_seeds;
-  const NewsSettings m_settings;
+  const ReportExchangeSettings m_settings;
   RelayDirectory m_relays;
   MemberLoads m_member_loads;
   LoadBook::Uses m_uses;
