--- a/packages/zinnia_adapters/fleet_news/news_client.h
+++ b/packages/zinnia_adapters/fleet_news/news_client.h
@@ -3,7 +3,7 @@
 #include <memory>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/ports/news_transport.h"
+#include "zinnia_decisions/ports/report_transport.h"
 
 namespace kj {
 struct AsyncIoContext;
@@ -14,7 +14,7 @@
 /** Sends news to peers by Cap'n Proto RPC, over one kept connection a peer. A connection on which a
     call failed or took too long is dropped and made anew after a pause: it may have gone silent for
     good. Lives on the control thread. */
-class NewsClient final : public NewsTransport {
+class NewsClient final : public ReportTransport {
  public:
   NewsClient(kj::AsyncIoContext& io, const Clock& clock);
   ~NewsClient() override;
--- a/packages/zinnia_adapters/fleet_news/news_server.cc
+++ b/packages/zinnia_adapters/fleet_news/news_server.cc
@@ -8,7 +8,7 @@
 
 #include "zinnia_adapters/fleet_news/news_codec.h"
 #include "zinnia_adapters/peers/peer_limits.h"
-#include "zinnia_decisions/ports/news_transport.h"
+#include "zinnia_decisions/ports/report_transport.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-ReportExchange::ReportExchange(NewsTransport& transport,
+ReportExchange::ReportExchange(ReportTransport& transport,
                                Scheduler& scheduler,
                                const Clock& clock,
                                InstanceDirectory& instances,
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -12,7 +12,7 @@
 #include "zinnia_decisions/forwarding/beliefs/instance_report.h"
 #include "zinnia_decisions/forwarding/beliefs/member_loads.h"
 #include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
-#include "zinnia_decisions/ports/news_transport.h"
+#include "zinnia_decisions/ports/report_transport.h"
 
 namespace zinnia {
 
@@ -66,7 +66,7 @@
 class ReportExchange final : public NewsListener {
  public:
   /** All must outlive it. `seeds` are asked while no peer is known. */
-  ReportExchange(NewsTransport& transport,
+  ReportExchange(ReportTransport& transport,
                  Scheduler& scheduler,
                  const Clock& clock,
                  InstanceDirectory& instances,
@@ -146,7 +146,7 @@
   /** Called when `peer` turns out to know the store's records up to `revision`. */
   void FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision);
 
-  NewsTransport& m_transport;
+  ReportTransport& m_transport;
   Scheduler& m_scheduler;
   const Clock& m_clock;
   InstanceDirectory& m_instances;
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -22,7 +22,7 @@
 class LayerOrders;
 class LayerPlacer;
 class Logger;
-class NewsTransport;
+class ReportTransport;
 class PlatformStore;
 class RecordReader;
 
@@ -32,7 +32,7 @@
   Scheduler& scheduler;
   PlatformStore& store;
   const RecordReader& reader;
-  NewsTransport& news;
+  ReportTransport& news;
   LayerOrders& layer_orders;
   DecisionRecorder& recorder;
   Logger& logger;
--- a/packages/zinnia_decisions/ports/news_transport.h
+++ b/packages/zinnia_decisions/ports/report_transport.h
@@ -10,9 +10,9 @@
 namespace zinnia {
 
 /** The way of news to other instances. Callbacks run later, once, on the control thread. */
-class NewsTransport {
+class ReportTransport {
  public:
-  virtual ~NewsTransport() = default;
+  virtual ~ReportTransport() = default;
 
   /** Gives what this instance lacks of the store's records and the peer has. If the report does not
       want records, the answer has none and says only how far the peer knows them: it must not be
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -35,7 +35,7 @@
       return entry;
     }
   };
-  struct Transport final : NewsTransport {
+  struct Transport final : ReportTransport {
     void Exchange(const NetworkAddress&,
                   const InstanceReport&,
                   std::function<void(Result<MirrorDelta>)>) override {}
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 TEST_GROUP(News) {
-  struct Transport final : NewsTransport {
+  struct Transport final : ReportTransport {
     void Exchange(const NetworkAddress& peer,
                   const InstanceReport& report,
                   std::function<void(Result<MirrorDelta>)> callback) override {
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -21,7 +21,7 @@
 constexpr Duration kWayOfNews = milliseconds(2);
 
 /** One instance of a fleet of which all talk over the test's own transport. */
-struct TestInstance final : NewsTransport, ReportSink {
+struct TestInstance final : ReportTransport, ReportSink {
   using Callback = std::function<void(Result<MirrorDelta>)>;
   using Deliver = std::function<void(const NetworkAddress&, const InstanceReport&, Callback)>;
 
