--- a/packages/zinnia_adapters/fleet_news/news_server.cc
+++ b/packages/zinnia_adapters/fleet_news/news_server.cc
@@ -18,7 +18,7 @@
 
 class NewsService final : public wire::FleetNews::Server {
  public:
-  explicit NewsService(NewsListener& listener) : m_listener(listener) {}
+  explicit NewsService(ReportHandler& listener) : m_listener(listener) {}
 
   kj::Promise<void> exchange(ExchangeContext context) override {
     const MirrorDelta delta = m_listener.OnNews(news_codec::Read(context.getParams().getReport()));
@@ -27,11 +27,11 @@
   }
 
  private:
-  NewsListener& m_listener;
+  ReportHandler& m_listener;
 };
 
 struct ServedConnection {
-  ServedConnection(kj::Own<kj::AsyncIoStream> accepted, NewsListener& listener)
+  ServedConnection(kj::Own<kj::AsyncIoStream> accepted, ReportHandler& listener)
       : stream(kj::mv(accepted)),
         network(*stream, capnp::rpc::twoparty::Side::SERVER, PeerCallLimits()),
         rpc(capnp::makeRpcServer(network,
@@ -46,7 +46,7 @@
 
 class NewsServer::Impl final : private kj::TaskSet::ErrorHandler {
  public:
-  Impl(kj::AsyncIoContext& io, kj::Own<kj::ConnectionReceiver> acceptor, NewsListener& listener)
+  Impl(kj::AsyncIoContext& io, kj::Own<kj::ConnectionReceiver> acceptor, ReportHandler& listener)
       : m_io(io), m_listener(listener), m_acceptor(kj::mv(acceptor)), m_tasks(*this) {
     m_tasks.add(Accept());
   }
@@ -67,14 +67,14 @@
   void taskFailed(kj::Exception&&) override {}
 
   kj::AsyncIoContext& m_io;
-  NewsListener& m_listener;
+  ReportHandler& m_listener;
   kj::Own<kj::ConnectionReceiver> m_acceptor;
   kj::TaskSet m_tasks;
 };
 
 Result<std::unique_ptr<NewsServer>> NewsServer::Listen(kj::AsyncIoContext& io,
                                                        const NetworkAddress& address,
-                                                       NewsListener& listener) {
+                                                       ReportHandler& listener) {
   boost::system::error_code error;
   const auto ip = boost::asio::ip::make_address(address.ip, error);
   if (error) {
--- a/packages/zinnia_adapters/fleet_news/news_server.h
+++ b/packages/zinnia_adapters/fleet_news/news_server.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-class NewsListener;
+class ReportHandler;
 
 /** Takes the news of other instances by Cap'n Proto RPC. Create and destroy it on the control
     thread; `listener` must outlive it. */
@@ -20,7 +20,7 @@
   /** Fails with kInvalidSettings if the address cannot be listened on. */
   static Result<std::unique_ptr<NewsServer>> Listen(kj::AsyncIoContext& io,
                                                     const NetworkAddress& address,
-                                                    NewsListener& listener);
+                                                    ReportHandler& listener);
   ~NewsServer();
 
  private:
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -63,7 +63,7 @@
 
     @see RelayDirectory, StoreMirror
 */
-class ReportExchange final : public NewsListener {
+class ReportExchange final : public ReportHandler {
  public:
   /** All must outlive it. `seeds` are asked while no peer is known. */
   ReportExchange(ReportTransport& transport,
--- a/packages/zinnia_decisions/ports/report_transport.h
+++ b/packages/zinnia_decisions/ports/report_transport.h
@@ -23,9 +23,9 @@
 };
 
 /** What an instance answers to the news of its peers. Called on the control thread. */
-class NewsListener {
+class ReportHandler {
  public:
-  virtual ~NewsListener() = default;
+  virtual ~ReportHandler() = default;
   virtual MirrorDelta OnNews(const InstanceReport& report) = 0;
 };
 
