--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -116,9 +116,9 @@
   m_server->OnServersStalled(servers);
 }
 
-void ForwardingTraffic::OnPeerStalls(const std::vector<StallNews>& stalls) {
+void ForwardingTraffic::OnPeerStalls(const std::vector<StallReport>& stalls) {
   std::vector<BackendServerName> servers;
-  for (const StallNews& stall : stalls) {
+  for (const StallReport& stall : stalls) {
     m_parts.logger.Log(LogLevel::kInfo, "server_stalled",
                        {{"server", stall.server}, {"seen_by", "peer"}});
     if (stall.age < kStalledExclusion) {
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -65,7 +65,7 @@
 
   void SetView(std::shared_ptr<const ForwardingView> view);
   void SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses);
-  void OnPeerStalls(const std::vector<StallNews>& stalls);
+  void OnPeerStalls(const std::vector<StallReport>& stalls);
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
   void OnPeerPaces(const std::vector<PaceNews>& slow_servers);
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -217,8 +217,8 @@
   });
 }
 
-void ForwardingDaemon::OnPeerStalls(const std::vector<StallNews>& stalls) {
-  for (const StallNews& stall : stalls) {
+void ForwardingDaemon::OnPeerStalls(const std::vector<StallReport>& stalls) {
+  for (const StallReport& stall : stalls) {
     m_control->NoteStalled(stall.server);
   }
   m_traffic_thread->Post([this, stalls] { m_traffic->OnPeerStalls(stalls); });
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -61,7 +61,7 @@
   void Upkeep();
 
   void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) override;
-  void OnPeerStalls(const std::vector<StallNews>& stalls) override;
+  void OnPeerStalls(const std::vector<StallReport>& stalls) override;
   void OnPeerServerNews(const ServerNews& news) override;
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) override;
   void OnPeerPaces(const std::vector<PaceNews>& slow_servers) override;
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -16,7 +16,7 @@
 namespace zinnia {
 
 /** A server that did not go on, and how long ago that was seen. */
-struct StallNews {
+struct StallReport {
   BackendServerName server;
   std::chrono::milliseconds age{0};
 };
@@ -34,7 +34,7 @@
   /** From a relay to a member of its domain: the sum over the domain's other members, and now and
       then the sums over other domains. To relays of other domains: the sum over its own. */
   std::map<FailureDomainName, LoadBook::Uses> domain_uses;
-  std::vector<StallNews> stalls;
+  std::vector<StallReport> stalls;
   std::vector<PaceNews> slow_servers;
   std::vector<ServerLimitNews> server_limits;
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -340,8 +340,8 @@
 }
 
 void ReportExchange::TakeInStalls(const InstanceReport& report) {
-  std::vector<StallNews> news;
-  for (const StallNews& stall : report.stalls) {
+  std::vector<StallReport> news;
+  for (const StallReport& stall : report.stalls) {
     if (!m_stalls.contains(stall.server)) {
       m_stalls[stall.server] = m_clock.Now() - stall.age;
       news.push_back(stall);
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -26,7 +26,7 @@
 
   /** What the instances of a failure domain have in flight; of the own domain, all but this one. */
   virtual void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) = 0;
-  virtual void OnPeerStalls(const std::vector<StallNews>& stalls) = 0;
+  virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
   virtual void OnPeerServerNews(const ServerNews& news) = 0;
   virtual void OnPeerPaces(const std::vector<PaceNews>& slow_servers) = 0;
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -42,7 +42,7 @@
   };
   struct Sink final : ReportSink {
     void OnDomainUses(const FailureDomainName&, LoadBook::Uses) override {}
-    void OnPeerStalls(const std::vector<StallNews>&) override {}
+    void OnPeerStalls(const std::vector<StallReport>&) override {}
     void OnPeerServerNews(const ServerNews&) override {}
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
     void OnPeerPaces(const std::vector<PaceNews>&) override {}
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -31,8 +31,8 @@
     void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses reported) override {
       uses[domain] = std::move(reported);
     }
-    void OnPeerStalls(const std::vector<StallNews>& heard) override {
-      for (const StallNews& stall : heard) {
+    void OnPeerStalls(const std::vector<StallReport>& heard) override {
+      for (const StallReport& stall : heard) {
         stalls.push_back(stall.server);
       }
     }
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -43,8 +43,8 @@
   void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses reported) override {
     uses[domain] = std::move(reported);
   }
-  void OnPeerStalls(const std::vector<StallNews>& heard) override {
-    for (const StallNews& stall : heard) {
+  void OnPeerStalls(const std::vector<StallReport>& heard) override {
+    for (const StallReport& stall : heard) {
       stalls.push_back(stall.server);
     }
   }
