--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -198,7 +198,7 @@
 void ForwardServer::AskSlowServersAgain() {
   const auto view = m_parts.view();
   const double chance = kAsksOfFleet / static_cast<double>(view->live_instances);
-  for (const PaceNews& slow : m_parts.health.SlowServers()) {
+  for (const SlowdownReport& slow : m_parts.health.SlowServers()) {
     const auto server = view->servers.find(slow.server);
     const bool is_own_turn = RandomUnit(m_parts.random) < chance;
     if (is_own_turn && server != view->servers.end() &&
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -79,8 +79,8 @@
   m_loads.SetDomainUses(domain, std::move(uses));
 }
 
-void ForwardingTraffic::OnPeerPaces(const std::vector<PaceNews>& slow_servers) {
-  for (const PaceNews& news : slow_servers) {
+void ForwardingTraffic::OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) {
+  for (const SlowdownReport& news : slow_servers) {
     m_health.NotePace(news);
   }
 }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -67,13 +67,13 @@
   void SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses);
   void OnPeerStalls(const std::vector<StallReport>& stalls);
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
-  void OnPeerPaces(const std::vector<PaceNews>& slow_servers);
+  void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers);
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
 
   /** What this instance has in flight, for its peers. */
   const LoadBook::Uses& OwnUses() const { return m_loads.Own(); }
-  std::vector<PaceNews> SlowServers() const { return m_health.SlowServers(); }
+  std::vector<SlowdownReport> SlowServers() const { return m_health.SlowServers(); }
   std::vector<ServerLimitNews> TakeServerLimits() { return m_limits.TakeNews(); }
 
  private:
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -228,7 +228,7 @@
   m_control->NoteServerNews(news);
 }
 
-void ForwardingDaemon::OnPeerPaces(const std::vector<PaceNews>& slow_servers) {
+void ForwardingDaemon::OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) {
   m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerPaces(slow_servers); });
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
@@ -10,7 +10,6 @@
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
 #include "zinnia_decisions/forwarding/beliefs/member_loads.h"
 #include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
-#include "zinnia_decisions/forwarding/beliefs/pace_news.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/probe_round.h"
 #include "zinnia_decisions/forwarding/beliefs/reading_backlog.h"
@@ -21,4 +20,5 @@
 #include "zinnia_decisions/forwarding/beliefs/server_news.h"
 #include "zinnia_decisions/forwarding/beliefs/server_use.h"
 #include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
+#include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
-#include "zinnia_decisions/forwarding/beliefs/pace_news.h"
 #include "zinnia_decisions/forwarding/beliefs/server_news.h"
+#include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
 #include "zinnia_decisions/forwarding/limits/server_limit_news.h"
 #include "zinnia_world/fleet/instance.h"
 
@@ -35,7 +35,7 @@
       then the sums over other domains. To relays of other domains: the sum over its own. */
   std::map<FailureDomainName, LoadBook::Uses> domain_uses;
   std::vector<StallReport> stalls;
-  std::vector<PaceNews> slow_servers;
+  std::vector<SlowdownReport> slow_servers;
   std::vector<ServerLimitNews> server_limits;
 
   /** Heard from servers lately, not from the store. */
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -28,7 +28,7 @@
   virtual void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
   virtual void OnPeerServerNews(const ServerNews& news) = 0;
-  virtual void OnPeerPaces(const std::vector<PaceNews>& slow_servers) = 0;
+  virtual void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) = 0;
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
 
@@ -86,7 +86,7 @@
   }
 
   /** Servers that this instance knows to be slow, by its own questions or by peers. */
-  void SetSlowServers(std::vector<PaceNews> servers) { m_slow_servers = std::move(servers); }
+  void SetSlowServers(std::vector<SlowdownReport> servers) { m_slow_servers = std::move(servers); }
 
   /** What servers said of the requests that they take, for the reports from now on. */
   void SetServerLimits(std::vector<ServerLimitNews> limits) { m_server_limits = std::move(limits); }
@@ -160,7 +160,7 @@
 
   /** The sum over the own domain with this instance; a relay's. */
   LoadBook::Uses m_domain_sum;
-  std::vector<PaceNews> m_slow_servers;
+  std::vector<SlowdownReport> m_slow_servers;
   std::vector<ServerLimitNews> m_server_limits;
   std::map<BackendServerName, std::pair<TimePoint, ServerNews>> m_server_news;
 
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -132,7 +132,7 @@
   return std::chrono::duration_cast<Duration>(delay);
 }
 
-void ServerHealth::NotePace(const PaceNews& news) {
+void ServerHealth::NotePace(const SlowdownReport& news) {
   Record& record = Touch(news.server);
   const TimePoint known_at = m_clock.Now() - news.age;
   if (!record.pace_known_at || known_at >= *record.pace_known_at) {
@@ -161,8 +161,8 @@
   return true;
 }
 
-std::vector<PaceNews> ServerHealth::SlowServers() const {
-  std::vector<PaceNews> slow;
+std::vector<SlowdownReport> ServerHealth::SlowServers() const {
+  std::vector<SlowdownReport> slow;
   for (const auto& [server, record] : m_records) {
     if (Pace(server) >= kSlowPace) {
       slow.push_back({server, record.pace,
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/pace_news.h"
+#include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
@@ -56,7 +56,7 @@
 
   /** What a server says of its pace, here or to a peer. The newest word counts, for three seconds.
    */
-  void NotePace(const PaceNews& news);
+  void NotePace(const SlowdownReport& news);
 
   /** How many times longer than usual the server's work takes; 1 if nothing is known. */
   double Pace(const BackendServerName& server) const;
@@ -66,7 +66,7 @@
   bool TakePaceQuestion(const BackendServerName& server);
 
   /** The servers that are known to be slow, for peers and for asking again. */
-  std::vector<PaceNews> SlowServers() const;
+  std::vector<SlowdownReport> SlowServers() const;
 
   bool IsExcluded(const BackendServerName& server) const;
 
--- a/packages/zinnia_decisions/forwarding/beliefs/pace_news.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/slowdown_report.h
@@ -8,7 +8,7 @@
 namespace zinnia {
 
 /** How many times longer than usual a server says that its work takes, and how old its word is. */
-struct PaceNews {
+struct SlowdownReport {
   BackendServerName server;
   double pace = 1.0;
   std::chrono::milliseconds age{0};
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -37,12 +37,14 @@
       }
     }
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
-    void OnPeerPaces(const std::vector<PaceNews>& slow_servers) override { slow = slow_servers; }
+    void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) override {
+      slow = slow_servers;
+    }
     std::vector<ServerLimitNews> limits;
     void OnPeerServerNews(const ServerNews& heard) override { layers.push_back(heard); }
     std::map<InstanceName, LoadBook::Uses> uses;
     std::vector<std::string> stalls;
-    std::vector<PaceNews> slow;
+    std::vector<SlowdownReport> slow;
     std::vector<ServerNews> layers;
   };
 
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -56,7 +56,7 @@
       news.TellServerLimits(heard, false);
     }
   }
-  void OnPeerPaces(const std::vector<PaceNews>&) override {}
+  void OnPeerPaces(const std::vector<SlowdownReport>&) override {}
   std::vector<ServerLimitNews> limits;
 
   HeldStore store;
