--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "zinnia_base/random/random_source.h"
-#include "zinnia_decisions/forwarding/beliefs/server_news.h"
+#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
@@ -57,7 +57,7 @@
   std::function<void(const std::vector<BackendServerName>&)> report_stalled;
 
   /** A server's layers are not what the view has. */
-  std::function<void(const ServerNews&)> report_server_news;
+  std::function<void(const ServerStateReport&)> report_server_news;
 
   /** A server named another limit than it had, or none: logs it and tells peers. */
   std::function<void(const BackendServerName&)> report_limit;
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -47,7 +47,7 @@
   std::function<void(const BackendServerName&)> tell_stall;
 
   /** Called on the traffic thread when a server's layers were found to be others. */
-  std::function<void(const ServerNews&)> tell_server_news;
+  std::function<void(const ServerStateReport&)> tell_server_news;
 
   /** Called on the traffic thread when a server's limit has changed; `heard_here` from the server
       itself, and not from a peer. */
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -169,7 +169,7 @@
               m_control->NoteStalled(server);
             });
           },
-          [this](const ServerNews& news) {
+          [this](const ServerStateReport& news) {
             m_control_thread->Post([this, news] { m_control->NoteServerNews(news); });
           },
           [this](std::vector<ServerLimitNews> limits, bool heard_here) {
@@ -224,7 +224,7 @@
   m_traffic_thread->Post([this, stalls] { m_traffic->OnPeerStalls(stalls); });
 }
 
-void ForwardingDaemon::OnPeerServerNews(const ServerNews& news) {
+void ForwardingDaemon::OnPeerServerNews(const ServerStateReport& news) {
   m_control->NoteServerNews(news);
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
@@ -17,7 +17,7 @@
 #include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/server_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/beliefs/server_news.h"
+#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
 #include "zinnia_decisions/forwarding/beliefs/server_use.h"
 #include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
 #include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "zinnia_decisions/forwarding/beliefs/load_book.h"
-#include "zinnia_decisions/forwarding/beliefs/server_news.h"
+#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
 #include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
 #include "zinnia_decisions/forwarding/limits/server_limit_news.h"
 #include "zinnia_world/fleet/instance.h"
@@ -39,7 +39,7 @@
   std::vector<ServerLimitNews> server_limits;
 
   /** Heard from servers lately, not from the store. */
-  std::vector<ServerNews> server_news;
+  std::vector<ServerStateReport> server_news;
 
   /** How long ago, at most, some instance was reading the store; over how many ways the word of it
       came plays no part. 0 from a reader that is in contact. Nothing: none is known. */
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -371,7 +371,7 @@
                : MirrorDelta{};
   }
   TakeInLoads(report, report.instance.failure_domain == m_instances.Self().failure_domain);
-  for (const ServerNews& news : report.server_news) {
+  for (const ServerStateReport& news : report.server_news) {
     m_sink.OnPeerServerNews(news);
   }
   if (!report.slow_servers.empty()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -27,7 +27,7 @@
   /** What the instances of a failure domain have in flight; of the own domain, all but this one. */
   virtual void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
-  virtual void OnPeerServerNews(const ServerNews& news) = 0;
+  virtual void OnPeerServerNews(const ServerStateReport& news) = 0;
   virtual void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) = 0;
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
@@ -81,7 +81,7 @@
   void SetUses(LoadBook::Uses own) { m_uses = std::move(own); }
 
   /** Tells peers, with the next reports to each, what a server said of its layers. */
-  void TellServerNews(const ServerNews& news) {
+  void TellServerNews(const ServerStateReport& news) {
     m_server_news[news.server] = {m_clock.Now(), news};
   }
 
@@ -162,7 +162,7 @@
   LoadBook::Uses m_domain_sum;
   std::vector<SlowdownReport> m_slow_servers;
   std::vector<ServerLimitNews> m_server_limits;
-  std::map<BackendServerName, std::pair<TimePoint, ServerNews>> m_server_news;
+  std::map<BackendServerName, std::pair<TimePoint, ServerStateReport>> m_server_news;
 
   /** A relay's: what the relays of other domains said of theirs, and when. */
   std::map<FailureDomainName, std::pair<TimePoint, LoadBook::Uses>> m_other_domains;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
@@ -62,7 +62,7 @@
   m_servers.erase(BackendServerName(start));
 }
 
-bool ServerDirectory::NoteServerNews(const ServerNews& news, std::function<void()> changed) {
+bool ServerDirectory::NoteServerNews(const ServerStateReport& news, std::function<void()> changed) {
   const auto server = m_servers.find(news.server);
   if (server == m_servers.end()) {
     return false;
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
@@ -9,7 +9,7 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/server_news.h"
+#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
 #include "zinnia_world/forwarding/server_entry.h"
 
 namespace zinnia {
@@ -60,7 +60,7 @@
   /** Whether this changes what is known. The next entry that is put counts again. That a server
       leaves is believed for `kHeardLeavingBelieved` after it was last heard; `changed` is called
       when that is over. */
-  bool NoteServerNews(const ServerNews& news, std::function<void()> changed);
+  bool NoteServerNews(const ServerStateReport& news, std::function<void()> changed);
 
   /** `in_doubt`: the store failed lately. `changed` is called if the removal is carried out later.
    */
--- a/packages/zinnia_decisions/forwarding/beliefs/server_news.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_state_report.h
@@ -6,7 +6,7 @@
 namespace zinnia {
 
 /** What a server said of itself, other than its entry in the store has it. */
-struct ServerNews {
+struct ServerStateReport {
   BackendServerName server;
 
   /** The layers that it holds; says nothing if `leaving`. */
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -97,7 +97,7 @@
   return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_news.SomePeerIsSteady();
 }
 
-void ForwardingControl::NoteServerNews(const ServerNews& news) {
+void ForwardingControl::NoteServerNews(const ServerStateReport& news) {
   // While the store answers its word on layers is newer than one that was some time on its way.
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
   const bool is_believed = news.leaving || !StoreIsSteady();
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -65,7 +65,7 @@
 
   /** A server said, here or to a peer, which layers it holds. Its entry may be old: the store may
      be away. */
-  void NoteServerNews(const ServerNews& news);
+  void NoteServerNews(const ServerStateReport& news);
 
  private:
   void OnMirroredRecord(const MirroredRecord& record) override;
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -195,7 +195,7 @@
     entry.started_at_ms = started_at_ms;
     return entry;
   }
-  bool Hear(const ServerNews& news) {
+  bool Hear(const ServerStateReport& news) {
     return directory.NoteServerNews(news, [this] { ++changes; });
   }
   void Remove(bool in_doubt) {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -41,11 +41,11 @@
       slow = slow_servers;
     }
     std::vector<ServerLimitNews> limits;
-    void OnPeerServerNews(const ServerNews& heard) override { layers.push_back(heard); }
+    void OnPeerServerNews(const ServerStateReport& heard) override { layers.push_back(heard); }
     std::map<InstanceName, LoadBook::Uses> uses;
     std::vector<std::string> stalls;
     std::vector<SlowdownReport> slow;
-    std::vector<ServerNews> layers;
+    std::vector<ServerStateReport> layers;
   };
 
   VirtualTime time;
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -182,22 +182,22 @@
       view->servers[name] = entry;
     }
     traffic = std::make_unique<ForwardingTraffic>(
-        thread, ForwardingTrafficParts{clock,
-                                       logger,
-                                       metrics,
-                                       codec,
-                                       calls,
-                                       "x",
-                                       {"127.0.0.1", 0},
-                                       {0.2, 100, std::chrono::seconds(10)},
-                                       Duration::zero(),
-                                       1,
-                                       [](const BackendServerName&) {},
-                                       [this](const ServerNews& news) { told.push_back(news); },
-                                       [this](const std::vector<ServerLimitNews>& limits, bool) {
-                                         told_limits = limits;
-                                       },
-                                       "self"});
+        thread,
+        ForwardingTrafficParts{
+            clock,
+            logger,
+            metrics,
+            codec,
+            calls,
+            "x",
+            {"127.0.0.1", 0},
+            {0.2, 100, std::chrono::seconds(10)},
+            Duration::zero(),
+            1,
+            [](const BackendServerName&) {},
+            [this](const ServerStateReport& news) { told.push_back(news); },
+            [this](const std::vector<ServerLimitNews>& limits, bool) { told_limits = limits; },
+            "self"});
     traffic->SetView(view);
   }
 
@@ -259,7 +259,7 @@
   std::shared_ptr<ForwardingView> view;
 
   /** What control, and with it peers, were told of servers. */
-  std::vector<ServerNews> told;
+  std::vector<ServerStateReport> told;
   std::vector<ServerLimitNews> told_limits;
   std::unique_ptr<ForwardingTraffic> traffic;
   std::vector<std::unique_ptr<TestCaller>> callers;
