--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -67,7 +67,7 @@
 
 void Measure(int engines) {
   VirtualTime time;
-  LoadBook loads(time);
+  LoadTracker loads(time);
   ServerHealth health(time);
   const HolderDivision division;
   const ServerLimits limits(time, division, "self");
@@ -87,7 +87,7 @@
   rules->services["pool"].engine = Engine();
   ForwardingView view;
   view.rules = rules;
-  LoadBook::Uses uses;
+  LoadTracker::Uses uses;
   for (ServerEntry& server : servers) {
     const auto range = ranges.find(server.name);
     server.layers = range == ranges.end() ? LayerRange() : range->second;
--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -36,7 +36,7 @@
   return now ? std::optional(std::chrono::milliseconds(0)) : std::nullopt;
 }
 
-void WriteUses(capnp::List<wire::NewsServerUse>::Builder to, const LoadBook::Uses& uses) {
+void WriteUses(capnp::List<wire::NewsServerUse>::Builder to, const LoadTracker::Uses& uses) {
   unsigned index = 0;
   for (const auto& [server, use] : uses) {
     auto row = to[index++];
@@ -47,8 +47,8 @@
   }
 }
 
-LoadBook::Uses ReadUses(capnp::List<wire::NewsServerUse>::Reader from) {
-  LoadBook::Uses uses;
+LoadTracker::Uses ReadUses(capnp::List<wire::NewsServerUse>::Reader from) {
+  LoadTracker::Uses uses;
   for (const auto use : from) {
     uses[ToText(use.getServer())] = {use.getRequests(), use.getTokenLayers(), use.getBegun()};
   }
--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -5,7 +5,7 @@
 #include "zinnia_adapters/forwarding/forward_exchange.h"
 #include "zinnia_base/time/clock.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -12,7 +12,7 @@
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/room_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -13,7 +13,7 @@
 class Clock;
 class DepartureSchedule;
 class EngineCalls;
-class LoadBook;
+class LoadTracker;
 class Logger;
 class MessageCodec;
 class Metrics;
@@ -36,7 +36,7 @@
   Metrics& metrics;
   const MessageCodec& codec;
   EngineCalls& engine_calls;
-  LoadBook& loads;
+  LoadTracker& loads;
   ServerHealth& health;
   ServerLimits& limits;
   const PathFinder& paths;
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -75,7 +75,7 @@
   m_server->OnViewChanged();
 }
 
-void ForwardingTraffic::SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) {
+void ForwardingTraffic::SetDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) {
   m_loads.SetDomainUses(domain, std::move(uses));
 }
 
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -13,7 +13,7 @@
 #include "zinnia_decisions/forwarding/admission/room_queue.h"
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_report.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
@@ -64,7 +64,7 @@
   ForwardServer& Server() { return *m_server; }
 
   void SetView(std::shared_ptr<const ForwardingView> view);
-  void SetDomainUses(const FailureDomainName& domain, LoadBook::Uses uses);
+  void SetDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses);
   void OnPeerStalls(const std::vector<StallReport>& stalls);
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
   void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers);
@@ -72,7 +72,7 @@
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
 
   /** What this instance has in flight, for its peers. */
-  const LoadBook::Uses& OwnUses() const { return m_loads.Own(); }
+  const LoadTracker::Uses& OwnUses() const { return m_loads.Own(); }
   std::vector<SlowdownReport> SlowServers() const { return m_health.SlowServers(); }
   std::vector<ServerLimitNews> TakeServerLimits() { return m_limits.TakeNews(); }
 
@@ -84,7 +84,7 @@
   const ForwardingTrafficParts m_parts;
   std::shared_ptr<const ForwardingView> m_view;
   RandomSource m_random;
-  LoadBook m_loads;
+  LoadTracker m_loads;
   ServerHealth m_health;
   HolderDivision m_limit_division;
   ServerLimits m_limits;
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -211,7 +211,7 @@
   ScheduleUpkeep();
 }
 
-void ForwardingDaemon::OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) {
+void ForwardingDaemon::OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) {
   m_traffic_thread->Post([this, domain, uses = std::move(uses)]() mutable {
     m_traffic->SetDomainUses(domain, std::move(uses));
   });
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -60,7 +60,7 @@
   void ScheduleUpkeep();
   void Upkeep();
 
-  void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) override;
+  void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) override;
   void OnPeerStalls(const std::vector<StallReport>& stalls) override;
   void OnPeerServerNews(const ServerStateReport& news) override;
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) override;
--- a/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
@@ -7,7 +7,7 @@
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_report.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/member_loads.h"
 #include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
 #include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
 #include "zinnia_decisions/forwarding/limits/server_limit_news.h"
@@ -29,11 +29,11 @@
   std::uint64_t revision = 0;
 
   /** What this instance has in flight; for the relays of its failure domain. */
-  LoadBook::Uses uses;
+  LoadTracker::Uses uses;
 
   /** From a relay to a member of its domain: the sum over the domain's other members, and now and
       then the sums over other domains. To relays of other domains: the sum over its own. */
-  std::map<FailureDomainName, LoadBook::Uses> domain_uses;
+  std::map<FailureDomainName, LoadTracker::Uses> domain_uses;
   std::vector<StallReport> stalls;
   std::vector<SlowdownReport> slow_servers;
   std::vector<ServerLimitNews> server_limits;
--- a/packages/zinnia_decisions/forwarding/beliefs/load_book.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 
 #include <algorithm>
 #include <cassert>
@@ -23,18 +23,18 @@
 
 }  // namespace
 
-bool LoadBook::HasJustStarted() const {
+bool LoadTracker::HasJustStarted() const {
   return m_clock.Now() - m_started_at < kFirstReportsDue;
 }
 
-LoadBook::RecentAdditions LoadBook::Decayed(const RecentAdditions& additions) const {
+LoadTracker::RecentAdditions LoadTracker::Decayed(const RecentAdditions& additions) const {
   const std::chrono::duration<double> age = m_clock.Now() - additions.changed_at;
   const double factor = std::exp(-age / kReportAge);
   return {m_clock.Now(), additions.requests * factor, additions.token_layers * factor,
           additions.begun * factor};
 }
 
-void LoadBook::Add(const BackendServerName& server, double token_layers, bool begins) {
+void LoadTracker::Add(const BackendServerName& server, double token_layers, bool begins) {
   ServerUse& use = m_own[server];
   ++use.requests;
   use.token_layers += token_layers;
@@ -47,7 +47,7 @@
   recent.begun += begins ? 1 : 0;
 }
 
-void LoadBook::Remove(const BackendServerName& server, double token_layers, bool begins) {
+void LoadTracker::Remove(const BackendServerName& server, double token_layers, bool begins) {
   const auto found = m_own.find(server);
   assert(found != m_own.end() && found->second.requests > 0 && "Remove without its Add");
   ServerUse& use = found->second;
@@ -61,12 +61,12 @@
   }
 }
 
-void LoadBook::SetDomainUses(const FailureDomainName& domain, Uses uses) {
+void LoadTracker::SetDomainUses(const FailureDomainName& domain, Uses uses) {
   m_domains[domain] = {m_clock.Now(), std::move(uses)};
   CountOthers();
 }
 
-void LoadBook::AddReports(const BackendServerName& server, ServerUse& sum) const {
+void LoadTracker::AddReports(const BackendServerName& server, ServerUse& sum) const {
   for (const auto& [domain, report] : m_domains) {
     const auto use = report.uses.find(server);
     if (use != report.uses.end() && m_clock.Now() - report.received_at <= kReportLifetime) {
@@ -80,12 +80,12 @@
 /** Callers are spread unevenly, and while instances restart in turn one may take a third of all
     traffic. Were each peer taken to choose as often as itself, it would count several requests of
     others for each of its own, and refuse for want of memory that nobody uses. */
-double LoadBook::OthersShare() const {
+double LoadTracker::OthersShare() const {
   const double share = static_cast<double>(m_others_begun) / std::max(1U, m_own_begun);
   return std::min(static_cast<double>(m_peer_count), share);
 }
 
-void LoadBook::CountOthers() {
+void LoadTracker::CountOthers() {
   std::erase_if(m_domains, [now = m_clock.Now()](const auto& report) {
     return now - report.second.received_at > kReportLifetime;
   });
@@ -99,7 +99,7 @@
 
 /** Peers that see the same loads choose the same server at the same time. Without this estimate all
     of them fill the best one until the next reports, and its requests wait for memory. */
-void LoadBook::AddUnreported(const BackendServerName& server, ServerUse& sum) const {
+void LoadTracker::AddUnreported(const BackendServerName& server, ServerUse& sum) const {
   const auto found = m_recent.find(server);
   if (found == m_recent.end()) {
     return;
@@ -111,7 +111,7 @@
   sum.begun += static_cast<std::uint32_t>(recent.begun * others);
 }
 
-ServerUse LoadBook::UseOf(const BackendServerName& server) const {
+ServerUse LoadTracker::UseOf(const BackendServerName& server) const {
   ServerUse own;
   const auto found = m_own.find(server);
   if (found != m_own.end()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/load_book.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
@@ -20,14 +20,14 @@
     After all instances ended together their callers all come back at once, before any report tells
     of it. For a moment after its start each takes its peers to choose as it does itself.
 */
-class LoadBook {
+class LoadTracker {
  public:
   /** A few times the interval at which the sums of other failure domains come. */
   static constexpr Duration kReportLifetime = std::chrono::seconds(3);
 
   using Uses = std::map<BackendServerName, ServerUse>;
 
-  explicit LoadBook(const Clock& clock) : m_clock(clock), m_started_at(clock.Now()) {}
+  explicit LoadTracker(const Clock& clock) : m_clock(clock), m_started_at(clock.Now()) {}
 
   /** `begins`: the request's path begins at the server. */
   void Add(const BackendServerName& server, double token_layers, bool begins = true);
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
@@ -5,15 +5,15 @@
 
 namespace zinnia {
 
-void MemberLoads::Set(const InstanceName& member, LoadBook::Uses uses) {
+void MemberLoads::Set(const InstanceName& member, LoadTracker::Uses uses) {
   m_members[member] = {m_clock.Now(), std::move(uses)};
 }
 
-LoadBook::Uses MemberLoads::Sum(const LoadBook::Uses& own) {
+LoadTracker::Uses MemberLoads::Sum(const LoadTracker::Uses& own) {
   std::erase_if(m_members, [now = m_clock.Now()](const auto& member) {
-    return now - member.second.first > LoadBook::kReportLifetime;
+    return now - member.second.first > LoadTracker::kReportLifetime;
   });
-  LoadBook::Uses sum = own;
+  LoadTracker::Uses sum = own;
   for (const auto& [member, said] : m_members) {
     for (const auto& [server, use] : said.second) {
       ServerUse& total = sum[server];
@@ -25,8 +25,9 @@
   return sum;
 }
 
-LoadBook::Uses MemberLoads::Without(const InstanceName& member, const LoadBook::Uses& sum) const {
-  LoadBook::Uses others = sum;
+LoadTracker::Uses MemberLoads::Without(const InstanceName& member,
+                                       const LoadTracker::Uses& sum) const {
+  LoadTracker::Uses others = sum;
   const auto said = m_members.find(member);
   if (said == m_members.end()) {
     return others;
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
@@ -21,17 +21,17 @@
  public:
   explicit MemberLoads(const Clock& clock) : m_clock(clock) {}
 
-  void Set(const InstanceName& member, LoadBook::Uses uses);
+  void Set(const InstanceName& member, LoadTracker::Uses uses);
 
-  /** What has not been renewed within LoadBook::kReportLifetime no longer counts. */
-  LoadBook::Uses Sum(const LoadBook::Uses& own);
+  /** What has not been renewed within LoadTracker::kReportLifetime no longer counts. */
+  LoadTracker::Uses Sum(const LoadTracker::Uses& own);
 
   /** `sum` without what this member said of itself. */
-  LoadBook::Uses Without(const InstanceName& member, const LoadBook::Uses& sum) const;
+  LoadTracker::Uses Without(const InstanceName& member, const LoadTracker::Uses& sum) const;
 
  private:
   const Clock& m_clock;
-  std::map<InstanceName, std::pair<TimePoint, LoadBook::Uses>> m_members;
+  std::map<InstanceName, std::pair<TimePoint, LoadTracker::Uses>> m_members;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -197,7 +197,7 @@
   report.uses = m_uses;
   if (sums_are_due) {
     for (const auto& [domain, uses] : m_other_domains) {
-      if (m_clock.Now() - uses.first < LoadBook::kReportLifetime) {
+      if (m_clock.Now() - uses.first < LoadTracker::kReportLifetime) {
         report.domain_uses[domain] = uses.second;
       }
     }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -25,7 +25,7 @@
   virtual ~ReportSink() = default;
 
   /** What the instances of a failure domain have in flight; of the own domain, all but this one. */
-  virtual void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses uses) = 0;
+  virtual void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
   virtual void OnPeerServerNews(const ServerStateReport& news) = 0;
   virtual void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) = 0;
@@ -78,7 +78,7 @@
   void Start();
 
   /** What to tell of this instance's traffic from now on. */
-  void SetUses(LoadBook::Uses own) { m_uses = std::move(own); }
+  void SetUses(LoadTracker::Uses own) { m_uses = std::move(own); }
 
   /** Tells peers, with the next reports to each, what a server said of its layers. */
   void TellServerNews(const ServerStateReport& news) {
@@ -156,16 +156,16 @@
   const ReportExchangeSettings m_settings;
   RelayDirectory m_relays;
   MemberLoads m_member_loads;
-  LoadBook::Uses m_uses;
+  LoadTracker::Uses m_uses;
 
   /** The sum over the own domain with this instance; a relay's. */
-  LoadBook::Uses m_domain_sum;
+  LoadTracker::Uses m_domain_sum;
   std::vector<SlowdownReport> m_slow_servers;
   std::vector<ServerLimitNews> m_server_limits;
   std::map<BackendServerName, std::pair<TimePoint, ServerStateReport>> m_server_news;
 
   /** A relay's: what the relays of other domains said of theirs, and when. */
-  std::map<FailureDomainName, std::pair<TimePoint, LoadBook::Uses>> m_other_domains;
+  std::map<FailureDomainName, std::pair<TimePoint, LoadTracker::Uses>> m_other_domains;
   std::map<BackendServerName, TimePoint> m_stalls;
   bool m_leaving = false;
   TimePoint m_started_at{};
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -6,7 +6,7 @@
 #include <map>
 
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -13,7 +13,7 @@
 namespace zinnia {
 
 class KeptConnections;
-class LoadBook;
+class LoadTracker;
 class PipeMeter;
 class ServerHealth;
 class ServerLimits;
@@ -61,7 +61,7 @@
 class PathFinder {
  public:
   /** All must outlive it. */
-  PathFinder(const LoadBook& loads,
+  PathFinder(const LoadTracker& loads,
              const ServerHealth& health,
              const ServerLimits& limits,
              const PipeMeter& pipe,
@@ -122,7 +122,7 @@
                                  const SearchSpace& space,
                                  const std::optional<PathPart>& first) const;
 
-  const LoadBook& m_loads;
+  const LoadTracker& m_loads;
   const ServerHealth& m_health;
   const ServerLimits& m_limits;
   const PipeMeter& m_pipe;
--- a/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
@@ -4,7 +4,7 @@
 #include <limits>
 
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 
--- a/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.h
@@ -8,7 +8,7 @@
 
 namespace zinnia {
 
-class LoadBook;
+class LoadTracker;
 class ServerHealth;
 class ServerLimits;
 struct ForwardingView;
@@ -18,7 +18,7 @@
 class PlainServerChooser {
  public:
   /** All must outlive it. */
-  PlainServerChooser(const LoadBook& loads,
+  PlainServerChooser(const LoadTracker& loads,
                      const ServerHealth& health,
                      const ServerLimits& limits,
                      RandomSource& random)
@@ -32,7 +32,7 @@
                                           const std::set<BackendServerName>& avoided) const;
 
  private:
-  const LoadBook& m_loads;
+  const LoadTracker& m_loads;
   const ServerHealth& m_health;
   const ServerLimits& m_limits;
   RandomSource& m_random;
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/paths/reading_time.h"
 
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -11,7 +11,7 @@
 namespace zinnia {
 
 class Clock;
-class LoadBook;
+class LoadTracker;
 class ServerHealth;
 struct ForwardingView;
 
@@ -42,7 +42,7 @@
   /** All must outlive it. */
   RecoveryChooser(const Clock& clock,
                   const PathFinder& paths,
-                  const LoadBook& loads,
+                  const LoadTracker& loads,
                   const ServerHealth& health)
       : m_paths(paths), m_loads(loads), m_health(health), m_backlog(clock) {}
 
@@ -68,7 +68,7 @@
                    const PathPart& part) const;
 
   const PathFinder& m_paths;
-  const LoadBook& m_loads;
+  const LoadTracker& m_loads;
   const ServerHealth& m_health;
   ReadingBacklog m_backlog;
 };
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -41,7 +41,7 @@
                   std::function<void(Result<MirrorDelta>)>) override {}
   };
   struct Sink final : ReportSink {
-    void OnDomainUses(const FailureDomainName&, LoadBook::Uses) override {}
+    void OnDomainUses(const FailureDomainName&, LoadTracker::Uses) override {}
     void OnPeerStalls(const std::vector<StallReport>&) override {}
     void OnPeerServerNews(const ServerStateReport&) override {}
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
@@ -46,7 +46,7 @@
           random(number + 1) {
       loads.SetPeerCount(kInstances - 1);
     }
-    LoadBook loads;
+    LoadTracker loads;
     ServerHealth health;
     HolderDivision division;
     ServerLimits limits;
@@ -84,7 +84,7 @@
   }
 
   void Report() {
-    LoadBook::Uses sum;
+    LoadTracker::Uses sum;
     for (const auto& chooser : choosers) {
       for (const auto& [server, use] : chooser->loads.Own()) {
         sum[server].requests += use.requests;
@@ -93,7 +93,7 @@
       }
     }
     for (const auto& chooser : choosers) {
-      LoadBook::Uses others = sum;
+      LoadTracker::Uses others = sum;
       for (const auto& [server, use] : chooser->loads.Own()) {
         others[server].requests -= use.requests;
         others[server].token_layers -= use.token_layers;
@@ -247,7 +247,7 @@
 // Symptom: an instance refuses requests that fit. Cause: peers that do little are taken, for ever,
 // for peers that do as much as itself.
 TEST(Crowd, PeersAreGuessedOnlyForAMomentAfterTheStart) {
-  LoadBook& loads = choosers[0]->loads;
+  LoadTracker& loads = choosers[0]->loads;
   loads.Add("s", 100);
   CHECK_TRUE(loads.UseOf("s").token_layers > 1'000);
   time.AdvanceBy(seconds(4));
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -28,7 +28,7 @@
     std::optional<MirrorDelta> answers_to_fetches;
   };
   struct Sink final : ReportSink {
-    void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses reported) override {
+    void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
       uses[domain] = std::move(reported);
     }
     void OnPeerStalls(const std::vector<StallReport>& heard) override {
@@ -42,7 +42,7 @@
     }
     std::vector<ServerLimitNews> limits;
     void OnPeerServerNews(const ServerStateReport& heard) override { layers.push_back(heard); }
-    std::map<InstanceName, LoadBook::Uses> uses;
+    std::map<InstanceName, LoadTracker::Uses> uses;
     std::vector<std::string> stalls;
     std::vector<SlowdownReport> slow;
     std::vector<ServerStateReport> layers;
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/probe_round.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
@@ -17,7 +17,7 @@
 
 TEST_GROUP(Paths) {
   VirtualTime time;
-  LoadBook loads{time};
+  LoadTracker loads{time};
   ServerHealth health{time};
   HolderDivision division;
   ServerLimits limits{time, division, "self"};
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/pipe_meter.h"
 #include "zinnia_decisions/forwarding/beliefs/reading_backlog.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
@@ -20,7 +20,7 @@
 
 TEST_GROUP(Recovery) {
   VirtualTime time;
-  LoadBook loads{time};
+  LoadTracker loads{time};
   ServerHealth health{time};
   HolderDivision division;
   ServerLimits limits{time, division, "self"};
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -40,7 +40,7 @@
     ++sent;
     deliver(peer, report, std::move(callback));
   }
-  void OnDomainUses(const FailureDomainName& domain, LoadBook::Uses reported) override {
+  void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
     uses[domain] = std::move(reported);
   }
   void OnPeerStalls(const std::vector<StallReport>& heard) override {
@@ -65,7 +65,7 @@
   InstanceDirectory instances;
   ReportExchange news;
   Deliver deliver;
-  std::map<FailureDomainName, LoadBook::Uses> uses;
+  std::map<FailureDomainName, LoadTracker::Uses> uses;
   std::vector<std::string> stalls;
   /** What it believes that the instances of a domain have in flight at the server "s". */
   std::uint32_t Requests(const FailureDomainName& domain) const {
@@ -265,9 +265,9 @@
   MemberLoads loads(time);
   loads.Set("a", {{"s", {2, 20.0, 1}}, {"only", {1, 5.0, 1}}});
   loads.Set("b", {{"s", {3, 30.0, 0}}});
-  const LoadBook::Uses sum = loads.Sum({{"s", {1, 10.0, 1}}});
+  const LoadTracker::Uses sum = loads.Sum({{"s", {1, 10.0, 1}}});
   CHECK_EQUAL(6U, sum.at("s").requests);
-  const LoadBook::Uses others = loads.Without("a", sum);
+  const LoadTracker::Uses others = loads.Without("a", sum);
   CHECK_EQUAL(4U, others.at("s").requests);
   DOUBLES_EQUAL(40.0, others.at("s").token_layers, 1e-9);
   CHECK_FALSE(others.contains("only"));
--- a/tests/forwarding/requests_test.cc
+++ b/tests/forwarding/requests_test.cc
@@ -1,5 +1,5 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/load_book.h"
+#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
 #include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/event_splitter.h"
 #include "zinnia_decisions/forwarding/limits/holder_division.h"
@@ -200,7 +200,7 @@
 
 TEST_GROUP(ServerChoice) {
   VirtualTime time;
-  LoadBook loads{time};
+  LoadTracker loads{time};
   ServerHealth health{time};
   HolderDivision division;
   ServerLimits limits{time, division, "self"};
