--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -91,7 +91,7 @@
   auto slow = to.initSlowServers(static_cast<unsigned>(report.slow_servers.size()));
   for (unsigned index = 0; index < report.slow_servers.size(); ++index) {
     slow[index].setServer(report.slow_servers[index].server);
-    slow[index].setPace(static_cast<float>(report.slow_servers[index].pace));
+    slow[index].setPace(static_cast<float>(report.slow_servers[index].slowdown_factor));
     slow[index].setAgeMs(static_cast<std::uint32_t>(report.slow_servers[index].age.count()));
   }
   auto limits = to.initServerLimits(static_cast<unsigned>(report.server_limits.size()));
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
@@ -136,7 +136,7 @@
   Record& record = Touch(news.server);
   const TimePoint known_at = m_clock.Now() - news.age;
   if (!record.pace_known_at || known_at >= *record.pace_known_at) {
-    record.pace = std::max(1.0, news.pace);
+    record.pace = std::max(1.0, news.slowdown_factor);
     record.pace_known_at = known_at;
   }
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/slowdown_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/slowdown_report.h
@@ -10,7 +10,7 @@
 /** How many times longer than usual a server says that its work takes, and how old its word is. */
 struct SlowdownReport {
   BackendServerName server;
-  double pace = 1.0;
+  double slowdown_factor = 1.0;
   std::chrono::milliseconds age{0};
 };
 
