--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -81,12 +81,12 @@
     row.setFailureDomain(domain);
     WriteUses(row.initUses(static_cast<unsigned>(uses.size())), uses);
   }
-  auto server_news = to.initLayers(static_cast<unsigned>(report.server_news.size()));
-  for (unsigned index = 0; index < report.server_news.size(); ++index) {
-    server_news[index].setServer(report.server_news[index].server);
-    server_news[index].setFirst(report.server_news[index].layers.first);
-    server_news[index].setEnd(report.server_news[index].layers.end);
-    server_news[index].setLeaving(report.server_news[index].leaving);
+  auto server_news = to.initLayers(static_cast<unsigned>(report.server_states.size()));
+  for (unsigned index = 0; index < report.server_states.size(); ++index) {
+    server_news[index].setServer(report.server_states[index].server);
+    server_news[index].setFirst(report.server_states[index].layers.first);
+    server_news[index].setEnd(report.server_states[index].layers.end);
+    server_news[index].setLeaving(report.server_states[index].leaving);
   }
   auto slow = to.initSlowServers(static_cast<unsigned>(report.slow_servers.size()));
   for (unsigned index = 0; index < report.slow_servers.size(); ++index) {
@@ -128,7 +128,7 @@
     report.domain_uses[ToText(domain.getFailureDomain())] = ReadUses(domain.getUses());
   }
   for (const auto news : from.getLayers()) {
-    report.server_news.push_back(
+    report.server_states.push_back(
         {ToText(news.getServer()), {news.getFirst(), news.getEnd()}, news.getLeaving()});
   }
   for (const auto slow : from.getSlowServers()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -39,7 +39,7 @@
   std::vector<ServerLimitNews> server_limits;
 
   /** Heard from servers lately, not from the store. */
-  std::vector<ServerStateReport> server_news;
+  std::vector<ServerStateReport> server_states;
 
   /** How long ago, at most, some instance was reading the store; over how many ways the word of it
       came plays no part. 0 from a reader that is in contact. Nothing: none is known. */
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -216,7 +216,7 @@
     return now - entry.second.first > kServerNewsLifetime;
   });
   for (const auto& [server, heard] : m_server_news) {
-    report.server_news.push_back(heard.second);
+    report.server_states.push_back(heard.second);
   }
   report.slow_servers = m_slow_servers;
   report.server_limits = m_server_limits;
@@ -371,7 +371,7 @@
                : MirrorDelta{};
   }
   TakeInLoads(report, report.instance.failure_domain == m_instances.Self().failure_domain);
-  for (const ServerStateReport& news : report.server_news) {
+  for (const ServerStateReport& news : report.server_states) {
     m_sink.OnPeerServerNews(news);
   }
   if (!report.slow_servers.empty()) {
--- a/tests/adapters/news_codec_test.cc
+++ b/tests/adapters/news_codec_test.cc
@@ -60,13 +60,13 @@
 
 TEST(NewsCodec, WhatAServerSaidOfItselfArrives) {
   InstanceReport report;
-  report.server_news = {{"s", {20, 40}, false}, {"t", {}, true}};
+  report.server_states = {{"s", {20, 40}, false}, {"t", {}, true}};
   const InstanceReport read = SendOver(report);
-  CHECK_EQUAL(2U, read.server_news.size());
-  CHECK_TRUE(read.server_news[0].layers == (LayerRange{20, 40}));
-  CHECK_FALSE(read.server_news[0].leaving);
-  STRCMP_EQUAL("t", read.server_news[1].server.c_str());
-  CHECK_TRUE(read.server_news[1].leaving);
+  CHECK_EQUAL(2U, read.server_states.size());
+  CHECK_TRUE(read.server_states[0].layers == (LayerRange{20, 40}));
+  CHECK_FALSE(read.server_states[0].leaving);
+  STRCMP_EQUAL("t", read.server_states[1].server.c_str());
+  CHECK_TRUE(read.server_states[1].leaving);
 }
 
 TEST(NewsCodec, SumsArriveByFailureDomain) {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -172,12 +172,12 @@
   Know({"peer"});
   news.TellServerNews({"s", {20, 40}});
   news.TellLeaving();
-  CHECK_EQUAL(1U, transport.sent.back().second.server_news.size());
+  CHECK_EQUAL(1U, transport.sent.back().second.server_states.size());
   time.AdvanceBy(seconds(1));
   news.TellLeaving();
-  CHECK_EQUAL(0U, transport.sent.back().second.server_news.size());
+  CHECK_EQUAL(0U, transport.sent.back().second.server_states.size());
   InstanceReport report = ReportOf("peer");
-  report.server_news = {{"other", {0, 5}}};
+  report.server_states = {{"other", {0, 5}}};
   news.OnNews(report);
   STRCMP_EQUAL("other", sink.layers.at(0).server.c_str());
 }
