--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -103,7 +103,7 @@
                 }));
 }
 
-void StoreMirror::SetReading(StoreReading reading, std::size_t live_instances) {
+void StoreMirror::SetWatchRole(StoreReading reading, std::size_t live_instances) {
   m_live_instances = live_instances;
   const StoreReading before = std::exchange(m_reading, reading);
   if (reading == before || !m_filled || reading == StoreReading::kNone) {
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -100,7 +100,7 @@
   void Start();
 
   /** Who reads for whom from now on, and how many instances live. */
-  void SetReading(StoreReading reading, std::size_t live_instances);
+  void SetWatchRole(StoreReading reading, std::size_t live_instances);
 
   /** Whether it asks the store by itself. */
   bool IsReading() const { return m_reading != StoreReading::kNone; }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -234,7 +234,7 @@
                         {"live_instances", std::to_string(m_instances.Live().size())},
                         {"reader_heard_ms", m_news.DescribeReaderAge()}});
   }
-  m_mirror.SetReading(reading, m_instances.Live().size());
+  m_mirror.SetWatchRole(reading, m_instances.Live().size());
 }
 
 /** Two hundred instances that look at a free lease together make six hundred calls, and all but one
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -141,7 +141,7 @@
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
         const bool reads = instance->is_alive && instance->news.ShouldRead();
-        instance->mirror.SetReading(
+        instance->mirror.SetWatchRole(
             !reads ? StoreReading::kNone
                    : (instance->news.IsNamedReader() ? StoreReading::kReader
                                                      : StoreReading::kSubstitute),
