--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -81,7 +81,7 @@
   void SetUses(LoadTracker::Uses own) { m_uses = std::move(own); }
 
   /** Tells peers, with the next reports to each, what a server said of its layers. */
-  void TellServerNews(const ServerStateReport& news) {
+  void AddServerState(const ServerStateReport& news) {
     m_server_news[news.server] = {m_clock.Now(), news};
   }
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -102,7 +102,7 @@
   // That a server leaves is believed at once: it may take seconds to notice that the store is away.
   const bool is_believed = news.leaving || !StoreIsSteady();
   if (is_believed && m_servers.NoteServerNews(news, [this] { PublishView(); })) {
-    m_news.TellServerNews(news);
+    m_news.AddServerState(news);
     PublishView();
   }
 }
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -170,7 +170,7 @@
 
 TEST(News, WhatAServerSaidOfItselfIsToldForAMoment) {
   Know({"peer"});
-  news.TellServerNews({"s", {20, 40}});
+  news.AddServerState({"s", {20, 40}});
   news.TellLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.server_states.size());
   time.AdvanceBy(seconds(1));
