--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -174,7 +174,7 @@
           },
           [this](std::vector<ServerLimitNews> limits, bool heard_here) {
             m_control_thread->Post([this, limits = std::move(limits), heard_here]() mutable {
-              m_control->News().TellServerLimits(std::move(limits), heard_here);
+              m_control->News().SendServerLimits(std::move(limits), heard_here);
             });
           },
           m_settings.instance});
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -280,7 +280,7 @@
   TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
 }
 
-void ReportExchange::TellServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
+void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
     TellOwnDomain();
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -94,7 +94,7 @@
   /** The same, told at once: the relays of all domains if it was heard here, who tell their
    * members.
    */
-  void TellServerLimits(std::vector<ServerLimitNews> limits, bool heard_here);
+  void SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here);
 
   /** Tells the relays of all domains at once, who tell their members: each millisecond later costs
       callers a pause, and a small instance would take long to tell two hundred peers itself. */
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -53,7 +53,7 @@
     const bool is_new = limits.empty();
     limits = heard;
     if (is_new) {
-      news.TellServerLimits(heard, false);
+      news.SendServerLimits(heard, false);
     }
   }
   void OnPeerPaces(const std::vector<SlowdownReport>&) override {}
@@ -214,7 +214,7 @@
 // learns of it. Cause: the news waited for the next report of each relay.
 // Guards against a server in need that goes on getting requests from instances that have not heard.
 TEST(Relays, AServersLimitReachesEveryInstanceWithinSomeMilliseconds) {
-  At(1, 3).news.TellServerLimits({{"s", 12.0, milliseconds(0)}}, true);
+  At(1, 3).news.SendServerLimits({{"s", 12.0, milliseconds(0)}}, true);
   time.AdvanceBy(milliseconds(20));
   // Its relays tell it back to the one that heard it.
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.limits.size() == 1; }));
