--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -165,7 +165,7 @@
           m_settings.departure_notice, Hash64(m_settings.instance, StartOf(m_clock)),
           [this](const BackendServerName& server) {
             m_control_thread->Post([this, server] {
-              m_control->News().TellStall(server);
+              m_control->News().SendStall(server);
               m_control->NoteStalled(server);
             });
           },
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -270,7 +270,7 @@
                        }));
 }
 
-void ReportExchange::TellStall(const BackendServerName& server) {
+void ReportExchange::SendStall(const BackendServerName& server) {
   const bool is_news = !m_stalls.contains(server);
   m_stalls[server] = m_clock.Now();
   if (!is_news) {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -98,7 +98,7 @@
 
   /** Tells the relays of all domains at once, who tell their members: each millisecond later costs
       callers a pause, and a small instance would take long to tell two hundred peers itself. */
-  void TellStall(const BackendServerName& server);
+  void SendStall(const BackendServerName& server);
 
   /** Tells those who rely on this instance at once how far the store's records are known now. */
   void TellAdvance();
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -151,8 +151,8 @@
 
 TEST(News, AStallGoesToPeersAtOnceAndOnlyOnce) {
   Know({"peer"});
-  news.TellStall("s");
-  news.TellStall("s");
+  news.SendStall("s");
+  news.SendStall("s");
   CHECK_EQUAL(1U, transport.sent.size());
   STRCMP_EQUAL("s", transport.sent[0].second.stalls[0].server.c_str());
 }
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -205,7 +205,7 @@
 // Symptom: streams of other domains wait for their own silence to notice a lost server. Sequence: a
 // member finds it. Cause: relays that keep the news to themselves.
 TEST(Relays, AStallReachesEveryInstanceWithinSomeMilliseconds) {
-  At(1, 3).news.TellStall("lost");
+  At(1, 3).news.SendStall("lost");
   time.AdvanceBy(milliseconds(8));
   CHECK_EQUAL(199, CountIf([](TestInstance& one) { return one.stalls.size() == 1; }));
 }
