--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -290,7 +290,7 @@
   }
 }
 
-void ReportExchange::TellAdvance() {
+void ReportExchange::SendRevision() {
   if (m_mirror.Revision() <= m_told_revision) {
     return;
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -101,7 +101,7 @@
   void SendStall(const BackendServerName& server);
 
   /** Tells those who rely on this instance at once how far the store's records are known now. */
-  void TellAdvance();
+  void SendRevision();
 
   void TellLeaving();
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -182,7 +182,7 @@
 
 void ForwardingControl::OnMirrorAdvanced() {
   PublishView();
-  m_news.TellAdvance();
+  m_news.SendRevision();
 }
 
 void ForwardingControl::PublishView() {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -248,8 +248,8 @@
 TEST(News, AReaderTellsItsDomainOfAChangeAtOnceAndOnlyOnce) {
   Know({"peer"});
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
-  news.TellAdvance();
-  news.TellAdvance();
+  news.SendRevision();
+  news.SendRevision();
   CHECK_EQUAL(1U, transport.sent.size());
   CHECK_EQUAL(9U, transport.sent[0].second.revision);
 }
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -224,14 +224,14 @@
   for (auto& [address, instance] : fleet) {
     if (instance->news.ShouldRead()) {
       instance->mirror.Merge({false, 9, {{"k", 9, "new"}}});
-      instance->news.TellAdvance();
+      instance->news.SendRevision();
       break;
     }
   }
   for (int step = 0; step < 40; ++step) {
     time.AdvanceBy(milliseconds(1));
     for (auto& [address, instance] : fleet) {
-      instance->news.TellAdvance();
+      instance->news.SendRevision();
     }
   }
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.mirror.Revision() == 9; }));
