--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -305,7 +305,7 @@
   }
 }
 
-void ReportExchange::TellLeaving() {
+void ReportExchange::SendLeaving() {
   m_leaving = true;
   TellOwnDomain();
   if (m_relays.IsRelay()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -103,7 +103,7 @@
   /** Tells those who rely on this instance at once how far the store's records are known now. */
   void SendRevision();
 
-  void TellLeaving();
+  void SendLeaving();
 
   /** Decides whether this instance waits for the store's changes: the readers of the fleet do, and
       every one that has not heard lately, over any number of relays, that some reader does. */
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -80,7 +80,7 @@
 
 void ForwardingControl::Stop() {
   m_timer.reset();
-  m_news.TellLeaving();
+  m_news.SendLeaving();
   for (auto& [service, placer] : m_placers) {
     placer->Stop();
   }
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -81,7 +81,7 @@
 
   /** What it tells peers now. */
   InstanceReport LastReport() {
-    news.TellLeaving();
+    news.SendLeaving();
     return transport.sent.back().second;
   }
 };
@@ -137,7 +137,7 @@
   Know({"peer"});
   transport.answer = MirrorDelta{false, 9, {}};
   transport.answers_to_fetches = MirrorDelta{false, 9, {{"k", 8, "new"}}};
-  news.TellLeaving();
+  news.SendLeaving();
   CHECK_EQUAL(2U, transport.sent.size());
   CHECK_EQUAL(8U, mirror.ChangesAfter(4).records.at(0).revision);
 }
@@ -160,7 +160,7 @@
 TEST(News, SlowServersAreToldAndHeard) {
   Know({"peer"});
   news.SetSlowServers({{"s", 5.0, milliseconds(10)}});
-  news.TellLeaving();
+  news.SendLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.slow_servers.size());
   InstanceReport report = ReportOf("peer");
   report.slow_servers = {{"other", 4.0, milliseconds(30)}};
@@ -171,10 +171,10 @@
 TEST(News, WhatAServerSaidOfItselfIsToldForAMoment) {
   Know({"peer"});
   news.AddServerState({"s", {20, 40}});
-  news.TellLeaving();
+  news.SendLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.server_states.size());
   time.AdvanceBy(seconds(1));
-  news.TellLeaving();
+  news.SendLeaving();
   CHECK_EQUAL(0U, transport.sent.back().second.server_states.size());
   InstanceReport report = ReportOf("peer");
   report.server_states = {{"other", {0, 5}}};
