--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -91,7 +91,7 @@
     AskSeeds();
   }
   if (m_relays.IsRelay()) {
-    TellAsRelay();
+    SendAsRelay();
   } else if (m_ticks % IntervalsBetweenMemberReports() == 0) {
     TellRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
@@ -109,7 +109,7 @@
   }
 }
 
-void ReportExchange::TellAsRelay() {
+void ReportExchange::SendAsRelay() {
   m_domain_sum = m_member_loads.Sum(m_uses);
   m_sink.OnDomainUses(m_instances.Self().failure_domain, m_member_loads.Sum({}));
   TellMembersInTurn();
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -125,7 +125,7 @@
 
   void Tick();
   void AskSeeds();
-  void TellAsRelay();
+  void SendAsRelay();
   InstanceReport MakeReport(Recipient recipient);
   void AddLoads(Recipient recipient, InstanceReport& report);
   void TellMembersInTurn();
