--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -112,7 +112,7 @@
 void ReportExchange::SendAsRelay() {
   m_domain_sum = m_member_loads.Sum(m_uses);
   m_sink.OnDomainUses(m_instances.Self().failure_domain, m_member_loads.Sum({}));
-  TellMembersInTurn();
+  SendToMembersInTurn();
   const auto far_intervals =
       static_cast<std::uint64_t>(m_settings.far_interval / m_settings.interval);
   if (m_relays.IsFirstRelay() && m_ticks % far_intervals == 0) {
@@ -121,7 +121,7 @@
 }
 
 /** A part of the members in each interval, so that a relay's work is even. */
-void ReportExchange::TellMembersInTurn() {
+void ReportExchange::SendToMembersInTurn() {
   const std::vector<Instance>& members = m_relays.Members();
   const std::size_t parts = IntervalsBetweenMemberReports();
   const std::size_t count = (members.size() + parts - 1) / parts;
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -128,7 +128,7 @@
   void SendAsRelay();
   InstanceReport MakeReport(Recipient recipient);
   void AddLoads(Recipient recipient, InstanceReport& report);
-  void TellMembersInTurn();
+  void SendToMembersInTurn();
   void TellMembers();
   void TellOwnDomain();
   void TellRelays(Recipient recipient, const std::vector<Instance>& relays);
