--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -132,7 +132,7 @@
   }
 }
 
-void ReportExchange::TellMembers() {
+void ReportExchange::SendToMembers() {
   const InstanceReport report = MakeReport(Recipient::kMember);
   for (const Instance& member : m_relays.Members()) {
     Send(member, KindOf(member), report);
@@ -142,7 +142,7 @@
 /** Itself or over its relays. */
 void ReportExchange::TellOwnDomain() {
   if (m_relays.IsRelay()) {
-    TellMembers();
+    SendToMembers();
   } else {
     TellRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
@@ -286,7 +286,7 @@
     TellOwnDomain();
     TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
   } else if (m_relays.IsRelay()) {
-    TellMembers();
+    SendToMembers();
   }
 }
 
@@ -296,7 +296,7 @@
   }
   m_told_revision = m_mirror.Revision();
   if (m_relays.IsRelay()) {
-    TellMembers();
+    SendToMembers();
   } else if (m_mirror.IsReading()) {
     TellRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
@@ -352,7 +352,7 @@
   }
   m_sink.OnPeerStalls(news);
   if (m_relays.IsRelay()) {
-    TellMembers();
+    SendToMembers();
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -129,7 +129,7 @@
   InstanceReport MakeReport(Recipient recipient);
   void AddLoads(Recipient recipient, InstanceReport& report);
   void SendToMembersInTurn();
-  void TellMembers();
+  void SendToMembers();
   void TellOwnDomain();
   void TellRelays(Recipient recipient, const std::vector<Instance>& relays);
   void Send(const Instance& peer, Recipient recipient, InstanceReport report);
