--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -140,7 +140,7 @@
 }
 
 /** Itself or over its relays. */
-void ReportExchange::TellOwnDomain() {
+void ReportExchange::SendToOwnDomain() {
   if (m_relays.IsRelay()) {
     SendToMembers();
   } else {
@@ -276,14 +276,14 @@
   if (!is_news) {
     return;
   }
-  TellOwnDomain();
+  SendToOwnDomain();
   TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
 }
 
 void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
-    TellOwnDomain();
+    SendToOwnDomain();
     TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
   } else if (m_relays.IsRelay()) {
     SendToMembers();
@@ -307,7 +307,7 @@
 
 void ReportExchange::SendLeaving() {
   m_leaving = true;
-  TellOwnDomain();
+  SendToOwnDomain();
   if (m_relays.IsRelay()) {
     TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -130,7 +130,7 @@
   void AddLoads(Recipient recipient, InstanceReport& report);
   void SendToMembersInTurn();
   void SendToMembers();
-  void TellOwnDomain();
+  void SendToOwnDomain();
   void TellRelays(Recipient recipient, const std::vector<Instance>& relays);
   void Send(const Instance& peer, Recipient recipient, InstanceReport report);
   Recipient KindOf(const Instance& peer) const;
