--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -93,7 +93,7 @@
   if (m_relays.IsRelay()) {
     SendAsRelay();
   } else if (m_ticks % IntervalsBetweenMemberReports() == 0) {
-    TellRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
+    SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
   ++m_ticks;
   m_timer = m_scheduler.ScheduleAfter(m_settings.interval, [this] { Tick(); });
@@ -116,7 +116,7 @@
   const auto far_intervals =
       static_cast<std::uint64_t>(m_settings.far_interval / m_settings.interval);
   if (m_relays.IsFirstRelay() && m_ticks % far_intervals == 0) {
-    TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
   }
 }
 
@@ -144,11 +144,11 @@
   if (m_relays.IsRelay()) {
     SendToMembers();
   } else {
-    TellRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
+    SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
 }
 
-void ReportExchange::TellRelays(Recipient recipient, const std::vector<Instance>& relays) {
+void ReportExchange::SendToRelays(Recipient recipient, const std::vector<Instance>& relays) {
   const InstanceReport report = MakeReport(recipient);
   for (const Instance& relay : relays) {
     Send(relay, recipient, report);
@@ -277,14 +277,14 @@
     return;
   }
   SendToOwnDomain();
-  TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
+  SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
 }
 
 void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
     SendToOwnDomain();
-    TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
   } else if (m_relays.IsRelay()) {
     SendToMembers();
   }
@@ -298,10 +298,10 @@
   if (m_relays.IsRelay()) {
     SendToMembers();
   } else if (m_mirror.IsReading()) {
-    TellRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
+    SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
   if (m_relays.IsReader()) {
-    TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
   }
 }
 
@@ -309,7 +309,7 @@
   m_leaving = true;
   SendToOwnDomain();
   if (m_relays.IsRelay()) {
-    TellRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -131,7 +131,7 @@
   void SendToMembersInTurn();
   void SendToMembers();
   void SendToOwnDomain();
-  void TellRelays(Recipient recipient, const std::vector<Instance>& relays);
+  void SendToRelays(Recipient recipient, const std::vector<Instance>& relays);
   void Send(const Instance& peer, Recipient recipient, InstanceReport report);
   Recipient KindOf(const Instance& peer) const;
 
