--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -291,10 +291,10 @@
 }
 
 void ReportExchange::SendRevision() {
-  if (m_mirror.Revision() <= m_told_revision) {
+  if (m_mirror.Revision() <= m_sent_revision) {
     return;
   }
-  m_told_revision = m_mirror.Revision();
+  m_sent_revision = m_mirror.Revision();
   if (m_relays.IsRelay()) {
     SendToMembers();
   } else if (m_mirror.IsReading()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -173,7 +173,7 @@
   std::optional<TimePoint> m_steady_seen_at;
   std::optional<TimePoint> m_fetch_began_at;
   std::uint64_t m_fetch_number = 0;
-  std::uint64_t m_told_revision = 0;
+  std::uint64_t m_sent_revision = 0;
   std::uint64_t m_ticks = 0;
   std::size_t m_next_member = 0;
   std::unique_ptr<ScheduledCall> m_timer;
