--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -212,10 +212,10 @@
   report.instance = m_instances.Self();
   report.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
   AddLoads(recipient, report);
-  std::erase_if(m_server_news, [now](const auto& entry) {
+  std::erase_if(m_server_states, [now](const auto& entry) {
     return now - entry.second.first > kServerNewsLifetime;
   });
-  for (const auto& [server, heard] : m_server_news) {
+  for (const auto& [server, heard] : m_server_states) {
     report.server_states.push_back(heard.second);
   }
   report.slow_servers = m_slow_servers;
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -82,7 +82,7 @@
 
   /** Tells peers, with the next reports to each, what a server said of its layers. */
   void AddServerState(const ServerStateReport& news) {
-    m_server_news[news.server] = {m_clock.Now(), news};
+    m_server_states[news.server] = {m_clock.Now(), news};
   }
 
   /** Servers that this instance knows to be slow, by its own questions or by peers. */
@@ -162,7 +162,7 @@
   LoadTracker::Uses m_domain_sum;
   std::vector<SlowdownReport> m_slow_servers;
   std::vector<ServerLimitNews> m_server_limits;
-  std::map<BackendServerName, std::pair<TimePoint, ServerStateReport>> m_server_news;
+  std::map<BackendServerName, std::pair<TimePoint, ServerStateReport>> m_server_states;
 
   /** A relay's: what the relays of other domains said of theirs, and when. */
   std::map<FailureDomainName, std::pair<TimePoint, LoadTracker::Uses>> m_other_domains;
