--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -224,7 +224,7 @@
   m_traffic_thread->Post([this, stalls] { m_traffic->OnPeerStalls(stalls); });
 }
 
-void ForwardingDaemon::OnPeerServerNews(const ServerStateReport& news) {
+void ForwardingDaemon::OnPeerServerState(const ServerStateReport& news) {
   m_control->NoteServerNews(news);
 }
 
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -62,7 +62,7 @@
 
   void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) override;
   void OnPeerStalls(const std::vector<StallReport>& stalls) override;
-  void OnPeerServerNews(const ServerStateReport& news) override;
+  void OnPeerServerState(const ServerStateReport& news) override;
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) override;
   void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) override;
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -372,7 +372,7 @@
   }
   TakeInLoads(report, report.instance.failure_domain == m_instances.Self().failure_domain);
   for (const ServerStateReport& news : report.server_states) {
-    m_sink.OnPeerServerNews(news);
+    m_sink.OnPeerServerState(news);
   }
   if (!report.slow_servers.empty()) {
     m_sink.OnPeerPaces(report.slow_servers);
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -27,7 +27,7 @@
   /** What the instances of a failure domain have in flight; of the own domain, all but this one. */
   virtual void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
-  virtual void OnPeerServerNews(const ServerStateReport& news) = 0;
+  virtual void OnPeerServerState(const ServerStateReport& news) = 0;
   virtual void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) = 0;
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -43,7 +43,7 @@
   struct Sink final : ReportSink {
     void OnDomainUses(const FailureDomainName&, LoadTracker::Uses) override {}
     void OnPeerStalls(const std::vector<StallReport>&) override {}
-    void OnPeerServerNews(const ServerStateReport&) override {}
+    void OnPeerServerState(const ServerStateReport&) override {}
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
     void OnPeerPaces(const std::vector<SlowdownReport>&) override {}
     std::vector<ServerLimitNews> limits;
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -41,7 +41,7 @@
       slow = slow_servers;
     }
     std::vector<ServerLimitNews> limits;
-    void OnPeerServerNews(const ServerStateReport& heard) override { layers.push_back(heard); }
+    void OnPeerServerState(const ServerStateReport& heard) override { layers.push_back(heard); }
     std::map<InstanceName, LoadTracker::Uses> uses;
     std::vector<std::string> stalls;
     std::vector<SlowdownReport> slow;
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -48,7 +48,7 @@
       stalls.push_back(stall.server);
     }
   }
-  void OnPeerServerNews(const ServerStateReport&) override {}
+  void OnPeerServerState(const ServerStateReport&) override {}
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override {
     const bool is_new = limits.empty();
     limits = heard;
