--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -79,7 +79,7 @@
   m_loads.SetDomainUses(domain, std::move(uses));
 }
 
-void ForwardingTraffic::OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) {
+void ForwardingTraffic::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
   for (const SlowdownReport& news : slow_servers) {
     m_health.NotePace(news);
   }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -67,7 +67,7 @@
   void SetDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses);
   void OnPeerStalls(const std::vector<StallReport>& stalls);
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits);
-  void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers);
+  void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers);
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
 
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -228,8 +228,8 @@
   m_control->NoteServerNews(news);
 }
 
-void ForwardingDaemon::OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) {
-  m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerPaces(slow_servers); });
+void ForwardingDaemon::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
+  m_traffic_thread->Post([this, slow_servers] { m_traffic->OnPeerSlowdowns(slow_servers); });
 }
 
 void ForwardingDaemon::OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) {
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -64,7 +64,7 @@
   void OnPeerStalls(const std::vector<StallReport>& stalls) override;
   void OnPeerServerState(const ServerStateReport& news) override;
   void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) override;
-  void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) override;
+  void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) override;
 
   struct PlatformParts;
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -375,7 +375,7 @@
     m_sink.OnPeerServerState(news);
   }
   if (!report.slow_servers.empty()) {
-    m_sink.OnPeerPaces(report.slow_servers);
+    m_sink.OnPeerSlowdowns(report.slow_servers);
   }
   if (!report.server_limits.empty()) {
     m_sink.OnPeerServerLimits(report.server_limits);
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -28,7 +28,7 @@
   virtual void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
   virtual void OnPeerServerState(const ServerStateReport& news) = 0;
-  virtual void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) = 0;
+  virtual void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) = 0;
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
 
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -45,7 +45,7 @@
     void OnPeerStalls(const std::vector<StallReport>&) override {}
     void OnPeerServerState(const ServerStateReport&) override {}
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
-    void OnPeerPaces(const std::vector<SlowdownReport>&) override {}
+    void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
     std::vector<ServerLimitNews> limits;
   };
   struct Recorder final : DecisionRecorder {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -37,7 +37,7 @@
       }
     }
     void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
-    void OnPeerPaces(const std::vector<SlowdownReport>& slow_servers) override {
+    void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) override {
       slow = slow_servers;
     }
     std::vector<ServerLimitNews> limits;
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -56,7 +56,7 @@
       news.SendServerLimits(heard, false);
     }
   }
-  void OnPeerPaces(const std::vector<SlowdownReport>&) override {}
+  void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
   std::vector<ServerLimitNews> limits;
 
   HeldStore store;
