--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -220,7 +220,7 @@
 }
 
 StoreReading ForwardingControl::ReadingFor(bool is_placer) const {
-  if (is_placer || m_news.IsNamedReader()) {
+  if (is_placer || m_news.IsAssignedStoreWatcher()) {
     return StoreReading::kReader;
   }
   return m_news.ShouldRead() ? StoreReading::kSubstitute : StoreReading::kNone;
@@ -247,7 +247,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   const TimePoint since = m_orders_free_since.emplace(service, now).first->second;
-  return m_news.IsNamedReader() || now - since >= kReadersSeekFirst;
+  return m_news.IsAssignedStoreWatcher() || now - since >= kReadersSeekFirst;
 }
 
 void ForwardingControl::Tick() {
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -143,8 +143,8 @@
         const bool reads = instance->is_alive && instance->news.ShouldRead();
         instance->mirror.SetWatchRole(
             !reads ? StoreReading::kNone
-                   : (instance->news.IsNamedReader() ? StoreReading::kReader
-                                                     : StoreReading::kSubstitute),
+                   : (instance->news.IsAssignedStoreWatcher() ? StoreReading::kReader
+                                                              : StoreReading::kSubstitute),
             instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
           instance->store.AnswerWatch();
