--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -47,7 +47,7 @@
    */
   void Refresh(Duration silence_limit);
 
-  bool IsReader() const { return m_is_reader; }
+  bool IsStoreWatcher() const { return m_is_reader; }
   bool IsRelay() const { return m_is_relay; }
 
   /** Whether it tells other failure domains of its own: one does, since bytes between domains are
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -300,7 +300,7 @@
   } else if (m_mirror.IsReading()) {
     SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
-  if (m_relays.IsReader()) {
+  if (m_relays.IsStoreWatcher()) {
     SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
   }
 }
@@ -315,7 +315,7 @@
 
 bool ReportExchange::ShouldRead() const {
   const TimePoint last_word = m_reader_seen_at.value_or(m_started_at);
-  return m_relays.IsReader() || m_clock.Now() - last_word >= SilenceLimit();
+  return m_relays.IsStoreWatcher() || m_clock.Now() - last_word >= SilenceLimit();
 }
 
 bool ReportExchange::SomePeerIsSteady() const {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -113,7 +113,7 @@
   std::string DescribeReaderAge() const;
 
   /** Whether this instance is one of the fleet's readers. */
-  bool IsAssignedStoreWatcher() const { return m_relays.IsReader(); }
+  bool IsAssignedStoreWatcher() const { return m_relays.IsStoreWatcher(); }
 
   /** Whether some peer said lately that the store serves it without failures. */
   bool SomePeerIsSteady() const;
