--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -81,7 +81,7 @@
       }
     }
   }
-  m_is_reader = std::find(readers.begin(), readers.end(), self.name) != readers.end();
+  m_is_store_watcher = std::find(readers.begin(), readers.end(), self.name) != readers.end();
   std::erase_if(m_passed_over,
                 [&](const auto& entry) { return m_clock.Now() - entry.second > kPassedOverFor; });
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -47,7 +47,7 @@
    */
   void Refresh(Duration silence_limit);
 
-  bool IsStoreWatcher() const { return m_is_reader; }
+  bool IsStoreWatcher() const { return m_is_store_watcher; }
   bool IsRelay() const { return m_is_relay; }
 
   /** Whether it tells other failure domains of its own: one does, since bytes between domains are
@@ -79,7 +79,7 @@
 
   /** Passed over since then. */
   Times m_passed_over;
-  bool m_is_reader = true;
+  bool m_is_store_watcher = true;
   bool m_is_relay = true;
   bool m_is_first_relay = true;
 };
