--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -76,7 +76,7 @@
   std::vector<InstanceName> readers;
   for (std::size_t rank = 0; rank < kRelaysOfDomain; ++rank) {
     for (const std::vector<Instance>& of_domain : relays) {
-      if (rank < of_domain.size() && readers.size() < kReadersOfFleet) {
+      if (rank < of_domain.size() && readers.size() < kStoreWatchersPerFleet) {
         readers.push_back(of_domain[rank].name);
       }
     }
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -33,7 +33,7 @@
 class RelayDirectory {
  public:
   /** Three, so that the store may refuse a third of all instances and mostly still tells one. */
-  static constexpr std::size_t kReadersOfFleet = 3;
+  static constexpr std::size_t kStoreWatchersPerFleet = 3;
 
   /** Two, so that members need not wait for a replacement while one restarts. */
   static constexpr std::size_t kRelaysOfDomain = 2;
