--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -56,7 +56,7 @@
       return should_talk && instance.name != self.name &&
              IsSilent(instance, expected_before, silence_limit);
     };
-    relays.push_back(FirstOf(ranked, kRelaysOfDomain, is_passed_over));
+    relays.push_back(FirstOf(ranked, kRelaysPerDomain, is_passed_over));
     for (const Instance& relay : relays.back()) {
       const bool is_self = relay.name == self.name;
       m_is_relay = m_is_relay || is_self;
@@ -74,7 +74,7 @@
     }
   }
   std::vector<InstanceName> readers;
-  for (std::size_t rank = 0; rank < kRelaysOfDomain; ++rank) {
+  for (std::size_t rank = 0; rank < kRelaysPerDomain; ++rank) {
     for (const std::vector<Instance>& of_domain : relays) {
       if (rank < of_domain.size() && readers.size() < kStoreWatchersPerFleet) {
         readers.push_back(of_domain[rank].name);
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -36,7 +36,7 @@
   static constexpr std::size_t kStoreWatchersPerFleet = 3;
 
   /** Two, so that members need not wait for a replacement while one restarts. */
-  static constexpr std::size_t kRelaysOfDomain = 2;
+  static constexpr std::size_t kRelaysPerDomain = 2;
 
   /** Both must outlive it. */
   RelayDirectory(const Clock& clock, const InstanceDirectory& instances)
