--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::string_view NameOf(StoreReading reading) {
+std::string_view NameOf(StoreWatchRole reading) {
   return kReadingNames[static_cast<std::size_t>(reading)];
 }
 
@@ -83,7 +83,7 @@
 }
 
 void StoreMirror::WatchAfter(std::chrono::milliseconds pause) {
-  if (m_reading == StoreReading::kNone) {
+  if (m_reading == StoreWatchRole::kNone) {
     m_timer.reset();
   } else if (pause.count() == 0) {
     Watch();
@@ -103,15 +103,15 @@
                 }));
 }
 
-void StoreMirror::SetWatchRole(StoreReading reading, std::size_t live_instances) {
+void StoreMirror::SetWatchRole(StoreWatchRole reading, std::size_t live_instances) {
   m_live_instances = live_instances;
-  const StoreReading before = std::exchange(m_reading, reading);
-  if (reading == before || !m_filled || reading == StoreReading::kNone) {
+  const StoreWatchRole before = std::exchange(m_reading, reading);
+  if (reading == before || !m_filled || reading == StoreWatchRole::kNone) {
     return;
   }
-  if (reading == StoreReading::kReader) {
+  if (reading == StoreWatchRole::kReader) {
     Watch();
-  } else if (before == StoreReading::kNone) {
+  } else if (before == StoreWatchRole::kNone) {
     const double spread = m_settings.place * static_cast<double>(m_live_instances);
     WatchAfter(std::chrono::duration_cast<std::chrono::milliseconds>(
         m_settings.first_try_per_instance * spread));
@@ -140,7 +140,7 @@
 }
 
 std::chrono::milliseconds StoreMirror::RetryPause() const {
-  if (m_reading == StoreReading::kReader) {
+  if (m_reading == StoreWatchRole::kReader) {
     return std::min(m_retry_pause, m_settings.longest_retry_pause);
   }
   const std::chrono::milliseconds spread = m_settings.retry_per_instance * m_live_instances;
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -28,7 +28,7 @@
 };
 
 /** On whose account a StoreMirror asks the store. */
-enum class StoreReading {
+enum class StoreWatchRole {
   /** Others do; their news is taken in by Merge. */
   kNone,
 
@@ -39,7 +39,7 @@
   kReader,
 };
 
-std::string_view NameOf(StoreReading reading);
+std::string_view NameOf(StoreWatchRole reading);
 
 /** Intervals of a StoreMirror. */
 struct StoreMirrorSettings {
@@ -100,10 +100,10 @@
   void Start();
 
   /** Who reads for whom from now on, and how many instances live. */
-  void SetWatchRole(StoreReading reading, std::size_t live_instances);
+  void SetWatchRole(StoreWatchRole reading, std::size_t live_instances);
 
   /** Whether it asks the store by itself. */
-  bool IsReading() const { return m_reading != StoreReading::kNone; }
+  bool IsReading() const { return m_reading != StoreWatchRole::kNone; }
 
   /** Whether this instance acts on what servers say. */
   void SetIsPlacer(bool is_placer) { m_is_placer = is_placer; }
@@ -156,7 +156,7 @@
   std::chrono::milliseconds m_retry_pause;
   std::optional<TimePoint> m_last_failure;
   std::optional<TimePoint> m_last_contact;
-  StoreReading m_reading = StoreReading::kReader;
+  StoreWatchRole m_reading = StoreWatchRole::kReader;
   std::size_t m_live_instances = 1;
   bool m_is_placer = false;
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -219,14 +219,14 @@
   }
 }
 
-StoreReading ForwardingControl::ReadingFor(bool is_placer) const {
+StoreWatchRole ForwardingControl::ReadingFor(bool is_placer) const {
   if (is_placer || m_news.IsAssignedStoreWatcher()) {
-    return StoreReading::kReader;
+    return StoreWatchRole::kReader;
   }
-  return m_news.ShouldRead() ? StoreReading::kSubstitute : StoreReading::kNone;
+  return m_news.ShouldRead() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
 }
 
-void ForwardingControl::SetReading(StoreReading reading) {
+void ForwardingControl::SetReading(StoreWatchRole reading) {
   if (reading != m_reading) {
     m_reading = reading;
     m_parts.logger.Log(LogLevel::kInfo, "store_reading",
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -77,8 +77,8 @@
   bool StoreIsSteady() const;
   void PublishView();
   void Tick();
-  StoreReading ReadingFor(bool is_placer) const;
-  void SetReading(StoreReading reading);
+  StoreWatchRole ReadingFor(bool is_placer) const;
+  void SetReading(StoreWatchRole reading);
   bool MaySeekOrders(const ServiceName& service);
   void UpdatePlacers();
 
@@ -99,7 +99,7 @@
   std::shared_ptr<const ForwardingView> m_view;
   std::unique_ptr<ScheduledCall> m_timer;
   std::uint64_t m_ticks = 0;
-  StoreReading m_reading = StoreReading::kReader;
+  StoreWatchRole m_reading = StoreWatchRole::kReader;
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -81,18 +81,18 @@
     }
     return calls;
   };
-  mirror.SetWatchRole(StoreReading::kSubstitute, 9);
+  mirror.SetWatchRole(StoreWatchRole::kSubstitute, 9);
   CHECK_TRUE(calls_in_ten_seconds() <= 9);
-  mirror.SetWatchRole(StoreReading::kSubstitute, 200);
+  mirror.SetWatchRole(StoreWatchRole::kSubstitute, 200);
   CHECK_TRUE(calls_in_ten_seconds() <= 4);
-  mirror.SetWatchRole(StoreReading::kReader, 200);
+  mirror.SetWatchRole(StoreWatchRole::kReader, 200);
   CHECK_TRUE(calls_in_ten_seconds() >= 15);
 }
 
 // Symptom: a watch that hears of nothing costs two hundred instances a call each two seconds.
 // Sequence: a reader's word reaches all of them. Cause: each watches the store all the same.
 TEST(Mirror, WhoNeedNotReadMakesNoCalls) {
-  mirror.SetWatchRole(StoreReading::kNone, 200);
+  mirror.SetWatchRole(StoreWatchRole::kNone, 200);
   Watched();
   time.AdvanceBy(seconds(30));
   CHECK_EQUAL(0U, store.watches.size());
@@ -106,10 +106,10 @@
   settings.place = 0.5;
   HeldStore quiet{time};
   StoreMirror late{quiet, time, time, logger, settings};
-  late.SetWatchRole(StoreReading::kNone, 200);
+  late.SetWatchRole(StoreWatchRole::kNone, 200);
   late.Start();
   time.AdvanceBy(seconds(1));
-  late.SetWatchRole(StoreReading::kSubstitute, 200);
+  late.SetWatchRole(StoreWatchRole::kSubstitute, 200);
   time.AdvanceBy(milliseconds(400));
   CHECK_EQUAL(0U, quiet.watches.size());
   time.AdvanceBy(milliseconds(200));
@@ -157,22 +157,22 @@
 // Symptom: a changed configuration is in force after six seconds. Sequence: the readers are lost,
 // and an instance that relied on them becomes one. Cause: it begins only after a pause.
 TEST(Mirror, ANewReaderWatchesAtOnce) {
-  mirror.SetWatchRole(StoreReading::kNone, 1);
+  mirror.SetWatchRole(StoreWatchRole::kNone, 1);
   Watched();
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(0U, store.watches.size());
   store.Put("a", "2");
-  mirror.SetWatchRole(StoreReading::kReader, 1);
+  mirror.SetWatchRole(StoreWatchRole::kReader, 1);
   CHECK_EQUAL(1U, store.watches.size());
   Watched();
   STRCMP_EQUAL("2", seen.values["a"]->c_str());
 }
 
 TEST(Mirror, ANewReaderThatPausesStartsOneWatchAndNotTwo) {
-  mirror.SetWatchRole(StoreReading::kSubstitute, 1);
+  mirror.SetWatchRole(StoreWatchRole::kSubstitute, 1);
   Watched();
   CHECK_EQUAL(0U, store.watches.size());
-  mirror.SetWatchRole(StoreReading::kReader, 1);
+  mirror.SetWatchRole(StoreWatchRole::kReader, 1);
   time.AdvanceBy(seconds(2));
   CHECK_EQUAL(1U, store.watches.size());
 }
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -142,9 +142,9 @@
       for (auto& [address, instance] : fleet) {
         const bool reads = instance->is_alive && instance->news.ShouldRead();
         instance->mirror.SetWatchRole(
-            !reads ? StoreReading::kNone
-                   : (instance->news.IsAssignedStoreWatcher() ? StoreReading::kReader
-                                                              : StoreReading::kSubstitute),
+            !reads ? StoreWatchRole::kNone
+                   : (instance->news.IsAssignedStoreWatcher() ? StoreWatchRole::kReader
+                                                              : StoreWatchRole::kSubstitute),
             instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
           instance->store.AnswerWatch();
