--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -109,7 +109,7 @@
   if (reading == before || !m_filled || reading == StoreWatchRole::kNone) {
     return;
   }
-  if (reading == StoreWatchRole::kReader) {
+  if (reading == StoreWatchRole::kStoreWatcher) {
     Watch();
   } else if (before == StoreWatchRole::kNone) {
     const double spread = m_settings.place * static_cast<double>(m_live_instances);
@@ -140,7 +140,7 @@
 }
 
 std::chrono::milliseconds StoreMirror::RetryPause() const {
-  if (m_reading == StoreWatchRole::kReader) {
+  if (m_reading == StoreWatchRole::kStoreWatcher) {
     return std::min(m_retry_pause, m_settings.longest_retry_pause);
   }
   const std::chrono::milliseconds spread = m_settings.retry_per_instance * m_live_instances;
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -36,7 +36,7 @@
   kSubstitute,
 
   /** The whole fleet's. */
-  kReader,
+  kStoreWatcher,
 };
 
 std::string_view NameOf(StoreWatchRole reading);
@@ -156,7 +156,7 @@
   std::chrono::milliseconds m_retry_pause;
   std::optional<TimePoint> m_last_failure;
   std::optional<TimePoint> m_last_contact;
-  StoreWatchRole m_reading = StoreWatchRole::kReader;
+  StoreWatchRole m_reading = StoreWatchRole::kStoreWatcher;
   std::size_t m_live_instances = 1;
   bool m_is_placer = false;
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -221,7 +221,7 @@
 
 StoreWatchRole ForwardingControl::ReadingFor(bool is_placer) const {
   if (is_placer || m_news.IsAssignedStoreWatcher()) {
-    return StoreWatchRole::kReader;
+    return StoreWatchRole::kStoreWatcher;
   }
   return m_news.ShouldRead() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
 }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -99,7 +99,7 @@
   std::shared_ptr<const ForwardingView> m_view;
   std::unique_ptr<ScheduledCall> m_timer;
   std::uint64_t m_ticks = 0;
-  StoreWatchRole m_reading = StoreWatchRole::kReader;
+  StoreWatchRole m_reading = StoreWatchRole::kStoreWatcher;
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -85,7 +85,7 @@
   CHECK_TRUE(calls_in_ten_seconds() <= 9);
   mirror.SetWatchRole(StoreWatchRole::kSubstitute, 200);
   CHECK_TRUE(calls_in_ten_seconds() <= 4);
-  mirror.SetWatchRole(StoreWatchRole::kReader, 200);
+  mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 200);
   CHECK_TRUE(calls_in_ten_seconds() >= 15);
 }
 
@@ -162,7 +162,7 @@
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(0U, store.watches.size());
   store.Put("a", "2");
-  mirror.SetWatchRole(StoreWatchRole::kReader, 1);
+  mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 1);
   CHECK_EQUAL(1U, store.watches.size());
   Watched();
   STRCMP_EQUAL("2", seen.values["a"]->c_str());
@@ -172,7 +172,7 @@
   mirror.SetWatchRole(StoreWatchRole::kSubstitute, 1);
   Watched();
   CHECK_EQUAL(0U, store.watches.size());
-  mirror.SetWatchRole(StoreWatchRole::kReader, 1);
+  mirror.SetWatchRole(StoreWatchRole::kStoreWatcher, 1);
   time.AdvanceBy(seconds(2));
   CHECK_EQUAL(1U, store.watches.size());
 }
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -143,7 +143,7 @@
         const bool reads = instance->is_alive && instance->news.ShouldRead();
         instance->mirror.SetWatchRole(
             !reads ? StoreWatchRole::kNone
-                   : (instance->news.IsAssignedStoreWatcher() ? StoreWatchRole::kReader
+                   : (instance->news.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
                                                               : StoreWatchRole::kSubstitute),
             instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
