--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -163,7 +163,7 @@
 }
 
 std::optional<milliseconds> ReportExchange::ReaderAge() const {
-  if (m_mirror.IsReading() && m_mirror.IsInContact()) {
+  if (m_mirror.IsWatching() && m_mirror.IsInContact()) {
     return milliseconds(0);
   }
   return AgeOf(m_reader_seen_at, m_clock.Now());
@@ -297,7 +297,7 @@
   m_sent_revision = m_mirror.Revision();
   if (m_relays.IsRelay()) {
     SendToMembers();
-  } else if (m_mirror.IsReading()) {
+  } else if (m_mirror.IsWatching()) {
     SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
   if (m_relays.IsStoreWatcher()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -103,7 +103,7 @@
   void SetWatchRole(StoreWatchRole reading, std::size_t live_instances);
 
   /** Whether it asks the store by itself. */
-  bool IsReading() const { return m_reading != StoreWatchRole::kNone; }
+  bool IsWatching() const { return m_reading != StoreWatchRole::kNone; }
 
   /** Whether this instance acts on what servers say. */
   void SetIsPlacer(bool is_placer) { m_is_placer = is_placer; }
