--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -21,7 +21,7 @@
 /** All keys: one watch for everything costs one call where one a prefix would cost several. */
 constexpr const char* kEverything = "";
 
-constexpr std::array<std::string_view, 3> kReadingNames = {"none", "substitute", "reader"};
+constexpr std::array<std::string_view, 3> kRoleNames = {"none", "substitute", "reader"};
 
 MirroredRecord FromStore(const StoreRecord& record) {
   return {record.key, record.version, record.value};
@@ -30,7 +30,7 @@
 }  // namespace
 
 std::string_view NameOf(StoreWatchRole reading) {
-  return kReadingNames[static_cast<std::size_t>(reading)];
+  return kRoleNames[static_cast<std::size_t>(reading)];
 }
 
 StoreMirror::StoreMirror(PlatformStore& store,
