--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -313,7 +313,7 @@
   }
 }
 
-bool ReportExchange::ShouldRead() const {
+bool ReportExchange::ShouldWatchStore() const {
   const TimePoint last_word = m_reader_seen_at.value_or(m_started_at);
   return m_relays.IsStoreWatcher() || m_clock.Now() - last_word >= SilenceLimit();
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -107,7 +107,7 @@
 
   /** Decides whether this instance waits for the store's changes: the readers of the fleet do, and
       every one that has not heard lately, over any number of relays, that some reader does. */
-  bool ShouldRead() const;
+  bool ShouldWatchStore() const;
 
   /** How long ago a reader is known to have been in contact, in ms, for the log. */
   std::string DescribeReaderAge() const;
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -223,7 +223,7 @@
   if (is_placer || m_news.IsAssignedStoreWatcher()) {
     return StoreWatchRole::kStoreWatcher;
   }
-  return m_news.ShouldRead() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
+  return m_news.ShouldWatchStore() ? StoreWatchRole::kSubstitute : StoreWatchRole::kNone;
 }
 
 void ForwardingControl::SetReading(StoreWatchRole reading) {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -214,14 +214,14 @@
   news.Start();
   hear("another");
   time.AdvanceBy(milliseconds(200));
-  CHECK_TRUE(news.ShouldRead());
+  CHECK_TRUE(news.ShouldWatchStore());
   hear("before");
   time.AdvanceBy(milliseconds(200));
-  CHECK_FALSE(news.ShouldRead());
+  CHECK_FALSE(news.ShouldWatchStore());
   time.AdvanceBy(milliseconds(700));
-  CHECK_FALSE(news.ShouldRead());
+  CHECK_FALSE(news.ShouldWatchStore());
   time.AdvanceBy(seconds(2));
-  CHECK_TRUE(news.ShouldRead());
+  CHECK_TRUE(news.ShouldWatchStore());
 }
 
 // Symptom: after the readers were lost, a configuration comes into force ten seconds late.
@@ -235,12 +235,12 @@
   time.AdvanceBy(milliseconds(400));
   report.reader_age = milliseconds(1'100);
   news.OnNews(report);
-  CHECK_FALSE(news.ShouldRead());
+  CHECK_FALSE(news.ShouldWatchStore());
   CHECK_EQUAL(1'100, LastReport().reader_age->count());
   time.AdvanceBy(milliseconds(200));
   report.reader_age = milliseconds(1'300);
   news.OnNews(report);
-  CHECK_TRUE(news.ShouldRead());
+  CHECK_TRUE(news.ShouldWatchStore());
 }
 
 // Symptom: a change is in force two seconds late on instances that do not read the store. Sequence:
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -140,7 +140,7 @@
   void Keep(Duration duration) {
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
-        const bool reads = instance->is_alive && instance->news.ShouldRead();
+        const bool reads = instance->is_alive && instance->news.ShouldWatchStore();
         instance->mirror.SetWatchRole(
             !reads ? StoreWatchRole::kNone
                    : (instance->news.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
@@ -169,9 +169,9 @@
 // instances read for their domains and the others watch every twenty seconds. Cause: duties by
 // domain and by name, without regard to the size of the fleet.
 TEST(Relays, ThreeInstancesOfMostReadForTheWholeFleet) {
-  CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.news.ShouldRead(); }));
+  CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.news.ShouldWatchStore(); }));
   CHECK_EQUAL(3, CountIf([](TestInstance& one) {
-                return one.news.ShouldRead() && one.instances.Self().link_mbps == 200;
+                return one.news.ShouldWatchStore() && one.instances.Self().link_mbps == 200;
               }));
 }
 
@@ -222,7 +222,7 @@
 
 TEST(Relays, AChangeThatAReaderHearsReachesEveryInstanceAtOnce) {
   for (auto& [address, instance] : fleet) {
-    if (instance->news.ShouldRead()) {
+    if (instance->news.ShouldWatchStore()) {
       instance->mirror.Merge({false, 9, {{"k", 9, "new"}}});
       instance->news.SendRevision();
       break;
@@ -245,18 +245,18 @@
   At(3, 0).news.SetUses({{"s", {5, 10.0, 5}}});
   Keep(seconds(4));
   CHECK_EQUAL(5U, At(3, 1).Requests("d3"));
-  CHECK_FALSE(At(3, 1).news.ShouldRead());
+  CHECK_FALSE(At(3, 1).news.ShouldWatchStore());
 }
 
 // Symptom: a fleet goes on with old servers. Sequence: all three readers are lost at once. Cause:
 // nobody takes their place.
 TEST(Relays, WhenAllReadersAreLostOthersRead) {
   for (auto& [address, instance] : fleet) {
-    instance->is_alive = !instance->news.ShouldRead();
+    instance->is_alive = !instance->news.ShouldWatchStore();
   }
   Keep(seconds(4));
   const auto readers =
-      CountIf([](TestInstance& one) { return one.is_alive && one.news.ShouldRead(); });
+      CountIf([](TestInstance& one) { return one.is_alive && one.news.ShouldWatchStore(); });
   CHECK_TRUE(readers >= 3);
   CHECK_TRUE(readers <= 5);
 }
