--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -169,7 +169,7 @@
   return AgeOf(m_reader_seen_at, m_clock.Now());
 }
 
-std::string ReportExchange::DescribeReaderAge() const {
+std::string ReportExchange::DescribeStoreWatcherAge() const {
   const auto age = AgeOf(m_reader_seen_at, m_clock.Now());
   return age ? std::to_string(age->count()) : "never";
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -110,7 +110,7 @@
   bool ShouldWatchStore() const;
 
   /** How long ago a reader is known to have been in contact, in ms, for the log. */
-  std::string DescribeReaderAge() const;
+  std::string DescribeStoreWatcherAge() const;
 
   /** Whether this instance is one of the fleet's readers. */
   bool IsAssignedStoreWatcher() const { return m_relays.IsStoreWatcher(); }
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -232,7 +232,7 @@
     m_parts.logger.Log(LogLevel::kInfo, "store_reading",
                        {{"as", std::string(NameOf(reading))},
                         {"live_instances", std::to_string(m_instances.Live().size())},
-                        {"reader_heard_ms", m_news.DescribeReaderAge()}});
+                        {"reader_heard_ms", m_news.DescribeStoreWatcherAge()}});
   }
   m_mirror.SetWatchRole(reading, m_instances.Live().size());
 }
