--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -68,9 +68,9 @@
   instance.setLinkMbps(report.instance.link_mbps);
   to.setRevision(report.revision);
   to.setLeaving(report.leaving);
-  to.setIsReader(report.reader_age == std::chrono::milliseconds(0));
+  to.setIsReader(report.store_watcher_age == std::chrono::milliseconds(0));
   to.setStoreIsSteady(report.steady_age == std::chrono::milliseconds(0));
-  to.setReaderAgeMs(WriteAge(report.reader_age));
+  to.setReaderAgeMs(WriteAge(report.store_watcher_age));
   to.setSteadyAgeMs(WriteAge(report.steady_age));
   to.setWithoutRecords(!report.wants_records);
   WriteUses(to.initUses(static_cast<unsigned>(report.uses.size())), report.uses);
@@ -120,7 +120,7 @@
   report.leaving = from.getLeaving();
   report.instance.cores = from.getInstance().getCores();
   report.instance.link_mbps = from.getInstance().getLinkMbps();
-  report.reader_age = ReadAge(from.getReaderAgeMs(), from.getIsReader());
+  report.store_watcher_age = ReadAge(from.getReaderAgeMs(), from.getIsReader());
   report.steady_age = ReadAge(from.getSteadyAgeMs(), from.getStoreIsSteady());
   report.wants_records = !from.getWithoutRecords();
   report.uses = ReadUses(from.getUses());
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -43,7 +43,7 @@
 
   /** How long ago, at most, some instance was reading the store; over how many ways the word of it
       came plays no part. 0 from a reader that is in contact. Nothing: none is known. */
-  std::optional<std::chrono::milliseconds> reader_age;
+  std::optional<std::chrono::milliseconds> store_watcher_age;
 
   /** The same of an instance that the store has answered without a failure for longer than lapsed
       entries need to return. */
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -221,7 +221,7 @@
   report.slow_servers = m_slow_servers;
   report.server_limits = m_server_limits;
   report.leaving = m_leaving;
-  report.reader_age = ReaderAge();
+  report.store_watcher_age = ReaderAge();
   report.steady_age = SteadyAge();
   for (const auto& [server, seen_at] : m_stalls) {
     report.stalls.push_back({server, duration_cast<milliseconds>(now - seen_at)});
@@ -363,7 +363,7 @@
   } else {
     m_instances.OnHeard(report.instance);
   }
-  TakeInAge(report.reader_age, now, m_reader_seen_at);
+  TakeInAge(report.store_watcher_age, now, m_reader_seen_at);
   TakeInAge(report.steady_age, now, m_steady_seen_at);
   if (report.wants_records) {
     return m_mirror.IsFilled() && report.revision < m_mirror.Revision()
--- a/tests/adapters/news_codec_test.cc
+++ b/tests/adapters/news_codec_test.cc
@@ -31,9 +31,9 @@
 
 TEST(NewsCodec, AgesOfWordsArriveAndMayBeUnknown) {
   InstanceReport report;
-  report.reader_age = milliseconds(730);
+  report.store_watcher_age = milliseconds(730);
   const InstanceReport read = SendOver(report);
-  CHECK_EQUAL(730, read.reader_age->count());
+  CHECK_EQUAL(730, read.store_watcher_age->count());
   CHECK_FALSE(read.steady_age.has_value());
 }
 
@@ -54,7 +54,7 @@
   auto older = message.initRoot<wire::NewsReport>();
   older.setIsReader(true);
   const InstanceReport read = news_codec::Read(older.asReader());
-  CHECK_EQUAL(0, read.reader_age->count());
+  CHECK_EQUAL(0, read.store_watcher_age->count());
   CHECK_FALSE(read.steady_age.has_value());
 }
 
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -208,7 +208,7 @@
 TEST(News, TheReadersReadAndTheOthersOnlyWhenTheyAreSilent) {
   const auto hear = [this](const char* name) {
     InstanceReport report = ReportOf(name);
-    report.reader_age = milliseconds(0);
+    report.store_watcher_age = milliseconds(0);
     news.OnNews(report);
   };
   news.Start();
@@ -230,15 +230,15 @@
 TEST(News, TheWordOfAReaderAgesOnItsWay) {
   Know({"another", "before"});
   InstanceReport report = ReportOf("another");
-  report.reader_age = milliseconds(700);
+  report.store_watcher_age = milliseconds(700);
   news.OnNews(report);
   time.AdvanceBy(milliseconds(400));
-  report.reader_age = milliseconds(1'100);
+  report.store_watcher_age = milliseconds(1'100);
   news.OnNews(report);
   CHECK_FALSE(news.ShouldWatchStore());
-  CHECK_EQUAL(1'100, LastReport().reader_age->count());
+  CHECK_EQUAL(1'100, LastReport().store_watcher_age->count());
   time.AdvanceBy(milliseconds(200));
-  report.reader_age = milliseconds(1'300);
+  report.store_watcher_age = milliseconds(1'300);
   news.OnNews(report);
   CHECK_TRUE(news.ShouldWatchStore());
 }
