--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -162,7 +162,7 @@
   return is_relay ? Recipient::kOwnRelay : Recipient::kMember;
 }
 
-std::optional<milliseconds> ReportExchange::ReaderAge() const {
+std::optional<milliseconds> ReportExchange::StoreWatcherAge() const {
   if (m_mirror.IsWatching() && m_mirror.IsInContact()) {
     return milliseconds(0);
   }
@@ -221,7 +221,7 @@
   report.slow_servers = m_slow_servers;
   report.server_limits = m_server_limits;
   report.leaving = m_leaving;
-  report.store_watcher_age = ReaderAge();
+  report.store_watcher_age = StoreWatcherAge();
   report.steady_age = SteadyAge();
   for (const auto& [server, seen_at] : m_stalls) {
     report.stalls.push_back({server, duration_cast<milliseconds>(now - seen_at)});
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -138,7 +138,7 @@
   /** How long a relay, or the word of a reader, may keep away before this instance helps itself. */
   Duration SilenceLimit() const;
   std::uint64_t IntervalsBetweenMemberReports() const;
-  std::optional<std::chrono::milliseconds> ReaderAge() const;
+  std::optional<std::chrono::milliseconds> StoreWatcherAge() const;
   std::optional<std::chrono::milliseconds> SteadyAge() const;
   void TakeInLoads(const InstanceReport& report, bool is_near);
   void TakeInStalls(const InstanceReport& report);
