--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -166,11 +166,11 @@
   if (m_mirror.IsWatching() && m_mirror.IsInContact()) {
     return milliseconds(0);
   }
-  return AgeOf(m_reader_seen_at, m_clock.Now());
+  return AgeOf(m_store_watcher_seen_at, m_clock.Now());
 }
 
 std::string ReportExchange::DescribeStoreWatcherAge() const {
-  const auto age = AgeOf(m_reader_seen_at, m_clock.Now());
+  const auto age = AgeOf(m_store_watcher_seen_at, m_clock.Now());
   return age ? std::to_string(age->count()) : "never";
 }
 
@@ -314,7 +314,7 @@
 }
 
 bool ReportExchange::ShouldWatchStore() const {
-  const TimePoint last_word = m_reader_seen_at.value_or(m_started_at);
+  const TimePoint last_word = m_store_watcher_seen_at.value_or(m_started_at);
   return m_relays.IsStoreWatcher() || m_clock.Now() - last_word >= SilenceLimit();
 }
 
@@ -363,7 +363,7 @@
   } else {
     m_instances.OnHeard(report.instance);
   }
-  TakeInAge(report.store_watcher_age, now, m_reader_seen_at);
+  TakeInAge(report.store_watcher_age, now, m_store_watcher_seen_at);
   TakeInAge(report.steady_age, now, m_steady_seen_at);
   if (report.wants_records) {
     return m_mirror.IsFilled() && report.revision < m_mirror.Revision()
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -169,7 +169,7 @@
   std::map<BackendServerName, TimePoint> m_stalls;
   bool m_leaving = false;
   TimePoint m_started_at{};
-  std::optional<TimePoint> m_reader_seen_at;
+  std::optional<TimePoint> m_store_watcher_seen_at;
   std::optional<TimePoint> m_steady_seen_at;
   std::optional<TimePoint> m_fetch_began_at;
   std::uint64_t m_fetch_number = 0;
