--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -318,7 +318,7 @@
   return m_relays.IsStoreWatcher() || m_clock.Now() - last_word >= SilenceLimit();
 }
 
-bool ReportExchange::SomePeerIsSteady() const {
+bool ReportExchange::AnyPeerSeesStableStore() const {
   return m_steady_seen_at && m_clock.Now() - *m_steady_seen_at < kSteadyNewsLifetime;
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -116,7 +116,7 @@
   bool IsAssignedStoreWatcher() const { return m_relays.IsStoreWatcher(); }
 
   /** Whether some peer said lately that the store serves it without failures. */
-  bool SomePeerIsSteady() const;
+  bool AnyPeerSeesStableStore() const;
 
   MirrorDelta OnNews(const InstanceReport& report) override;
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -94,7 +94,8 @@
 }
 
 bool ForwardingControl::StoreIsSteady() const {
-  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) || m_news.SomePeerIsSteady();
+  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) ||
+         m_news.AnyPeerSeesStableStore();
 }
 
 void ForwardingControl::NoteServerNews(const ServerStateReport& news) {
@@ -255,7 +256,7 @@
   bool is_placer = false;
   const bool renew = m_ticks++ % kTicksBetweenRenewals == 0;
   for (auto& [service, placer] : m_placers) {
-    placer->NoteStoreServesOthers(m_news.SomePeerIsSteady());
+    placer->NoteStoreServesOthers(m_news.AnyPeerSeesStableStore());
     if (renew) {
       placer->TickRole(MaySeekOrders(service));
     }
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -194,13 +194,13 @@
 // one instance and serves the others; the server leaves meanwhile. Cause: the refused instance
 // takes its own failures for an outage of the store.
 TEST(News, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
-  CHECK_FALSE(news.SomePeerIsSteady());
+  CHECK_FALSE(news.AnyPeerSeesStableStore());
   InstanceReport report = ReportOf("peer");
   report.steady_age = milliseconds(0);
   news.OnNews(report);
-  CHECK_TRUE(news.SomePeerIsSteady());
+  CHECK_TRUE(news.AnyPeerSeesStableStore());
   time.AdvanceBy(milliseconds(1'300));
-  CHECK_FALSE(news.SomePeerIsSteady());
+  CHECK_FALSE(news.AnyPeerSeesStableStore());
 }
 
 // Symptom: the store's rates are used up by waiting watches of eighty instances. Sequence: each
