--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -47,7 +47,7 @@
 
   /** The same of an instance that the store has answered without a failure for longer than lapsed
       entries need to return. */
-  std::optional<std::chrono::milliseconds> steady_age;
+  std::optional<std::chrono::milliseconds> stable_store_age;
 
   /** Whether the answer shall hold the store's records that the sender lacks. */
   bool wants_records = false;
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -222,7 +222,7 @@
   report.server_limits = m_server_limits;
   report.leaving = m_leaving;
   report.store_watcher_age = StoreWatcherAge();
-  report.steady_age = SteadyAge();
+  report.stable_store_age = SteadyAge();
   for (const auto& [server, seen_at] : m_stalls) {
     report.stalls.push_back({server, duration_cast<milliseconds>(now - seen_at)});
   }
@@ -364,7 +364,7 @@
     m_instances.OnHeard(report.instance);
   }
   TakeInAge(report.store_watcher_age, now, m_store_watcher_seen_at);
-  TakeInAge(report.steady_age, now, m_steady_seen_at);
+  TakeInAge(report.stable_store_age, now, m_steady_seen_at);
   if (report.wants_records) {
     return m_mirror.IsFilled() && report.revision < m_mirror.Revision()
                ? m_mirror.ChangesAfter(report.revision)
--- a/tests/adapters/news_codec_test.cc
+++ b/tests/adapters/news_codec_test.cc
@@ -34,7 +34,7 @@
   report.store_watcher_age = milliseconds(730);
   const InstanceReport read = SendOver(report);
   CHECK_EQUAL(730, read.store_watcher_age->count());
-  CHECK_FALSE(read.steady_age.has_value());
+  CHECK_FALSE(read.stable_store_age.has_value());
 }
 
 TEST(NewsCodec, LimitsOfServersAndTheirEndArrive) {
@@ -55,7 +55,7 @@
   older.setIsReader(true);
   const InstanceReport read = news_codec::Read(older.asReader());
   CHECK_EQUAL(0, read.store_watcher_age->count());
-  CHECK_FALSE(read.steady_age.has_value());
+  CHECK_FALSE(read.stable_store_age.has_value());
 }
 
 TEST(NewsCodec, WhatAServerSaidOfItselfArrives) {
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -196,7 +196,7 @@
 TEST(News, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
   CHECK_FALSE(news.AnyPeerSeesStableStore());
   InstanceReport report = ReportOf("peer");
-  report.steady_age = milliseconds(0);
+  report.stable_store_age = milliseconds(0);
   news.OnNews(report);
   CHECK_TRUE(news.AnyPeerSeesStableStore());
   time.AdvanceBy(milliseconds(1'300));
