--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -174,7 +174,7 @@
   return age ? std::to_string(age->count()) : "never";
 }
 
-std::optional<milliseconds> ReportExchange::SteadyAge() const {
+std::optional<milliseconds> ReportExchange::StableStoreAge() const {
   if (m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure)) {
     return milliseconds(0);
   }
@@ -222,7 +222,7 @@
   report.server_limits = m_server_limits;
   report.leaving = m_leaving;
   report.store_watcher_age = StoreWatcherAge();
-  report.stable_store_age = SteadyAge();
+  report.stable_store_age = StableStoreAge();
   for (const auto& [server, seen_at] : m_stalls) {
     report.stalls.push_back({server, duration_cast<milliseconds>(now - seen_at)});
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -139,7 +139,7 @@
   Duration SilenceLimit() const;
   std::uint64_t IntervalsBetweenMemberReports() const;
   std::optional<std::chrono::milliseconds> StoreWatcherAge() const;
-  std::optional<std::chrono::milliseconds> SteadyAge() const;
+  std::optional<std::chrono::milliseconds> StableStoreAge() const;
   void TakeInLoads(const InstanceReport& report, bool is_near);
   void TakeInStalls(const InstanceReport& report);
 
