--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -178,7 +178,7 @@
   if (m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure)) {
     return milliseconds(0);
   }
-  return AgeOf(m_steady_seen_at, m_clock.Now());
+  return AgeOf(m_stable_store_seen_at, m_clock.Now());
 }
 
 void ReportExchange::AddLoads(Recipient recipient, InstanceReport& report) {
@@ -319,7 +319,7 @@
 }
 
 bool ReportExchange::AnyPeerSeesStableStore() const {
-  return m_steady_seen_at && m_clock.Now() - *m_steady_seen_at < kSteadyNewsLifetime;
+  return m_stable_store_seen_at && m_clock.Now() - *m_stable_store_seen_at < kSteadyNewsLifetime;
 }
 
 void ReportExchange::TakeInLoads(const InstanceReport& report, bool is_near) {
@@ -364,7 +364,7 @@
     m_instances.OnHeard(report.instance);
   }
   TakeInAge(report.store_watcher_age, now, m_store_watcher_seen_at);
-  TakeInAge(report.stable_store_age, now, m_steady_seen_at);
+  TakeInAge(report.stable_store_age, now, m_stable_store_seen_at);
   if (report.wants_records) {
     return m_mirror.IsFilled() && report.revision < m_mirror.Revision()
                ? m_mirror.ChangesAfter(report.revision)
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -170,7 +170,7 @@
   bool m_leaving = false;
   TimePoint m_started_at{};
   std::optional<TimePoint> m_store_watcher_seen_at;
-  std::optional<TimePoint> m_steady_seen_at;
+  std::optional<TimePoint> m_stable_store_seen_at;
   std::optional<TimePoint> m_fetch_began_at;
   std::uint64_t m_fetch_number = 0;
   std::uint64_t m_sent_revision = 0;
