--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -32,7 +32,7 @@
 constexpr Duration kFetchPatience = milliseconds(700);
 
 /** The word of a steady store holds for some reports. */
-constexpr Duration kSteadyNewsLifetime = milliseconds(1'200);
+constexpr Duration kStableStoreLifetime = milliseconds(1'200);
 
 std::optional<milliseconds> AgeOf(const std::optional<TimePoint>& seen_at, TimePoint now) {
   if (!seen_at) {
@@ -319,7 +319,7 @@
 }
 
 bool ReportExchange::AnyPeerSeesStableStore() const {
-  return m_stable_store_seen_at && m_clock.Now() - *m_stable_store_seen_at < kSteadyNewsLifetime;
+  return m_stable_store_seen_at && m_clock.Now() - *m_stable_store_seen_at < kStableStoreLifetime;
 }
 
 void ReportExchange::TakeInLoads(const InstanceReport& report, bool is_near) {
