--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -175,7 +175,7 @@
 }
 
 std::optional<milliseconds> ReportExchange::StableStoreAge() const {
-  if (m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure)) {
+  if (m_mirror.IsStableFor(ServerDirectory::kDoubtAfterFailure)) {
     return milliseconds(0);
   }
   return AgeOf(m_stable_store_seen_at, m_clock.Now());
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -212,7 +212,7 @@
   return delta;
 }
 
-bool StoreMirror::IsSteadyFor(Duration duration) const {
+bool StoreMirror::IsStableFor(Duration duration) const {
   const TimePoint now = m_clock.Now();
   const bool heard_lately = m_last_contact && now - *m_last_contact <= kContactLifetime;
   return m_in_contact && heard_lately && (!m_last_failure || now - *m_last_failure >= duration);
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -127,7 +127,7 @@
   /** Whether the store answered lately, and has not failed a call of this mirror for `duration`.
      Not having asked is no sign of steadiness: taken for one, entries that lapsed in an outage
      would count as servers that left. */
-  bool IsSteadyFor(Duration duration) const;
+  bool IsStableFor(Duration duration) const;
 
  private:
   void List();
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -94,7 +94,7 @@
 }
 
 bool ForwardingControl::StoreIsSteady() const {
-  return m_mirror.IsSteadyFor(ServerDirectory::kDoubtAfterFailure) ||
+  return m_mirror.IsStableFor(ServerDirectory::kDoubtAfterFailure) ||
          m_news.AnyPeerSeesStableStore();
 }
 
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -56,15 +56,15 @@
 TEST(Mirror, GoesOnWatchingFromWhereItWasAfterAFailure) {
   const std::uint64_t before = mirror.Revision();
   store.FailWatch(ErrorKind::kStoreUnavailable);
-  CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_FALSE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(1));
   CHECK_EQUAL(before, store.last_watch_after);
   store.Put("a", "2");
   Watched();
   STRCMP_EQUAL("2", seen.values["a"]->c_str());
-  CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_FALSE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(2));
-  CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_TRUE(mirror.IsStableFor(seconds(2)));
 }
 
 // Symptom: an outage of the store costs two thousand calls. Sequence: no reader is in contact, so
@@ -121,9 +121,9 @@
 // they take lapsed entries for servers that left. Cause: silence taken for steadiness.
 TEST(Mirror, AStoreThatWasNotAskedLatelyIsNotSteady) {
   Watched();
-  CHECK_TRUE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_TRUE(mirror.IsStableFor(seconds(2)));
   time.AdvanceBy(seconds(3));
-  CHECK_FALSE(mirror.IsSteadyFor(seconds(2)));
+  CHECK_FALSE(mirror.IsStableFor(seconds(2)));
 }
 
 // Symptom: an old configuration comes into force again. Sequence: a peer that lags sends its
