--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 /** Stalls are told for this long; later ones have ended or lapsed. */
-constexpr Duration kStallNewsLifetime = std::chrono::seconds(1);
+constexpr Duration kStallReportLifetime = std::chrono::seconds(1);
 
 /** What a server said of its layers is told for this long: each peer gets a report in it. Whoever
     takes it in tells it too, so it must be short beside the time between two changes of a server.
@@ -207,7 +207,7 @@
 InstanceReport ReportExchange::MakeReport(Recipient recipient) {
   const TimePoint now = m_clock.Now();
   std::erase_if(m_stalls,
-                [now](const auto& stall) { return now - stall.second > kStallNewsLifetime; });
+                [now](const auto& stall) { return now - stall.second > kStallReportLifetime; });
   InstanceReport report;
   report.instance = m_instances.Self();
   report.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
