--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -20,7 +20,7 @@
 /** What a server said of its layers is told for this long: each peer gets a report in it. Whoever
     takes it in tells it too, so it must be short beside the time between two changes of a server.
  */
-constexpr Duration kServerNewsLifetime = milliseconds(600);
+constexpr Duration kServerStateLifetime = milliseconds(600);
 
 /** A reader's word reaches each member over at most two relays: their intervals, and this for calls
     on slow links and busy processors. A change must be in force within two seconds on small fleets,
@@ -213,7 +213,7 @@
   report.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
   AddLoads(recipient, report);
   std::erase_if(m_server_states, [now](const auto& entry) {
-    return now - entry.second.first > kServerNewsLifetime;
+    return now - entry.second.first > kServerStateLifetime;
   });
   for (const auto& [server, heard] : m_server_states) {
     report.server_states.push_back(heard.second);
