--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -25,7 +25,7 @@
 /** A reader's word reaches each member over at most two relays: their intervals, and this for calls
     on slow links and busy processors. A change must be in force within two seconds on small fleets,
     four on large ones, also where this instance has to read the store itself in the end. */
-constexpr Duration kSilenceBeyondIntervals = milliseconds(800);
+constexpr Duration kSilenceAllowance = milliseconds(800);
 
 /** A fetch of records that takes longer leaves the way free for one from another peer. A quarter of
     a megabyte takes a tenth of a second on a link of 20 Mbit/s that carries nothing else. */
@@ -82,7 +82,7 @@
 }
 
 Duration ReportExchange::SilenceLimit() const {
-  return kSilenceBeyondIntervals + 2 * m_settings.interval * IntervalsBetweenMemberReports();
+  return kSilenceAllowance + 2 * m_settings.interval * IntervalsBetweenMemberReports();
 }
 
 void ReportExchange::Tick() {
