--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -29,7 +29,7 @@
 
 /** A fetch of records that takes longer leaves the way free for one from another peer. A quarter of
     a megabyte takes a tenth of a second on a link of 20 Mbit/s that carries nothing else. */
-constexpr Duration kFetchPatience = milliseconds(700);
+constexpr Duration kFetchTimeout = milliseconds(700);
 
 /** The word of a steady store holds for some reports. */
 constexpr Duration kStableStoreLifetime = milliseconds(1'200);
@@ -250,7 +250,7 @@
 void ReportExchange::FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision) {
   const TimePoint now = m_clock.Now();
   const bool is_behind = revision > m_mirror.Revision() || (revision > 0 && !m_mirror.IsFilled());
-  if (!is_behind || (m_fetch_began_at && now - *m_fetch_began_at < kFetchPatience)) {
+  if (!is_behind || (m_fetch_began_at && now - *m_fetch_began_at < kFetchTimeout)) {
     return;
   }
   m_fetch_began_at = now;
