--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -41,9 +41,9 @@
   return duration_cast<milliseconds>(now - *seen_at);
 }
 
-void TakeInAge(const std::optional<milliseconds>& age,
-               TimePoint now,
-               std::optional<TimePoint>& seen_at) {
+void UpdateSeenAt(const std::optional<milliseconds>& age,
+                  TimePoint now,
+                  std::optional<TimePoint>& seen_at) {
   if (age && (!seen_at || now - *age > *seen_at)) {
     seen_at = now - *age;
   }
@@ -363,8 +363,8 @@
   } else {
     m_instances.OnHeard(report.instance);
   }
-  TakeInAge(report.store_watcher_age, now, m_store_watcher_seen_at);
-  TakeInAge(report.stable_store_age, now, m_stable_store_seen_at);
+  UpdateSeenAt(report.store_watcher_age, now, m_store_watcher_seen_at);
+  UpdateSeenAt(report.stable_store_age, now, m_stable_store_seen_at);
   if (report.wants_records) {
     return m_mirror.IsFilled() && report.revision < m_mirror.Revision()
                ? m_mirror.ChangesAfter(report.revision)
