--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -322,7 +322,7 @@
   return m_stable_store_seen_at && m_clock.Now() - *m_stable_store_seen_at < kStableStoreLifetime;
 }
 
-void ReportExchange::TakeInLoads(const InstanceReport& report, bool is_near) {
+void ReportExchange::ApplyLoads(const InstanceReport& report, bool is_near) {
   if (is_near) {
     m_member_loads.Set(report.instance.name, report.uses);
   }
@@ -370,7 +370,7 @@
                ? m_mirror.ChangesAfter(report.revision)
                : MirrorDelta{};
   }
-  TakeInLoads(report, report.instance.failure_domain == m_instances.Self().failure_domain);
+  ApplyLoads(report, report.instance.failure_domain == m_instances.Self().failure_domain);
   for (const ServerStateReport& news : report.server_states) {
     m_sink.OnPeerServerState(news);
   }
