--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -339,7 +339,7 @@
   }
 }
 
-void ReportExchange::TakeInStalls(const InstanceReport& report) {
+void ReportExchange::ApplyStalls(const InstanceReport& report) {
   std::vector<StallReport> news;
   for (const StallReport& stall : report.stalls) {
     if (!m_stalls.contains(stall.server)) {
@@ -380,7 +380,7 @@
   if (!report.server_limits.empty()) {
     m_sink.OnPeerServerLimits(report.server_limits);
   }
-  TakeInStalls(report);
+  ApplyStalls(report);
   if (!report.leaving) {
     FetchIfNewer(report.instance.peer_address, report.revision);
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -141,7 +141,7 @@
   std::optional<std::chrono::milliseconds> StoreWatcherAge() const;
   std::optional<std::chrono::milliseconds> StableStoreAge() const;
   void ApplyLoads(const InstanceReport& report, bool is_near);
-  void TakeInStalls(const InstanceReport& report);
+  void ApplyStalls(const InstanceReport& report);
 
   /** Called when `peer` turns out to know the store's records up to `revision`. */
   void FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision);
