--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -58,7 +58,7 @@
   const std::vector<Instance>& OwnRelays() const { return m_own_relays; }
 
   /** The relays of all other failure domains. */
-  const std::vector<Instance>& FarRelays() const { return m_far_relays; }
+  const std::vector<Instance>& RemoteRelays() const { return m_far_relays; }
 
   /** All instances of the own failure domain but this one. */
   const std::vector<Instance>& Members() const { return m_members; }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -87,7 +87,7 @@
 
 void ReportExchange::Tick() {
   m_relays.Refresh(SilenceLimit());
-  if (m_relays.Members().empty() && m_relays.FarRelays().empty()) {
+  if (m_relays.Members().empty() && m_relays.RemoteRelays().empty()) {
     AskSeeds();
   }
   if (m_relays.IsRelay()) {
@@ -116,7 +116,7 @@
   const auto far_intervals =
       static_cast<std::uint64_t>(m_settings.far_interval / m_settings.interval);
   if (m_relays.IsFirstRelay() && m_ticks % far_intervals == 0) {
-    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
   }
 }
 
@@ -277,14 +277,14 @@
     return;
   }
   SendToOwnDomain();
-  SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
+  SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
 }
 
 void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
     SendToOwnDomain();
-    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
   } else if (m_relays.IsRelay()) {
     SendToMembers();
   }
@@ -301,7 +301,7 @@
     SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
   if (m_relays.IsStoreWatcher()) {
-    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
   }
 }
 
@@ -309,7 +309,7 @@
   m_leaving = true;
   SendToOwnDomain();
   if (m_relays.IsRelay()) {
-    SendToRelays(Recipient::kFarRelay, m_relays.FarRelays());
+    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
   }
 }
 
