--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -40,7 +40,7 @@
     domains[instance.failure_domain].push_back(&instance);
   }
   m_own_relays.clear();
-  m_far_relays.clear();
+  m_remote_relays.clear();
   m_members.clear();
   const bool was_relay = m_is_relay;
   m_is_relay = false;
@@ -61,7 +61,7 @@
       const bool is_self = relay.name == self.name;
       m_is_relay = m_is_relay || is_self;
       if (!is_self) {
-        (is_own ? m_own_relays : m_far_relays).push_back(relay);
+        (is_own ? m_own_relays : m_remote_relays).push_back(relay);
       }
     }
     if (is_own) {
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -58,7 +58,7 @@
   const std::vector<Instance>& OwnRelays() const { return m_own_relays; }
 
   /** The relays of all other failure domains. */
-  const std::vector<Instance>& RemoteRelays() const { return m_far_relays; }
+  const std::vector<Instance>& RemoteRelays() const { return m_remote_relays; }
 
   /** All instances of the own failure domain but this one. */
   const std::vector<Instance>& Members() const { return m_members; }
@@ -71,7 +71,7 @@
   const Clock& m_clock;
   const InstanceDirectory& m_instances;
   std::vector<Instance> m_own_relays;
-  std::vector<Instance> m_far_relays;
+  std::vector<Instance> m_remote_relays;
   std::vector<Instance> m_members;
 
   /** Since when an instance is expected to talk to this one. */
