--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -116,7 +116,7 @@
   const auto far_intervals =
       static_cast<std::uint64_t>(m_settings.far_interval / m_settings.interval);
   if (m_relays.IsFirstRelay() && m_ticks % far_intervals == 0) {
-    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
+    SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   }
 }
 
@@ -191,7 +191,7 @@
   const bool sums_are_due =
       intervals == 1 || m_ticks / intervals % m_settings.reports_between_sums == 0;
   report.domain_uses[own] = m_domain_sum;
-  if (recipient == Recipient::kFarRelay) {
+  if (recipient == Recipient::kRemoteRelay) {
     return;
   }
   report.uses = m_uses;
@@ -232,7 +232,7 @@
 void ReportExchange::Send(const Instance& peer, Recipient recipient, InstanceReport report) {
   const FailureDomainName& own = m_instances.Self().failure_domain;
   const auto sum = report.domain_uses.find(own);
-  if (sum != report.domain_uses.end() && recipient != Recipient::kFarRelay) {
+  if (sum != report.domain_uses.end() && recipient != Recipient::kRemoteRelay) {
     sum->second = m_member_loads.Without(peer.name, sum->second);
   }
   if (recipient == Recipient::kMember && m_relays.IsRelay()) {
@@ -277,14 +277,14 @@
     return;
   }
   SendToOwnDomain();
-  SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
+  SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
 }
 
 void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
   SetServerLimits(std::move(limits));
   if (heard_here) {
     SendToOwnDomain();
-    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
+    SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   } else if (m_relays.IsRelay()) {
     SendToMembers();
   }
@@ -301,7 +301,7 @@
     SendToRelays(Recipient::kOwnRelay, m_relays.OwnRelays());
   }
   if (m_relays.IsStoreWatcher()) {
-    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
+    SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   }
 }
 
@@ -309,7 +309,7 @@
   m_leaving = true;
   SendToOwnDomain();
   if (m_relays.IsRelay()) {
-    SendToRelays(Recipient::kFarRelay, m_relays.RemoteRelays());
+    SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -121,7 +121,7 @@
   MirrorDelta OnNews(const InstanceReport& report) override;
 
  private:
-  enum class Recipient { kMember, kOwnRelay, kFarRelay };
+  enum class Recipient { kMember, kOwnRelay, kRemoteRelay };
 
   void Tick();
   void AskSeeds();
