--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -114,7 +114,7 @@
   m_sink.OnDomainUses(m_instances.Self().failure_domain, m_member_loads.Sum({}));
   SendToMembersInTurn();
   const auto far_intervals =
-      static_cast<std::uint64_t>(m_settings.far_interval / m_settings.interval);
+      static_cast<std::uint64_t>(m_settings.inter_domain_interval / m_settings.interval);
   if (m_relays.IsFirstRelay() && m_ticks % far_intervals == 0) {
     SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -45,7 +45,7 @@
 
   /** Between two reports to other domains: requests seldom leave theirs, and bytes between domains
       are dear. A reader's word must come often enough to be believed, see SilenceLimit. */
-  std::chrono::milliseconds far_interval{400};
+  std::chrono::milliseconds inter_domain_interval{400};
 
   /** Sums over other domains are in every so many of the reports to members that come less often
       than each interval. */
