--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -113,9 +113,9 @@
   m_domain_sum = m_member_loads.Sum(m_uses);
   m_sink.OnDomainUses(m_instances.Self().failure_domain, m_member_loads.Sum({}));
   SendToMembersInTurn();
-  const auto far_intervals =
+  const auto inter_domain_ticks =
       static_cast<std::uint64_t>(m_settings.inter_domain_interval / m_settings.interval);
-  if (m_relays.IsFirstRelay() && m_ticks % far_intervals == 0) {
+  if (m_relays.IsFirstRelay() && m_ticks % inter_domain_ticks == 0) {
     SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   }
 }
