--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -322,17 +322,17 @@
   return m_stable_store_seen_at && m_clock.Now() - *m_stable_store_seen_at < kStableStoreLifetime;
 }
 
-void ReportExchange::ApplyLoads(const InstanceReport& report, bool is_near) {
-  if (is_near) {
+void ReportExchange::ApplyLoads(const InstanceReport& report, bool is_same_domain) {
+  if (is_same_domain) {
     m_member_loads.Set(report.instance.name, report.uses);
   }
   const FailureDomainName& own = m_instances.Self().failure_domain;
   for (const auto& [domain, uses] : report.domain_uses) {
     // A relay adds up its own domain itself.
-    if (domain == own && (!is_near || m_relays.IsRelay())) {
+    if (domain == own && (!is_same_domain || m_relays.IsRelay())) {
       continue;
     }
-    if (!is_near) {
+    if (!is_same_domain) {
       m_other_domains[domain] = {m_clock.Now(), uses};
     }
     m_sink.OnDomainUses(domain, uses);
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -140,7 +140,7 @@
   std::uint64_t IntervalsBetweenMemberReports() const;
   std::optional<std::chrono::milliseconds> StoreWatcherAge() const;
   std::optional<std::chrono::milliseconds> StableStoreAge() const;
-  void ApplyLoads(const InstanceReport& report, bool is_near);
+  void ApplyLoads(const InstanceReport& report, bool is_same_domain);
   void ApplyStalls(const InstanceReport& report);
 
   /** Called when `peer` turns out to know the store's records up to `revision`. */
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.cc
@@ -5,21 +5,21 @@
 
 namespace zinnia {
 
-std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_near,
+std::vector<bool> FirstServerSampler::Draw(const std::vector<bool>& is_same_domain,
                                            const std::vector<bool>& has_connection) {
-  if (is_near.size() <= kFewFirstServers) {
-    return std::vector<bool>(is_near.size(), true);
+  if (is_same_domain.size() <= kFewFirstServers) {
+    return std::vector<bool>(is_same_domain.size(), true);
   }
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
   std::vector<std::size_t> connected;
-  for (std::size_t server = 0; server < is_near.size(); ++server) {
-    (is_near[server] ? near : far).push_back(server);
-    if (is_near[server] && has_connection[server]) {
+  for (std::size_t server = 0; server < is_same_domain.size(); ++server) {
+    (is_same_domain[server] ? near : far).push_back(server);
+    if (is_same_domain[server] && has_connection[server]) {
       connected.push_back(server);
     }
   }
-  std::vector<bool> drawn(is_near.size(), false);
+  std::vector<bool> drawn(is_same_domain.size(), false);
   // A domain without first servers of its own looks at as many elsewhere.
   const std::size_t missing = kNearLooks - std::min(kNearLooks, near.size());
   DrawFrom(std::move(near), kNearLooks, drawn);
--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -31,7 +31,8 @@
 
   /** Takes whether each first server is of the own failure domain, and whether there is an unused
       connection to it; gives whether it is looked at. */
-  std::vector<bool> Draw(const std::vector<bool>& is_near, const std::vector<bool>& has_connection);
+  std::vector<bool> Draw(const std::vector<bool>& is_same_domain,
+                         const std::vector<bool>& has_connection);
 
  private:
   void DrawFrom(std::vector<std::size_t> group, std::size_t count, std::vector<bool>& drawn);
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -404,20 +404,20 @@
 /** Nothing if the pool is small enough to be looked at whole. */
 std::optional<PathFinder::SearchSpace> PathFinder::DrawFew(const SearchSpace& space) const {
   std::vector<std::size_t> firsts;
-  std::vector<bool> is_near;
+  std::vector<bool> is_same_domain;
   std::vector<bool> has_connection;
   for (std::size_t index = 0; index < space.candidates.size(); ++index) {
     const Candidate& candidate = space.candidates[index];
     if (candidate.entry->layers.first == 0 && candidate.may_begin) {
       firsts.push_back(index);
-      is_near.push_back(candidate.domain == space.start_domain);
+      is_same_domain.push_back(candidate.domain == space.start_domain);
       has_connection.push_back(candidate.has_connection);
     }
   }
   if (firsts.size() <= FirstServerSampler::kFewFirstServers) {
     return std::nullopt;
   }
-  const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_near, has_connection);
+  const std::vector<bool> drawn = FirstServerSampler(m_random).Draw(is_same_domain, has_connection);
   SearchSpace few = space;
   std::set<std::size_t> domains;
   for (std::size_t first = 0; first < firsts.size(); ++first) {
--- a/tests/forwarding/crowd_test.cc
+++ b/tests/forwarding/crowd_test.cc
@@ -161,11 +161,11 @@
 TEST(Crowd, AFewFirstServersAreDrawnMostlyNear) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
-  std::vector<bool> is_near(20, false);
-  std::fill_n(is_near.begin(), 5, true);
+  std::vector<bool> is_same_domain(20, false);
+  std::fill_n(is_same_domain.begin(), 5, true);
   std::vector<int> counts(20, 0);
   for (int draw = 0; draw < 500; ++draw) {
-    const std::vector<bool> drawn = sampler.Draw(is_near, std::vector<bool>(20, false));
+    const std::vector<bool> drawn = sampler.Draw(is_same_domain, std::vector<bool>(20, false));
     CHECK_EQUAL(2, std::count(drawn.begin(), drawn.begin() + 5, true));
     CHECK_EQUAL(1, std::count(drawn.begin() + 5, drawn.end(), true));
     for (std::size_t server = 0; server < drawn.size(); ++server) {
@@ -188,14 +188,14 @@
 TEST(Crowd, ANearFirstServerWithAnUnusedConnectionIsLookedAtToo) {
   RandomSource random(3);
   FirstServerSampler sampler(random);
-  std::vector<bool> is_near(20, false);
-  std::fill_n(is_near.begin(), 10, true);
+  std::vector<bool> is_same_domain(20, false);
+  std::fill_n(is_same_domain.begin(), 10, true);
   std::vector<bool> has_connection(20, false);
   has_connection[4] = true;
   has_connection[15] = true;
   int far_looks = 0;
   for (int draw = 0; draw < 50; ++draw) {
-    const std::vector<bool> drawn = sampler.Draw(is_near, has_connection);
+    const std::vector<bool> drawn = sampler.Draw(is_same_domain, has_connection);
     CHECK_TRUE(drawn[4]);
     far_looks += drawn[15] ? 1 : 0;
   }
