--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -82,7 +82,7 @@
     }
   }
   m_is_store_watcher = std::find(readers.begin(), readers.end(), self.name) != readers.end();
-  std::erase_if(m_passed_over,
+  std::erase_if(m_excluded_at,
                 [&](const auto& entry) { return m_clock.Now() - entry.second > kPassedOverFor; });
 }
 
@@ -91,12 +91,12 @@
                               Duration silence_limit) {
   const TimePoint now = m_clock.Now();
   const TimePoint* heard = m_instances.LastHeard(instance.name);
-  const auto passed_over = m_passed_over.find(instance.name);
-  if (passed_over != m_passed_over.end()) {
+  const auto passed_over = m_excluded_at.find(instance.name);
+  if (passed_over != m_excluded_at.end()) {
     if (heard == nullptr || *heard <= passed_over->second) {
       return true;
     }
-    m_passed_over.erase(passed_over);
+    m_excluded_at.erase(passed_over);
   }
   const auto expected = expected_before.find(instance.name);
   TimePoint since = expected == expected_before.end() ? now : expected->second;
@@ -107,7 +107,7 @@
   if (now - since < silence_limit) {
     return false;
   }
-  m_passed_over[instance.name] = now;
+  m_excluded_at[instance.name] = now;
   m_expected_since.erase(instance.name);
   return true;
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -78,7 +78,7 @@
   Times m_expected_since;
 
   /** Passed over since then. */
-  Times m_passed_over;
+  Times m_excluded_at;
   bool m_is_store_watcher = true;
   bool m_is_relay = true;
   bool m_is_first_relay = true;
