--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -11,7 +11,7 @@
 
 /** One that is not heard although it lives is tried again after this. Its record lapses before, if
    it does not live. */
-constexpr Duration kPassedOverFor = std::chrono::seconds(30);
+constexpr Duration kExclusionDuration = std::chrono::seconds(30);
 
 bool HasMoreToSpend(const Instance* one, const Instance* other) {
   return std::tie(other->link_mbps, other->cores, one->name) <
@@ -82,8 +82,9 @@
     }
   }
   m_is_store_watcher = std::find(readers.begin(), readers.end(), self.name) != readers.end();
-  std::erase_if(m_excluded_at,
-                [&](const auto& entry) { return m_clock.Now() - entry.second > kPassedOverFor; });
+  std::erase_if(m_excluded_at, [&](const auto& entry) {
+    return m_clock.Now() - entry.second > kExclusionDuration;
+  });
 }
 
 bool RelayDirectory::IsSilent(const Instance& instance,
