--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -21,10 +21,10 @@
 template <typename IsPassedOver>
 std::vector<Instance> FirstOf(const std::vector<const Instance*>& ranked,
                               std::size_t count,
-                              IsPassedOver is_passed_over) {
+                              IsPassedOver is_excluded) {
   std::vector<Instance> first;
   for (const Instance* instance : ranked) {
-    if (first.size() < count && !is_passed_over(*instance, first.size())) {
+    if (first.size() < count && !is_excluded(*instance, first.size())) {
       first.push_back(*instance);
     }
   }
@@ -49,14 +49,14 @@
   for (auto& [domain, ranked] : domains) {
     std::sort(ranked.begin(), ranked.end(), HasMoreToSpend);
     const bool is_own = domain == self.failure_domain;
-    const auto is_passed_over = [&](const Instance& instance, std::size_t rank) {
+    const auto is_excluded = [&](const Instance& instance, std::size_t rank) {
       // Both relays talk to the members of their domain, the first also to the relays of the
       // others.
       const bool should_talk = is_own || (was_relay && rank == 0);
       return should_talk && instance.name != self.name &&
              IsSilent(instance, expected_before, silence_limit);
     };
-    relays.push_back(FirstOf(ranked, kRelaysPerDomain, is_passed_over));
+    relays.push_back(FirstOf(ranked, kRelaysPerDomain, is_excluded));
     for (const Instance& relay : relays.back()) {
       const bool is_self = relay.name == self.name;
       m_is_relay = m_is_relay || is_self;
