--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -13,7 +13,7 @@
    it does not live. */
 constexpr Duration kExclusionDuration = std::chrono::seconds(30);
 
-bool HasMoreToSpend(const Instance* one, const Instance* other) {
+bool HasMoreCapacity(const Instance* one, const Instance* other) {
   return std::tie(other->link_mbps, other->cores, one->name) <
          std::tie(one->link_mbps, one->cores, other->name);
 }
@@ -47,7 +47,7 @@
   const auto expected_before = std::exchange(m_expected_since, {});
   std::vector<std::vector<Instance>> relays;
   for (auto& [domain, ranked] : domains) {
-    std::sort(ranked.begin(), ranked.end(), HasMoreToSpend);
+    std::sort(ranked.begin(), ranked.end(), HasMoreCapacity);
     const bool is_own = domain == self.failure_domain;
     const auto is_excluded = [&](const Instance& instance, std::size_t rank) {
       // Both relays talk to the members of their domain, the first also to the relays of the
