--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -17,7 +17,7 @@
   m_live.clear();
 }
 
-void InstanceDirectory::OnHeard(const Instance& instance) {
+void InstanceDirectory::OnPeerSeen(const Instance& instance) {
   if (instance.name == m_self.name) {
     return;
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -22,7 +22,7 @@
 
   void OnRecord(const Instance& instance);
   void OnRecordRemoved(const InstanceName& name);
-  void OnHeard(const Instance& instance);
+  void OnPeerSeen(const Instance& instance);
 
   /** It said that it stops. */
   void OnLeft(const InstanceName& name);
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -361,7 +361,7 @@
   if (report.leaving) {
     m_instances.OnLeft(report.instance.name);
   } else {
-    m_instances.OnHeard(report.instance);
+    m_instances.OnPeerSeen(report.instance);
   }
   UpdateSeenAt(report.store_watcher_age, now, m_store_watcher_seen_at);
   UpdateSeenAt(report.stable_store_age, now, m_stable_store_seen_at);
