--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -29,7 +29,7 @@
   }
 }
 
-void InstanceDirectory::OnLeft(const InstanceName& name) {
+void InstanceDirectory::OnPeerLeft(const InstanceName& name) {
   m_heard.erase(name);
   m_recorded.erase(name);
   m_live.clear();
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -25,7 +25,7 @@
   void OnPeerSeen(const Instance& instance);
 
   /** It said that it stops. */
-  void OnLeft(const InstanceName& name);
+  void OnPeerLeft(const InstanceName& name);
 
   const Instance& Self() const override { return m_self; }
   std::vector<Instance> LiveInstances() const override { return Live(); }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -359,7 +359,7 @@
 MirrorDelta ReportExchange::OnNews(const InstanceReport& report) {
   const TimePoint now = m_clock.Now();
   if (report.leaving) {
-    m_instances.OnLeft(report.instance.name);
+    m_instances.OnPeerLeft(report.instance.name);
   } else {
     m_instances.OnPeerSeen(report.instance);
   }
