--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -61,7 +61,7 @@
   m_counted_at = m_clock.Now();
 }
 
-const TimePoint* InstanceDirectory::LastHeard(const InstanceName& name) const {
+const TimePoint* InstanceDirectory::LastSeen(const InstanceName& name) const {
   const auto heard = m_heard.find(name);
   return heard == m_heard.end() ? nullptr : &heard->second.at;
 }
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -37,7 +37,7 @@
   const std::vector<Instance>& Live() const;
 
   /** When it was last heard; nothing if it never was, or is forgotten. */
-  const TimePoint* LastHeard(const InstanceName& name) const;
+  const TimePoint* LastSeen(const InstanceName& name) const;
 
  private:
   /** News asks who lives some hundred times a second, and sorting and copying two hundred names
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -91,7 +91,7 @@
                               const Times& expected_before,
                               Duration silence_limit) {
   const TimePoint now = m_clock.Now();
-  const TimePoint* heard = m_instances.LastHeard(instance.name);
+  const TimePoint* heard = m_instances.LastSeen(instance.name);
   const auto passed_over = m_excluded_at.find(instance.name);
   if (passed_over != m_excluded_at.end()) {
     if (heard == nullptr || *heard <= passed_over->second) {
