--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -48,7 +48,7 @@
     live[name] = &instance;
   }
   for (const auto& [name, heard] : m_heard) {
-    if (m_clock.Now() - heard.at < kHeardLifetime) {
+    if (m_clock.Now() - heard.at < kPeerLifetime) {
       live[name] = &heard.instance;
     }
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -16,7 +16,7 @@
 class InstanceDirectory final : public MembershipView {
  public:
   /** How long a peer that is not on record counts as alive after it was last heard. */
-  static constexpr Duration kHeardLifetime = std::chrono::seconds(5);
+  static constexpr Duration kPeerLifetime = std::chrono::seconds(5);
 
   InstanceDirectory(const Clock& clock, Instance self);
 
