--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -21,7 +21,7 @@
   if (instance.name == m_self.name) {
     return;
   }
-  Heard& heard = m_heard[instance.name];
+  Heard& heard = m_seen_peers[instance.name];
   heard.at = m_clock.Now();
   if (heard.instance != instance) {
     heard.instance = instance;
@@ -30,7 +30,7 @@
 }
 
 void InstanceDirectory::OnPeerLeft(const InstanceName& name) {
-  m_heard.erase(name);
+  m_seen_peers.erase(name);
   m_recorded.erase(name);
   m_live.clear();
 }
@@ -47,7 +47,7 @@
   for (const auto& [name, instance] : m_recorded) {
     live[name] = &instance;
   }
-  for (const auto& [name, heard] : m_heard) {
+  for (const auto& [name, heard] : m_seen_peers) {
     if (m_clock.Now() - heard.at < kPeerLifetime) {
       live[name] = &heard.instance;
     }
@@ -62,8 +62,8 @@
 }
 
 const TimePoint* InstanceDirectory::LastSeen(const InstanceName& name) const {
-  const auto heard = m_heard.find(name);
-  return heard == m_heard.end() ? nullptr : &heard->second.at;
+  const auto heard = m_seen_peers.find(name);
+  return heard == m_seen_peers.end() ? nullptr : &heard->second.at;
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -54,7 +54,7 @@
   const Clock& m_clock;
   const Instance m_self;
   std::map<InstanceName, Instance> m_recorded;
-  std::map<InstanceName, Heard> m_heard;
+  std::map<InstanceName, Heard> m_seen_peers;
   mutable std::vector<Instance> m_live;
   mutable TimePoint m_counted_at{};
 };
