--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -36,7 +36,7 @@
 }
 
 const std::vector<Instance>& InstanceDirectory::Live() const {
-  if (m_live.empty() || m_clock.Now() - m_counted_at >= kRecountAfter) {
+  if (m_live.empty() || m_clock.Now() - m_counted_at >= kLiveListLifetime) {
     Count();
   }
   return m_live;
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -33,7 +33,7 @@
   void RemoveListener(MembershipListener&) override {}
 
   /** The same without a copy, for who asks several times a second. Valid until the next call of
-     this object. A peer that is no longer heard may be in it for `kRecountAfter` longer. */
+     this object. A peer that is no longer heard may be in it for `kLiveListLifetime` longer. */
   const std::vector<Instance>& Live() const;
 
   /** When it was last heard; nothing if it never was, or is forgotten. */
@@ -42,7 +42,7 @@
  private:
   /** News asks who lives some hundred times a second, and sorting and copying two hundred names
      each time would be most of its work on a small instance. */
-  static constexpr Duration kRecountAfter = std::chrono::milliseconds(250);
+  static constexpr Duration kLiveListLifetime = std::chrono::milliseconds(250);
 
   struct Heard {
     Instance instance;
