--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -36,7 +36,7 @@
 }
 
 const std::vector<Instance>& InstanceDirectory::Live() const {
-  if (m_live.empty() || m_clock.Now() - m_counted_at >= kLiveListLifetime) {
+  if (m_live.empty() || m_clock.Now() - m_live_built_at >= kLiveListLifetime) {
     Count();
   }
   return m_live;
@@ -58,7 +58,7 @@
   for (const auto& [name, instance] : live) {
     m_live.push_back(*instance);
   }
-  m_counted_at = m_clock.Now();
+  m_live_built_at = m_clock.Now();
 }
 
 const TimePoint* InstanceDirectory::LastSeen(const InstanceName& name) const {
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -56,7 +56,7 @@
   std::map<InstanceName, Instance> m_recorded;
   std::map<InstanceName, Heard> m_seen_peers;
   mutable std::vector<Instance> m_live;
-  mutable TimePoint m_counted_at{};
+  mutable TimePoint m_live_built_at{};
 };
 
 }  // namespace zinnia
