--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -15,7 +15,7 @@
 
 /** How much alike instances choose. They see the same loads, so nearly the same; one would mean
     that no request ever goes another way. */
-constexpr double kLikeness = 0.6;
+constexpr double kChoiceCorrelation = 0.6;
 
 /** The most that are taken to choose like this instance: in larger fleets requests are spread by
     chance, see PathFinder. */
@@ -105,7 +105,7 @@
     return;
   }
   const RecentAdditions recent = Decayed(found->second);
-  const double others = kLikeness * std::min(OthersShare(), kMostLikeChoosers);
+  const double others = kChoiceCorrelation * std::min(OthersShare(), kMostLikeChoosers);
   sum.requests += static_cast<std::uint32_t>(recent.requests * others);
   sum.token_layers += recent.token_layers * others;
   sum.begun += static_cast<std::uint32_t>(recent.begun * others);
@@ -121,7 +121,7 @@
   AddReports(server, others);
   AddUnreported(server, others);
   if (HasJustStarted()) {
-    const double peers = kLikeness * static_cast<double>(m_peer_count);
+    const double peers = kChoiceCorrelation * static_cast<double>(m_peer_count);
     others.requests = std::max(others.requests, static_cast<std::uint32_t>(own.requests * peers));
     others.token_layers = std::max(others.token_layers, own.token_layers * peers);
     others.begun = std::max(others.begun, static_cast<std::uint32_t>(own.begun * peers));
