--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -19,7 +19,7 @@
 
 /** The most that are taken to choose like this instance: in larger fleets requests are spread by
     chance, see PathFinder. */
-constexpr double kMostLikeChoosers = 20.0;
+constexpr double kMaxCorrelatedPeers = 20.0;
 
 }  // namespace
 
@@ -105,7 +105,7 @@
     return;
   }
   const RecentAdditions recent = Decayed(found->second);
-  const double others = kChoiceCorrelation * std::min(OthersShare(), kMostLikeChoosers);
+  const double others = kChoiceCorrelation * std::min(OthersShare(), kMaxCorrelatedPeers);
   sum.requests += static_cast<std::uint32_t>(recent.requests * others);
   sum.token_layers += recent.token_layers * others;
   sum.begun += static_cast<std::uint32_t>(recent.begun * others);
