--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -11,7 +11,7 @@
 constexpr std::chrono::duration<double> kReportAge{0.25};
 
 /** By then reports tell of what peers began when this instance did. */
-constexpr Duration kFirstReportsDue = std::chrono::milliseconds(1'500);
+constexpr Duration kStartupPeriod = std::chrono::milliseconds(1'500);
 
 /** How much alike instances choose. They see the same loads, so nearly the same; one would mean
     that no request ever goes another way. */
@@ -24,7 +24,7 @@
 }  // namespace
 
 bool LoadTracker::HasJustStarted() const {
-  return m_clock.Now() - m_started_at < kFirstReportsDue;
+  return m_clock.Now() - m_started_at < kStartupPeriod;
 }
 
 LoadTracker::RecentAdditions LoadTracker::Decayed(const RecentAdditions& additions) const {
