--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -80,7 +80,7 @@
 /** Callers are spread unevenly, and while instances restart in turn one may take a third of all
     traffic. Were each peer taken to choose as often as itself, it would count several requests of
     others for each of its own, and refuse for want of memory that nobody uses. */
-double LoadTracker::OthersShare() const {
+double LoadTracker::OthersTrafficRatio() const {
   const double share = static_cast<double>(m_others_begun) / std::max(1U, m_own_begun);
   return std::min(static_cast<double>(m_peer_count), share);
 }
@@ -105,7 +105,7 @@
     return;
   }
   const RecentAdditions recent = Decayed(found->second);
-  const double others = kChoiceCorrelation * std::min(OthersShare(), kMaxCorrelatedPeers);
+  const double others = kChoiceCorrelation * std::min(OthersTrafficRatio(), kMaxCorrelatedPeers);
   sum.requests += static_cast<std::uint32_t>(recent.requests * others);
   sum.token_layers += recent.token_layers * others;
   sum.begun += static_cast<std::uint32_t>(recent.begun * others);
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
@@ -48,7 +48,7 @@
   const Uses& Own() const { return m_own; }
 
   /** How many times as much as this instance all others together take of the traffic. */
-  double OthersShare() const;
+  double OthersTrafficRatio() const;
 
  private:
   struct Report {
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -397,7 +397,7 @@
 
 /** 1 for who chooses alone; for one of many who choose from the same news, 1 to 1 + kMostChance. */
 double PathFinder::ChanceFactor() const {
-  const double crowd = std::min(1.0, m_loads.OthersShare() / kCrowd);
+  const double crowd = std::min(1.0, m_loads.OthersTrafficRatio() / kCrowd);
   return 1.0 + kMostChance * crowd * RandomUnit(m_random);
 }
 
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -108,7 +108,7 @@
   }
   if (best) {
     // The other instances move their streams of the same server at the same moment.
-    const double instances = 1.0 + m_loads.OthersShare();
+    const double instances = 1.0 + m_loads.OthersTrafficRatio();
     for (const PathPart& part : best->found.path) {
       if (!best->keeps_first || !Keeps(present, part)) {
         m_backlog.Add(part.server, ReadingMs(view, engine, size, part) * instances);
