--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -63,7 +63,7 @@
 
 void LoadTracker::SetDomainUses(const FailureDomainName& domain, Uses uses) {
   m_domains[domain] = {m_clock.Now(), std::move(uses)};
-  CountOthers();
+  UpdateOthersBegun();
 }
 
 void LoadTracker::AddReports(const BackendServerName& server, ServerUse& sum) const {
@@ -85,7 +85,7 @@
   return std::min(static_cast<double>(m_peer_count), share);
 }
 
-void LoadTracker::CountOthers() {
+void LoadTracker::UpdateOthersBegun() {
   std::erase_if(m_domains, [now = m_clock.Now()](const auto& report) {
     return now - report.second.received_at > kReportLifetime;
   });
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
@@ -69,7 +69,7 @@
   bool HasJustStarted() const;
   RecentAdditions Decayed(const RecentAdditions& additions) const;
 
-  void CountOthers();
+  void UpdateOthersBegun();
 
   const Clock& m_clock;
   const TimePoint m_started_at;
