--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -99,7 +99,7 @@
 
 /** Peers that see the same loads choose the same server at the same time. Without this estimate all
     of them fill the best one until the next reports, and its requests wait for memory. */
-void LoadTracker::AddUnreported(const BackendServerName& server, ServerUse& sum) const {
+void LoadTracker::AddEstimate(const BackendServerName& server, ServerUse& sum) const {
   const auto found = m_recent.find(server);
   if (found == m_recent.end()) {
     return;
@@ -119,7 +119,7 @@
   }
   ServerUse others;
   AddReports(server, others);
-  AddUnreported(server, others);
+  AddEstimate(server, others);
   if (HasJustStarted()) {
     const double peers = kChoiceCorrelation * static_cast<double>(m_peer_count);
     others.requests = std::max(others.requests, static_cast<std::uint32_t>(own.requests * peers));
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
@@ -65,7 +65,7 @@
   };
 
   void AddReports(const BackendServerName& server, ServerUse& sum) const;
-  void AddUnreported(const BackendServerName& server, ServerUse& sum) const;
+  void AddEstimate(const BackendServerName& server, ServerUse& sum) const;
   bool HasJustStarted() const;
   RecentAdditions Decayed(const RecentAdditions& additions) const;
 
