--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /** Removed records are kept for peers that lag behind; beyond this number the older half goes. */
-constexpr std::size_t kMostRemovals = 2'048;
+constexpr std::size_t kMaxRemovals = 2'048;
 
 /** A reader hears from the store at least this often: its longest wait, its pause, and a slow
  * answer. */
@@ -245,7 +245,7 @@
       newest_removal = std::max(newest_removal, record.revision);
     }
   }
-  if (removals > kMostRemovals) {
+  if (removals > kMaxRemovals) {
     std::erase_if(m_records, [](const auto& entry) { return !entry.second.value; });
     m_removals_known_after = newest_removal;
   }
