--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -19,7 +19,7 @@
 constexpr Duration kContactLifetime = std::chrono::milliseconds(2'500);
 
 /** All keys: one watch for everything costs one call where one a prefix would cost several. */
-constexpr const char* kEverything = "";
+constexpr const char* kAllKeys = "";
 
 constexpr std::array<std::string_view, 3> kRoleNames = {"none", "substitute", "reader"};
 
@@ -58,9 +58,9 @@
 void StoreMirror::List() {
   auto listed = WhileAlive(m_alive, [this](const Result<StoreBatch>& result) { OnListed(result); });
   if (m_filled) {
-    m_store.List(kEverything, std::move(listed));
+    m_store.List(kAllKeys, std::move(listed));
   } else {
-    m_store.ListMayLag(kEverything, std::move(listed));
+    m_store.ListMayLag(kAllKeys, std::move(listed));
   }
 }
 
@@ -95,7 +95,7 @@
 void StoreMirror::Watch() {
   m_timer.reset();  // Or a pause that was under way would start a second chain of watches.
   const std::uint64_t number = ++m_watch_number;
-  m_store.Watch(kEverything, m_revision, m_settings.longest_wait,
+  m_store.Watch(kAllKeys, m_revision, m_settings.longest_wait,
                 WhileAlive(m_alive, [this, number](const Result<StoreBatch>& result) {
                   if (number == m_watch_number) {
                     OnWatched(result);
