--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
@@ -19,7 +19,7 @@
 
 /** The first list of the store's records takes some milliseconds. Peers know this instance from its
     news meanwhile. */
-constexpr milliseconds kWaitForFirstList{100};
+constexpr milliseconds kFirstListDelay{100};
 
 /** Peers know each other from their news meanwhile, and each refused call is priced. */
 constexpr milliseconds kRetryPause{1'000};
@@ -33,7 +33,7 @@
     : m_store(store), m_scheduler(scheduler), m_logger(logger), m_self(std::move(self)) {}
 
 void InstanceRegistration::Start() {
-  Again(kWaitForFirstList, &InstanceRegistration::Grant);
+  Again(kFirstListDelay, &InstanceRegistration::Grant);
 }
 
 void InstanceRegistration::Again(milliseconds pause, void (InstanceRegistration::*step)()) {
