--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.h
@@ -20,13 +20,13 @@
 
   InstanceRegistration(PlatformStore& store, Scheduler& scheduler, Logger& logger, Instance self);
 
-  /** Begins a moment later, so that NoteRecord can come first. */
+  /** Begins a moment later, so that SetKnownVersion can come first. */
   void Start();
 
   /** Its own record is on record at `version`; 0: it is not. Known from a list of all records, it
      need not be read before it is written: that was two calls for each instance of a fleet that
      starts again together. */
-  void NoteRecord(std::uint64_t version) { m_known_version = version; }
+  void SetKnownVersion(std::uint64_t version) { m_known_version = version; }
 
   /** Ends the lease, and with it the record. */
   void Stop();
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -172,7 +172,7 @@
 
 void ForwardingControl::OnInstance(const MirroredRecord& record) {
   if (record.key.substr(InstanceRegistration::kKeyPrefix.size()) == m_parts.self.name) {
-    m_registration.NoteRecord(record.value ? record.revision : 0);
+    m_registration.SetKnownVersion(record.value ? record.revision : 0);
   }
   if (!record.value) {
     m_instances.OnRecordRemoved(record.key.substr(InstanceRegistration::kKeyPrefix.size()));
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -269,7 +269,7 @@
   store.Put("instances/self", "of before");
   InstanceRegistration registration(store, time, logger, MakeInstance("self", 1));
   registration.Start();
-  registration.NoteRecord(store.version);
+  registration.SetKnownVersion(store.version);
   time.AdvanceBy(milliseconds(200));
   CHECK_EQUAL(0, store.gets);
   CHECK_TRUE(*store.records["instances/self"].value != "of before");
