--- a/packages/zinnia_adapters/fleet_news/news_server.cc
+++ b/packages/zinnia_adapters/fleet_news/news_server.cc
@@ -21,7 +21,8 @@
   explicit NewsService(ReportHandler& listener) : m_listener(listener) {}
 
   kj::Promise<void> exchange(ExchangeContext context) override {
-    const MirrorDelta delta = m_listener.OnNews(news_codec::Read(context.getParams().getReport()));
+    const MirrorDelta delta =
+        m_listener.OnReport(news_codec::Read(context.getParams().getReport()));
     news_codec::Write(context.getResults().initDelta(), delta);
     return kj::READY_NOW;
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -356,7 +356,7 @@
   }
 }
 
-MirrorDelta ReportExchange::OnNews(const InstanceReport& report) {
+MirrorDelta ReportExchange::OnReport(const InstanceReport& report) {
   const TimePoint now = m_clock.Now();
   if (report.leaving) {
     m_instances.OnPeerLeft(report.instance.name);
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -118,7 +118,7 @@
   /** Whether some peer said lately that the store serves it without failures. */
   bool AnyPeerSeesStableStore() const;
 
-  MirrorDelta OnNews(const InstanceReport& report) override;
+  MirrorDelta OnReport(const InstanceReport& report) override;
 
  private:
   enum class Recipient { kMember, kOwnRelay, kRemoteRelay };
--- a/packages/zinnia_decisions/ports/report_transport.h
+++ b/packages/zinnia_decisions/ports/report_transport.h
@@ -26,7 +26,7 @@
 class ReportHandler {
  public:
   virtual ~ReportHandler() = default;
-  virtual MirrorDelta OnNews(const InstanceReport& report) = 0;
+  virtual MirrorDelta OnReport(const InstanceReport& report) = 0;
 };
 
 }  // namespace zinnia
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -73,7 +73,7 @@
   /** Lets it hear the peers and know what is whose part. */
   void Know(std::initializer_list<const char*> names) {
     for (const char* name : names) {
-      news.OnNews(ReportOf(name));
+      news.OnReport(ReportOf(name));
     }
     news.Start();
     transport.sent.clear();
@@ -105,7 +105,7 @@
   for (const char* name : {"a", "b", "c"}) {
     InstanceReport report = ReportOf(name);
     report.revision = 9;
-    news.OnNews(report);
+    news.OnReport(report);
   }
   CHECK_EQUAL(1U, transport.sent.size());
   CHECK_TRUE(transport.sent[0].second.wants_records);
@@ -114,20 +114,20 @@
   InstanceReport report = ReportOf("b");
   report.revision = 9;
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
-  news.OnNews(report);
+  news.OnReport(report);
   CHECK_EQUAL(2U, transport.sent.size());
   CHECK_TRUE(mirror.Has("k"));
-  news.OnNews(report);
+  news.OnReport(report);
   CHECK_EQUAL(2U, transport.sent.size());
 }
 
 TEST(News, AReportIsAnsweredWithRecordsOnlyIfItWantsThem) {
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
   InstanceReport report = ReportOf("peer");
-  CHECK_EQUAL(0U, news.OnNews(report).records.size());
-  CHECK_EQUAL(9U, news.OnNews(report).revision);
+  CHECK_EQUAL(0U, news.OnReport(report).records.size());
+  CHECK_EQUAL(9U, news.OnReport(report).revision);
   report.wants_records = true;
-  CHECK_EQUAL(1U, news.OnNews(report).records.size());
+  CHECK_EQUAL(1U, news.OnReport(report).records.size());
 }
 
 // Symptom: an instance keeps an old configuration for good. Sequence: a peer's answer says how far
@@ -143,7 +143,7 @@
 }
 
 TEST(News, PeersThatWereHeardCountAsAliveForAWhile) {
-  news.OnNews(ReportOf("peer"));
+  news.OnReport(ReportOf("peer"));
   CHECK_EQUAL(2U, instances.LiveInstances().size());
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(1U, instances.LiveInstances().size());
@@ -164,7 +164,7 @@
   CHECK_EQUAL(1U, transport.sent.back().second.slow_servers.size());
   InstanceReport report = ReportOf("peer");
   report.slow_servers = {{"other", 4.0, milliseconds(30)}};
-  news.OnNews(report);
+  news.OnReport(report);
   STRCMP_EQUAL("other", sink.slow.at(0).server.c_str());
 }
 
@@ -178,15 +178,15 @@
   CHECK_EQUAL(0U, transport.sent.back().second.server_states.size());
   InstanceReport report = ReportOf("peer");
   report.server_states = {{"other", {0, 5}}};
-  news.OnNews(report);
+  news.OnReport(report);
   STRCMP_EQUAL("other", sink.layers.at(0).server.c_str());
 }
 
 TEST(News, AStallHeardIsTakenInOnce) {
   InstanceReport report = ReportOf("peer");
   report.stalls.push_back({"s", milliseconds(30)});
-  news.OnNews(report);
-  news.OnNews(report);
+  news.OnReport(report);
+  news.OnReport(report);
   CHECK_EQUAL(1U, sink.stalls.size());
 }
 
@@ -197,7 +197,7 @@
   CHECK_FALSE(news.AnyPeerSeesStableStore());
   InstanceReport report = ReportOf("peer");
   report.stable_store_age = milliseconds(0);
-  news.OnNews(report);
+  news.OnReport(report);
   CHECK_TRUE(news.AnyPeerSeesStableStore());
   time.AdvanceBy(milliseconds(1'300));
   CHECK_FALSE(news.AnyPeerSeesStableStore());
@@ -209,7 +209,7 @@
   const auto hear = [this](const char* name) {
     InstanceReport report = ReportOf(name);
     report.store_watcher_age = milliseconds(0);
-    news.OnNews(report);
+    news.OnReport(report);
   };
   news.Start();
   hear("another");
@@ -231,15 +231,15 @@
   Know({"another", "before"});
   InstanceReport report = ReportOf("another");
   report.store_watcher_age = milliseconds(700);
-  news.OnNews(report);
+  news.OnReport(report);
   time.AdvanceBy(milliseconds(400));
   report.store_watcher_age = milliseconds(1'100);
-  news.OnNews(report);
+  news.OnReport(report);
   CHECK_FALSE(news.ShouldWatchStore());
   CHECK_EQUAL(1'100, LastReport().store_watcher_age->count());
   time.AdvanceBy(milliseconds(200));
   report.store_watcher_age = milliseconds(1'300);
-  news.OnNews(report);
+  news.OnReport(report);
   CHECK_TRUE(news.ShouldWatchStore());
 }
 
@@ -256,9 +256,9 @@
 
 TEST(News, AnInstanceThatLeavesIsForgottenAtOnce) {
   InstanceReport report = ReportOf("peer");
-  news.OnNews(report);
+  news.OnReport(report);
   report.leaving = true;
-  news.OnNews(report);
+  news.OnReport(report);
   CHECK_EQUAL(1U, instances.LiveInstances().size());
 }
 
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -131,7 +131,7 @@
         return;
       }
       ++peer.taken_in;
-      const MirrorDelta answer = peer.news.OnNews(report);
+      const MirrorDelta answer = peer.news.OnReport(report);
       calls.push_back(time.ScheduleAfter(kWayOfNews, [callback, answer] { callback(answer); }));
     }));
   }
