--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -10,12 +10,12 @@
 
 namespace zinnia {
 
-/** Which instances live, from two sources: their lease-bound records in the platform's store, and
-    the peers that were heard of lately. One source alone would forget everybody in an outage of the
-    store, or know nobody after a start. */
+/** The live instances, from two sources: lease-bound records in the platform's store, and peers
+    whose reports arrived recently. Records alone would be lost in a store outage; reports alone
+    know nobody after a start. */
 class InstanceDirectory final : public MembershipView {
  public:
-  /** How long a peer that is not on record counts as alive after it was last heard. */
+  /** How long a peer without a record counts as live after its last report. */
   static constexpr Duration kPeerLifetime = std::chrono::seconds(5);
 
   InstanceDirectory(const Clock& clock, Instance self);
@@ -24,7 +24,6 @@
   void OnRecordRemoved(const InstanceName& name);
   void OnPeerSeen(const Instance& instance);
 
-  /** It said that it stops. */
   void OnPeerLeft(const InstanceName& name);
 
   const Instance& Self() const override { return m_self; }
@@ -32,16 +31,16 @@
   void AddListener(MembershipListener&) override {}
   void RemoveListener(MembershipListener&) override {}
 
-  /** The same without a copy, for who asks several times a second. Valid until the next call of
-     this object. A peer that is no longer heard may be in it for `kLiveListLifetime` longer. */
+  /** LiveInstances without a copy. Valid until the next call of this object. A peer that stopped
+      reporting may be in it for up to `kLiveListLifetime` longer. */
   const std::vector<Instance>& Live() const;
 
-  /** When it was last heard; nothing if it never was, or is forgotten. */
+  /** When the last report arrived; null if none did or the instance has left. */
   const TimePoint* LastSeen(const InstanceName& name) const;
 
  private:
-  /** News asks who lives some hundred times a second, and sorting and copying two hundred names
-     each time would be most of its work on a small instance. */
+  /** Limits how often the list is rebuilt: reports need it some hundred times a second, and sorting
+      and copying hundreds of names each time is expensive on a small instance. */
   static constexpr Duration kLiveListLifetime = std::chrono::milliseconds(250);
 
   struct Heard {
