--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
@@ -12,16 +12,15 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-/** Long enough to outlast pauses and two failed renewals, short enough that shares of a budget
-   follow a loss. Renewals are priced: eighty instances at 2.5 s made 2,000 calls a minute. */
+/** Outlasts pauses and two failed renewals, but is short enough that budgets are redistributed soon
+    after an instance is lost. Store calls are billed, so renewals are infrequent. */
 constexpr milliseconds kLease{15'000};
 constexpr milliseconds kRenewInterval{5'000};
 
-/** The first list of the store's records takes some milliseconds. Peers know this instance from its
-    news meanwhile. */
+/** The first list of the store's records takes some milliseconds. */
 constexpr milliseconds kFirstListDelay{100};
 
-/** Peers know each other from their news meanwhile, and each refused call is priced. */
+/** Failed store calls are billed too, and peers know this instance from its reports meanwhile. */
 constexpr milliseconds kRetryPause{1'000};
 
 }  // namespace
@@ -53,8 +52,8 @@
                      }));
 }
 
-/** The record of this instance's former self is still there, or a write without an answer was done
-    after all. */
+/** Reads the stored version after a write conflicted with a record of an earlier run or was applied
+    without a response. */
 void InstanceRegistration::ReadBack() {
   m_store.Get(std::string(kKeyPrefix) + m_self.name,
               WhileAlive(m_alive, [this](const Result<std::optional<StoreRecord>>& record) {
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.h
@@ -12,28 +12,28 @@
 
 class Logger;
 
-/** Keeps this instance's record in the store, bound to a lease, so that others find it and notice
-    its end without being asked. */
+/** Keeps this instance's record in the store, bound to a lease, so that other instances find it and
+    its end is noticed without polling. */
 class InstanceRegistration {
  public:
   static constexpr std::string_view kKeyPrefix = "instances/";
 
   InstanceRegistration(PlatformStore& store, Scheduler& scheduler, Logger& logger, Instance self);
 
-  /** Begins a moment later, so that SetKnownVersion can come first. */
+  /** Schedules the registration after a short delay, so that SetKnownVersion can be called first.
+   */
   void Start();
 
-  /** Its own record is on record at `version`; 0: it is not. Known from a list of all records, it
-     need not be read before it is written: that was two calls for each instance of a fleet that
-     starts again together. */
+  /** Sets the stored version of the own record, or 0 if there is none. A version known from the
+      first list saves reading the record before it is written. */
   void SetKnownVersion(std::uint64_t version) { m_known_version = version; }
 
-  /** Ends the lease, and with it the record. */
+  /** Revokes the lease, which removes the record. */
   void Stop();
 
   static std::string Encode(const Instance& instance);
 
-  /** Nothing if the value is not an instance's record. */
+  /** Returns no value if key or value is not that of an instance's record. */
   static std::optional<Instance> Decode(const std::string& key, const std::string& value);
 
  private:
