--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -7,18 +7,18 @@
 namespace zinnia {
 namespace {
 
-/** Peers' reports are about this old; what they chose since is estimated. */
+/** Typical age of peers' reports; newer choices of peers are estimated. */
 constexpr std::chrono::duration<double> kReportAge{0.25};
 
-/** By then reports tell of what peers began when this instance did. */
+/** By then reports include what peers began at the time when this instance started. */
 constexpr Duration kStartupPeriod = std::chrono::milliseconds(1'500);
 
-/** How much alike instances choose. They see the same loads, so nearly the same; one would mean
-    that no request ever goes another way. */
+/** How strongly choices of different instances correlate, from 0 to 1. High, since they see nearly
+    the same loads. */
 constexpr double kChoiceCorrelation = 0.6;
 
-/** The most that are taken to choose like this instance: in larger fleets requests are spread by
-    chance, see PathFinder. */
+/** Upper limit of peers assumed to choose like this instance: larger fleets spread requests at
+    random, see PathFinder. */
 constexpr double kMaxCorrelatedPeers = 20.0;
 
 }  // namespace
@@ -77,9 +77,9 @@
   }
 }
 
-/** Callers are spread unevenly, and while instances restart in turn one may take a third of all
-    traffic. Were each peer taken to choose as often as itself, it would count several requests of
-    others for each of its own, and refuse for want of memory that nobody uses. */
+/** Callers are spread unevenly, and during a rolling restart one instance may take a third of all
+    traffic. Assuming that each peer takes as much would overestimate the load and refuse requests
+    although memory is free. */
 double LoadTracker::OthersTrafficRatio() const {
   const double share = static_cast<double>(m_others_begun) / std::max(1U, m_own_begun);
   return std::min(static_cast<double>(m_peer_count), share);
@@ -97,8 +97,8 @@
   }
 }
 
-/** Peers that see the same loads choose the same server at the same time. Without this estimate all
-    of them fill the best one until the next reports, and its requests wait for memory. */
+/** Peers that see the same loads choose the same server at the same time. Without this estimate
+    they would overfill it before the next reports arrive. */
 void LoadTracker::AddEstimate(const BackendServerName& server, ServerUse& sum) const {
   const auto found = m_recent.find(server);
   if (found == m_recent.end()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
@@ -10,44 +10,44 @@
 
 namespace zinnia {
 
-/** What all instances together have in flight at each server: the own part exact, the others' as
-    sums over their failure domains.
+/** Tracks the requests in flight at each server over all instances: exactly for this instance, as
+    reported sums over failure domains for the others.
 
-    Choosing by the own part alone would fill the best server from every instance at once; one
-    notices bursts of refusals while other servers idle. Reports older than `kReportLifetime`
-    no longer count, so that a dead instance does not block memory that its requests gave back.
+    If each instance counted only its own requests, all would fill the best server at once while
+    others stay idle. Reports older than `kReportLifetime` are ignored, so that a dead instance does
+    not occupy capacity that its requests have released.
 
-    After all instances ended together their callers all come back at once, before any report tells
-    of it. For a moment after its start each takes its peers to choose as it does itself.
-*/
+    After a restart of the whole fleet all callers return at once, before any report arrives. For a
+    short time after the start, peers are therefore assumed to choose as this instance does. */
 class LoadTracker {
  public:
-  /** A few times the interval at which the sums of other failure domains come. */
+  /** A few times the interval between reports of other failure domains. */
   static constexpr Duration kReportLifetime = std::chrono::seconds(3);
 
   using Uses = std::map<BackendServerName, ServerUse>;
 
   explicit LoadTracker(const Clock& clock) : m_clock(clock), m_started_at(clock.Now()) {}
 
-  /** `begins`: the request's path begins at the server. */
+  /** `begins`: whether the request's path begins at the server. */
   void Add(const BackendServerName& server, double token_layers, bool begins = true);
 
-  /** Undoes one Add with the same arguments. */
+  /** Reverts one Add with the same arguments. */
   void Remove(const BackendServerName& server, double token_layers, bool begins = true);
 
-  /** Replaces the sum over a failure domain's instances; of the own domain, without this one. */
+  /** Replaces the sum over a failure domain's instances. For the own domain, this instance is not
+      included. */
   void SetDomainUses(const FailureDomainName& domain, Uses uses);
 
-  /** How many instances choose at the same time as this one without hearing of each other's last
-      choices. */
+  /** Sets the number of other instances that choose servers concurrently, without knowing each
+      other's latest choices. */
   void SetPeerCount(std::size_t count) { m_peer_count = count; }
 
-  /** The sum over all instances. */
+  /** The sum over all instances, including estimates of requests not reported yet. */
   ServerUse UseOf(const BackendServerName& server) const;
 
   const Uses& Own() const { return m_own; }
 
-  /** How many times as much as this instance all others together take of the traffic. */
+  /** Ratio of the other instances' traffic to that of this instance. */
   double OthersTrafficRatio() const;
 
  private:
@@ -56,7 +56,7 @@
     Uses uses;
   };
 
-  /** What this instance lately added at a server. */
+  /** Recent additions of this instance at a server, decayed exponentially. */
   struct RecentAdditions {
     TimePoint changed_at{};
     double requests = 0.0;
