--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -9,8 +9,7 @@
 namespace zinnia {
 namespace {
 
-/** One that is not heard although it lives is tried again after this. Its record lapses before, if
-   it does not live. */
+/** An excluded instance is tried again after this time. The record of a dead one lapses earlier. */
 constexpr Duration kExclusionDuration = std::chrono::seconds(30);
 
 bool HasMoreCapacity(const Instance* one, const Instance* other) {
@@ -50,8 +49,7 @@
     std::sort(ranked.begin(), ranked.end(), HasMoreCapacity);
     const bool is_own = domain == self.failure_domain;
     const auto is_excluded = [&](const Instance& instance, std::size_t rank) {
-      // Both relays talk to the members of their domain, the first also to the relays of the
-      // others.
+      // Both relays send to the members of their domain, the first also to the relays of others.
       const bool should_talk = is_own || (was_relay && rank == 0);
       return should_talk && instance.name != self.name &&
              IsSilent(instance, expected_before, silence_limit);
