--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -14,24 +14,22 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/** Stalls are told for this long; later ones have ended or lapsed. */
+/** Stalls are reported for this long; older ones have ended or been handled. */
 constexpr Duration kStallReportLifetime = std::chrono::seconds(1);
 
-/** What a server said of its layers is told for this long: each peer gets a report in it. Whoever
-    takes it in tells it too, so it must be short beside the time between two changes of a server.
- */
+/** How long a server's statement is reported: long enough for a report to each peer. Every receiver
+    repeats it for as long, so it must be short beside the time between two changes of a server. */
 constexpr Duration kServerStateLifetime = milliseconds(600);
 
-/** A reader's word reaches each member over at most two relays: their intervals, and this for calls
-    on slow links and busy processors. A change must be in force within two seconds on small fleets,
-    four on large ones, also where this instance has to read the store itself in the end. */
+/** Added to the intervals of two relays, for slow links and busy processors. Changes must be in
+    force within two seconds in small fleets and four in large ones, also if this instance has to
+    start watching the store itself. */
 constexpr Duration kSilenceAllowance = milliseconds(800);
 
-/** A fetch of records that takes longer leaves the way free for one from another peer. A quarter of
-    a megabyte takes a tenth of a second on a link of 20 Mbit/s that carries nothing else. */
+/** After this time another peer may be asked; long enough for 250 kB on a shared 20 Mbit/s link. */
 constexpr Duration kFetchTimeout = milliseconds(700);
 
-/** The word of a steady store holds for some reports. */
+/** Outlasts the loss of a few reports. */
 constexpr Duration kStableStoreLifetime = milliseconds(1'200);
 
 std::optional<milliseconds> AgeOf(const std::optional<TimePoint>& seen_at, TimePoint now) {
@@ -120,7 +118,7 @@
   }
 }
 
-/** A part of the members in each interval, so that a relay's work is even. */
+/** Sends to a part of the members in each interval, so that a relay's load is even. */
 void ReportExchange::SendToMembersInTurn() {
   const std::vector<Instance>& members = m_relays.Members();
   const std::size_t parts = IntervalsBetweenMemberReports();
@@ -139,7 +137,6 @@
   }
 }
 
-/** Itself or over its relays. */
 void ReportExchange::SendToOwnDomain() {
   if (m_relays.IsRelay()) {
     SendToMembers();
@@ -328,7 +325,7 @@
   }
   const FailureDomainName& own = m_instances.Self().failure_domain;
   for (const auto& [domain, uses] : report.domain_uses) {
-    // A relay adds up its own domain itself.
+    // A relay computes the sum over its own domain itself.
     if (domain == own && (!is_same_domain || m_relays.IsRelay())) {
       continue;
     }
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -19,12 +19,13 @@
 class InstanceDirectory;
 class StoreMirror;
 
-/** Hears what peers told. Called on the control thread. */
+/** Receives the state reported by peers. Called on the control thread. */
 class ReportSink {
  public:
   virtual ~ReportSink() = default;
 
-  /** What the instances of a failure domain have in flight; of the own domain, all but this one. */
+  /** The requests in flight of a failure domain's instances. For the own domain, this instance is
+      not included. */
   virtual void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
   virtual void OnPeerServerState(const ServerStateReport& news) = 0;
@@ -32,40 +33,35 @@
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
 
-/** Intervals of ReportExchange. */
 struct ReportExchangeSettings {
-  /** The shortest between two reports to one peer; loads are about twice as old when a path is
-      chosen. */
+  /** Minimum time between two reports to the same peer. */
   std::chrono::milliseconds interval{200};
 
-  /** Between two reports to a member there is at least so much for each member of the domain, so
-      that a relay sends and takes in a hundred a second at most, whatever the size of its domain.
-   */
+  /** Minimum time between two reports to a member, per member of the domain. Limits a relay to
+      about a hundred reports a second in each direction, whatever the size of its domain. */
   std::chrono::milliseconds interval_per_member{10};
 
-  /** Between two reports to other domains: requests seldom leave theirs, and bytes between domains
-      are dear. A reader's word must come often enough to be believed, see SilenceLimit. */
+  /** Time between two reports to other domains. Longer than `interval` since traffic between
+      domains is expensive, but well below SilenceLimit. */
   std::chrono::milliseconds inter_domain_interval{400};
 
-  /** Sums over other domains are in every so many of the reports to members that come less often
-      than each interval. */
+  /** On a relay that does not report to each member in every interval, the sums over other domains
+      are in one of this many reports. */
   std::uint64_t reports_between_sums = 2;
 };
 
-/** Tells peers what this instance has in flight and found stalled, and fills the gaps of its copy
-    of the store from theirs: the store may refuse one instance while it serves the others.
+/** Exchanges state with other instances: requests in flight, stalled and slow servers, and store
+    records that one side lacks, since the store may refuse one instance while it serves the others.
 
-    News goes over relays: members tell the relays of their failure domain, relays tell their
-   members and the relays of other domains. Reports and their answers say how far each side knows
-   the records; who is behind fetches them from one peer. Were each answer to carry them, many peers
-    would send the same configuration at once, and on a slow link none of the copies would arrive
-    within its limit.
+    Reports go over relays: members send to the relays of their failure domain, relays to their
+    members and to the relays of other domains. Reports and responses carry the revision of the
+    sender's mirror. An instance that is behind fetches the records from one peer at a time, since
+    several copies of a large configuration could saturate a slow link.
 
-    @see RelayDirectory, StoreMirror
-*/
+    @see RelayDirectory, StoreMirror */
 class ReportExchange final : public ReportHandler {
  public:
-  /** All must outlive it. `seeds` are asked while no peer is known. */
+  /** All references must outlive this object. `seeds` are contacted while no peer is known. */
   ReportExchange(ReportTransport& transport,
                  Scheduler& scheduler,
                  const Clock& clock,
@@ -77,45 +73,44 @@
 
   void Start();
 
-  /** What to tell of this instance's traffic from now on. */
+  /** Sets the requests in flight of this instance for the next reports. */
   void SetUses(LoadTracker::Uses own) { m_uses = std::move(own); }
 
-  /** Tells peers, with the next reports to each, what a server said of its layers. */
+  /** Reports a server's statement to the peers for a short time. */
   void AddServerState(const ServerStateReport& news) {
     m_server_states[news.server] = {m_clock.Now(), news};
   }
 
-  /** Servers that this instance knows to be slow, by its own questions or by peers. */
+  /** Sets the slow servers for the next reports, found by this instance or reported by peers. */
   void SetSlowServers(std::vector<SlowdownReport> servers) { m_slow_servers = std::move(servers); }
 
-  /** What servers said of the requests that they take, for the reports from now on. */
+  /** Sets the limits that servers gave, for the next reports. */
   void SetServerLimits(std::vector<ServerLimitNews> limits) { m_server_limits = std::move(limits); }
 
-  /** The same, told at once: the relays of all domains if it was heard here, who tell their
-   * members.
-   */
+  /** Sets the limits and reports them at once: to all relays if `found_here`, else only to the
+      members if this instance is a relay. */
   void SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here);
 
-  /** Tells the relays of all domains at once, who tell their members: each millisecond later costs
-      callers a pause, and a small instance would take long to tell two hundred peers itself. */
+  /** Reports a stalled server at once to the relays of all domains, which forward it to their
+      members. */
   void SendStall(const BackendServerName& server);
 
-  /** Tells those who rely on this instance at once how far the store's records are known now. */
+  /** Reports a new revision of the mirror at once to the instances that depend on this one. */
   void SendRevision();
 
   void SendLeaving();
 
-  /** Decides whether this instance waits for the store's changes: the readers of the fleet do, and
-      every one that has not heard lately, over any number of relays, that some reader does. */
+  /** Whether this instance should watch the store: it is an assigned store watcher, or has had no
+      recent sign of one. */
   bool ShouldWatchStore() const;
 
-  /** How long ago a reader is known to have been in contact, in ms, for the log. */
+  /** Milliseconds since a store watcher is known to have been in contact, or "never"; for the log.
+   */
   std::string DescribeStoreWatcherAge() const;
 
-  /** Whether this instance is one of the fleet's readers. */
   bool IsAssignedStoreWatcher() const { return m_relays.IsStoreWatcher(); }
 
-  /** Whether some peer said lately that the store serves it without failures. */
+  /** Whether a peer reported recently that its store calls succeed. */
   bool AnyPeerSeesStableStore() const;
 
   MirrorDelta OnReport(const InstanceReport& report) override;
@@ -135,7 +130,8 @@
   void Send(const Instance& peer, Recipient recipient, InstanceReport report);
   Recipient KindOf(const Instance& peer) const;
 
-  /** How long a relay, or the word of a reader, may keep away before this instance helps itself. */
+  /** How long a relay or the sign of a store watcher may be missing before this instance replaces
+      it. */
   Duration SilenceLimit() const;
   std::uint64_t IntervalsBetweenMemberReports() const;
   std::optional<std::chrono::milliseconds> StoreWatcherAge() const;
@@ -143,7 +139,7 @@
   void ApplyLoads(const InstanceReport& report, bool is_same_domain);
   void ApplyStalls(const InstanceReport& report);
 
-  /** Called when `peer` turns out to know the store's records up to `revision`. */
+  /** Fetches records from `peer` if it is at a newer revision and no other fetch is under way. */
   void FetchIfNewer(const NetworkAddress& peer, std::uint64_t revision);
 
   ReportTransport& m_transport;
@@ -158,13 +154,13 @@
   MemberLoads m_member_loads;
   LoadTracker::Uses m_uses;
 
-  /** The sum over the own domain with this instance; a relay's. */
+  /** Used by a relay: the sum over the own domain including this instance. */
   LoadTracker::Uses m_domain_sum;
   std::vector<SlowdownReport> m_slow_servers;
   std::vector<ServerLimitNews> m_server_limits;
   std::map<BackendServerName, std::pair<TimePoint, ServerStateReport>> m_server_states;
 
-  /** A relay's: what the relays of other domains said of theirs, and when. */
+  /** Used by a relay: the last sums received from other domains, and when. */
   std::map<FailureDomainName, std::pair<TimePoint, LoadTracker::Uses>> m_other_domains;
   std::map<BackendServerName, TimePoint> m_stalls;
   bool m_leaving = false;
