--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -11,14 +11,15 @@
 namespace zinnia {
 namespace {
 
-/** Removed records are kept for peers that lag behind; beyond this number the older half goes. */
+/** Removed records are kept for peers that lag behind; above this number all of them are dropped.
+ */
 constexpr std::size_t kMaxRemovals = 2'048;
 
-/** A reader hears from the store at least this often: its longest wait, its pause, and a slow
- * answer. */
+/** Exceeds the time between two responses to a store watcher: its longest wait, its pause and a
+    slow response. */
 constexpr Duration kContactLifetime = std::chrono::milliseconds(2'500);
 
-/** All keys: one watch for everything costs one call where one a prefix would cost several. */
+/** One watch for all keys costs one call; one per prefix would cost several. */
 constexpr const char* kAllKeys = "";
 
 constexpr std::array<std::string_view, 3> kRoleNames = {"none", "substitute", "reader"};
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -17,76 +17,72 @@
 
 class Logger;
 
-/** Hears each change of a mirror, in the order of revisions. */
+/** Receives each change of a mirror, in the order of revisions. */
 class MirrorListener {
  public:
   virtual ~MirrorListener() = default;
 
-  /** After one or more OnMirroredRecord calls. */
+  /** Called after one or more OnMirroredRecord calls, or when only the revision advanced. */
   virtual void OnMirrorAdvanced() = 0;
   virtual void OnMirroredRecord(const MirroredRecord& record) = 0;
 };
 
-/** On whose account a StoreMirror asks the store. */
+/** For whom a StoreMirror watches the store. */
 enum class StoreWatchRole {
-  /** Others do; their news is taken in by Merge. */
+  /** Does not watch; the records of peers arrive through Merge. */
   kNone,
 
-  /** This instance's own, as no word of a reader has come for a while. */
+  /** For this instance only, since no store watcher has been known for a while. */
   kSubstitute,
 
-  /** The whole fleet's. */
+  /** For the whole fleet. */
   kStoreWatcher,
 };
 
 std::string_view NameOf(StoreWatchRole reading);
 
-/** Intervals of a StoreMirror. */
 struct StoreMirrorSettings {
-  /** How long one watch waits; each one is priced. A waiting watch may hear nothing while the store
-      drops its history, and only its end shows that, so it must be brief. */
+  /** Maximum duration of one watch. Each watch is billed, but a watch that waits while the store
+      drops its history receives nothing until it ends. */
   std::chrono::milliseconds longest_wait{1'500};
 
-  /** Pause between two watches, so that one answer carries a burst of changes: a fifth of the two
+  /** Pause between two watches, so that one response carries a burst of changes. A fifth of the two
       seconds within which changes must be in force. */
   std::chrono::milliseconds pause{400};
 
-  /** The pause of an instance that places layers: each engine that starts waits for it. */
+  /** Used in place of `pause` by the placer, since each engine that starts waits for its decision.
+   */
   std::chrono::milliseconds pause_of_placer{80};
 
-  /** After the first list, which also shows who reads for the fleet. Were each instance to watch at
-      once, a start of the whole fleet would make a call more for each. */
+  /** Pause after the first list, which also shows who watches for the fleet. Avoids a watch by
+      every instance when the whole fleet starts at once. */
   std::chrono::milliseconds pause_after_first_list{500};
 
-  /** Pause after a failed call. Doubles up to `longest_retry_pause`. */
+  /** Pause after a failed call; doubles up to `longest_retry_pause`. */
   std::chrono::milliseconds retry_pause{100};
   std::chrono::milliseconds longest_retry_pause{500};
 
-  /** The same for an instance that is no reader: while the store is away that may be every one, and
-      each refused call is priced. */
+  /** The same for a substitute: in a store outage that may be every instance, and failed calls are
+      billed. */
   std::chrono::milliseconds longest_retry_pause_of_substitute{2'000};
 
-  /** Substitutes spread their calls over at least so much for each live instance: no more than two
-      hundred first tries and fifty later ones a second, whatever the size of the fleet. */
+  /** Substitutes spread their calls over this time multiplied by the number of live instances: at
+      most two hundred first tries and fifty retries a second for any fleet size. */
   std::chrono::milliseconds first_try_per_instance{5};
   std::chrono::milliseconds retry_per_instance{20};
 
-  /** This instance's place in that spread, from 0 to 1. */
+  /** This instance's position in that spread, from 0 to 1. */
   double place = 0.0;
 };
 
-/** A copy of everything in the platform's store, kept current by one list and a chain of watches.
+/** A copy of all records in the platform's store, kept current by one list and a chain of watches.
+    The first list may be seconds old; the first watch or a peer supplies what changed since.
 
-    The first list may be seconds old: what changed since comes by the first watch, or from a
-   reader.
+    If the store has dropped its history (a watch fails with kStoreHistoryLost), the mirror lists
+    again and reports missing records as removed. If the store cannot be reached, records of peers
+    are taken over by Merge. Revisions never decrease.
 
-    What can go wrong, and what is done: history was dropped (the watch fails with
-    kStoreHistoryLost): the mirror lists anew and reports what disappeared meanwhile as removed. The
-    store is silent or refuses this instance only: news of peers is taken in by Merge. Revisions
-    never move back.
-
-    Lives on the control thread.
-*/
+    Lives on the control thread. */
 class StoreMirror {
  public:
   StoreMirror(PlatformStore& store,
@@ -99,34 +95,34 @@
   void SetListener(MirrorListener* listener) { m_listener = listener; }
   void Start();
 
-  /** Who reads for whom from now on, and how many instances live. */
+  /** Sets the watch role and the number of live instances. */
   void SetWatchRole(StoreWatchRole reading, std::size_t live_instances);
 
-  /** Whether it asks the store by itself. */
+  /** Whether this mirror watches the store itself. */
   bool IsWatching() const { return m_reading != StoreWatchRole::kNone; }
 
-  /** Whether this instance acts on what servers say. */
+  /** Whether this instance is the placer, which shortens the pause between watches. */
   void SetIsPlacer(bool is_placer) { m_is_placer = is_placer; }
 
-  /** News of a peer. Older records than the known ones are ignored. */
+  /** Takes over records from the store or a peer. Records older than the known ones are ignored. */
   void Merge(const MirrorDelta& delta);
 
-  /** What a peer that stands at `revision` lacks. Complete if the removals since then are no longer
-      known. */
+  /** The changes that a peer at `revision` lacks. A full snapshot if the removals since then are no
+      longer known. */
   MirrorDelta ChangesAfter(std::uint64_t revision) const;
 
   bool Has(const std::string& key) const;
 
   std::uint64_t Revision() const { return m_revision; }
 
-  /** Whether everything was read at least once, from the store or a peer. */
+  /** Whether a full copy was received at least once, from the store or a peer. */
   bool IsFilled() const { return m_filled; }
 
   bool IsInContact() const { return m_in_contact; }
 
-  /** Whether the store answered lately, and has not failed a call of this mirror for `duration`.
-     Not having asked is no sign of steadiness: taken for one, entries that lapsed in an outage
-     would count as servers that left. */
+  /** Whether the store responded recently and no call of this mirror has failed for `duration`.
+      False without recent calls: otherwise records that lapsed in an outage would count as servers
+      that left. */
   bool IsStableFor(Duration duration) const;
 
  private:
@@ -150,7 +146,7 @@
   MirrorListener* m_listener = nullptr;
   std::map<std::string, MirroredRecord> m_records;
 
-  /** Removals before this revision are forgotten. */
+  /** Removals up to this revision are no longer known. */
   std::uint64_t m_removals_known_after = 0;
   std::uint64_t m_revision = 0;
   std::chrono::milliseconds m_retry_pause;
@@ -160,7 +156,7 @@
   std::size_t m_live_instances = 1;
   bool m_is_placer = false;
 
-  /** Answers to watches before the newest one are ignored. */
+  /** Responses to earlier watches are ignored. */
   std::uint64_t m_watch_number = 0;
   bool m_filled = false;
   bool m_in_contact = false;
