--- a/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/** What an instance believes of the store, servers, peers and their loads, from whom and how old it
-    is. The other rooms read it; it reads none of them. */
+/** The last known state of the store, of the backend servers and of the peers with their loads.
+    Other folders of forwarding include this one; it includes none of them. */
 
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
