--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
@@ -15,44 +15,44 @@
 
 namespace zinnia {
 
-/** A server that did not go on, and how long ago that was seen. */
+/** A server that stopped making progress, and the time since this was detected. */
 struct StallReport {
   BackendServerName server;
   std::chrono::milliseconds age{0};
 };
 
-/** What an instance tells a peer a few times a second. */
+/** The state that an instance sends to its peers several times a second. */
 struct InstanceReport {
   Instance instance;
 
-  /** How far it knows the store's records. */
+  /** The revision of the sender's store mirror. 0: not filled yet. */
   std::uint64_t revision = 0;
 
-  /** What this instance has in flight; for the relays of its failure domain. */
+  /** The sender's requests in flight, for the relays of its failure domain. */
   LoadTracker::Uses uses;
 
-  /** From a relay to a member of its domain: the sum over the domain's other members, and now and
-      then the sums over other domains. To relays of other domains: the sum over its own. */
+  /** From a relay to a member: the sum over the other members of the domain, and periodically the
+      sums over other domains. To relays of other domains: the sum over the sender's domain. */
   std::map<FailureDomainName, LoadTracker::Uses> domain_uses;
   std::vector<StallReport> stalls;
   std::vector<SlowdownReport> slow_servers;
   std::vector<ServerLimitNews> server_limits;
 
-  /** Heard from servers lately, not from the store. */
+  /** Recent statements of servers that did not come from the store. */
   std::vector<ServerStateReport> server_states;
 
-  /** How long ago, at most, some instance was reading the store; over how many ways the word of it
-      came plays no part. 0 from a reader that is in contact. Nothing: none is known. */
+  /** Upper bound on the time since some instance was in contact with the store as a watcher,
+      however many relays forwarded it. 0 from a watcher in contact; empty if none is known. */
   std::optional<std::chrono::milliseconds> store_watcher_age;
 
-  /** The same of an instance that the store has answered without a failure for longer than lapsed
-      entries need to return. */
+  /** The same for an instance whose store calls have all succeeded for long enough that lapsed
+      records would have been written again. */
   std::optional<std::chrono::milliseconds> stable_store_age;
 
-  /** Whether the answer shall hold the store's records that the sender lacks. */
+  /** Whether the response should contain the store records that the sender lacks. */
   bool wants_records = false;
 
-  /** It is about to stop. */
+  /** The sender is about to stop. */
   bool leaving = false;
 };
 
