--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
@@ -9,24 +9,24 @@
 
 namespace zinnia {
 
-/** What the members of a relay's failure domain have in flight, each as it last said, and their
-   sum.
+/** The requests in flight of each member of a relay's failure domain, as last reported, and their
+    sum.
 
-    A relay tells each member the sum over the others: a row for each member would be forty times as
-    much to send, and no decision needs to know whose request it is.
+    A relay sends each member the sum over the others: one row per member would be many times
+    larger, and no decision depends on whose request it is.
 
-    Lives on the control thread.
-*/
+    Lives on the control thread. */
 class MemberLoads {
  public:
   explicit MemberLoads(const Clock& clock) : m_clock(clock) {}
 
   void Set(const InstanceName& member, LoadTracker::Uses uses);
 
-  /** What has not been renewed within LoadTracker::kReportLifetime no longer counts. */
+  /** The sum over `own` and all members. Reports older than LoadTracker::kReportLifetime are
+      dropped. */
   LoadTracker::Uses Sum(const LoadTracker::Uses& own);
 
-  /** `sum` without what this member said of itself. */
+  /** Returns `sum` less the last report of `member`. */
   LoadTracker::Uses Without(const InstanceName& member, const LoadTracker::Uses& sum) const;
 
  private:
