--- a/packages/zinnia_decisions/forwarding/beliefs/mirrored_record.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/mirrored_record.h
@@ -7,7 +7,7 @@
 
 namespace zinnia {
 
-/** A record of the store as a mirror knows it. No value: it was removed at that revision. */
+/** A store record as held by a mirror. Without a value: removed at that revision. */
 struct MirroredRecord {
   std::string key;
   std::uint64_t revision = 0;
@@ -16,9 +16,9 @@
   bool operator==(const MirroredRecord&) const = default;
 };
 
-/** What changed in a mirror between two revisions. */
+/** Changes of a mirror between two revisions. */
 struct MirrorDelta {
-  /** Set if `records` are all that exist: what is not among them was removed. */
+  /** Whether `records` is a full snapshot: keys absent from it were removed. */
   bool complete = false;
   std::uint64_t revision = 0;
   std::vector<MirroredRecord> records;
