--- a/packages/zinnia_decisions/forwarding/beliefs/server_state_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_state_report.h
@@ -5,14 +5,14 @@
 
 namespace zinnia {
 
-/** What a server said of itself, other than its entry in the store has it. */
+/** A server's own statement of its state, which may be newer than its record in the store. */
 struct ServerStateReport {
   BackendServerName server;
 
-  /** The layers that it holds; says nothing if `leaving`. */
+  /** The layers that the server holds. Ignored if `leaving`. */
   LayerRange layers;
 
-  /** It takes no new work, as before a planned end. */
+  /** The server accepts no new requests, as before a planned shutdown. */
   bool leaving = false;
 };
 
