--- a/packages/zinnia_decisions/forwarding/beliefs/slowdown_report.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/slowdown_report.h
@@ -7,7 +7,8 @@
 
 namespace zinnia {
 
-/** How many times longer than usual a server says that its work takes, and how old its word is. */
+/** How many times longer than usual a server reports its work to take, and the age of that report.
+ */
 struct SlowdownReport {
   BackendServerName server;
   double slowdown_factor = 1.0;
