--- a/packages/zinnia_decisions/ports/report_transport.h
+++ b/packages/zinnia_decisions/ports/report_transport.h
@@ -9,20 +9,21 @@
 
 namespace zinnia {
 
-/** The way of news to other instances. Callbacks run later, once, on the control thread. */
+/** Sends reports to other instances. Each callback runs later, exactly once, on the control thread.
+ */
 class ReportTransport {
  public:
   virtual ~ReportTransport() = default;
 
-  /** Gives what this instance lacks of the store's records and the peer has. If the report does not
-      want records, the answer has none and says only how far the peer knows them: it must not be
-      merged. */
+  /** Sends a report and receives the store records that the peer has and this instance lacks. If
+      the report does not want records, the response only carries the peer's revision and must not
+      be merged. */
   virtual void Exchange(const NetworkAddress& peer,
                         const InstanceReport& report,
                         std::function<void(Result<MirrorDelta>)> callback) = 0;
 };
 
-/** What an instance answers to the news of its peers. Called on the control thread. */
+/** Responds to the reports of peers. Called on the control thread. */
 class ReportHandler {
  public:
   virtual ~ReportHandler() = default;
