--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/news_test.cc
@@ -70,7 +70,7 @@
     return report;
   }
 
-  /** Lets it hear the peers and know what is whose part. */
+  /** Delivers a report of each peer, then starts the exchange. */
   void Know(std::initializer_list<const char*> names) {
     for (const char* name : names) {
       news.OnReport(ReportOf(name));
@@ -79,15 +79,15 @@
     transport.sent.clear();
   }
 
-  /** What it tells peers now. */
+  /** The report that is sent to peers now. */
   InstanceReport LastReport() {
     news.SendLeaving();
     return transport.sent.back().second;
   }
 };
 
-// Symptom: an instance that starts while the store refuses it never serves. Sequence: start, store
-// silent, no peer known. Cause: peers looked up only in the store.
+// Guards against an instance that never serves because the store refuses it at the start and peers
+// are looked up only in the store.
 TEST(News, AnInstanceThatKnowsNobodyAsksTheSeedsAndLearnsEverything) {
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
   news.Start();
@@ -98,9 +98,8 @@
   CHECK_TRUE(mirror.Has("k"));
 }
 
-// Symptom: a configuration is not in force eleven seconds after its change. Sequence: the store
-// refuses an instance on a slow link; its peers know a large configuration; each answers its
-// reports with all of it. Cause: sixteen copies at once, none of which arrived within its limit.
+// Guards against several peers sending a large configuration at once over a slow link, so that no
+// copy arrives in time.
 TEST(News, AnInstanceThatIsBehindFetchesFromOnePeerAtATime) {
   for (const char* name : {"a", "b", "c"}) {
     InstanceReport report = ReportOf(name);
@@ -130,8 +129,8 @@
   CHECK_EQUAL(1U, news.OnReport(report).records.size());
 }
 
-// Symptom: an instance keeps an old configuration for good. Sequence: a peer's answer says how far
-// it knows the records without holding any. Cause: such an answer taken for "nothing changed".
+// Guards against a response without records being taken for "nothing changed", which would keep an
+// old configuration for good.
 TEST(News, AnAnswerWithoutRecordsDoesNotMoveTheCopyForward) {
   mirror.Merge({true, 4, {{"k", 4, "old"}}});
   Know({"peer"});
@@ -190,9 +189,8 @@
   CHECK_EQUAL(1U, sink.stalls.size());
 }
 
-// Symptom: a leaving server gets requests two seconds after it said so. Sequence: the store refuses
-// one instance and serves the others; the server leaves meanwhile. Cause: the refused instance
-// takes its own failures for an outage of the store.
+// Guards against an instance that the store refuses taking its own failures for an outage and
+// sending requests to a leaving server.
 TEST(News, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
   CHECK_FALSE(news.AnyPeerSeesStableStore());
   InstanceReport report = ReportOf("peer");
@@ -203,8 +201,7 @@
   CHECK_FALSE(news.AnyPeerSeesStableStore());
 }
 
-// Symptom: the store's rates are used up by waiting watches of eighty instances. Sequence: each
-// instance polls briefly for fear of deaf watches. Cause: no division of that work.
+// Guards against every instance watching the store, which exceeds the store's rate limits.
 TEST(News, TheReadersReadAndTheOthersOnlyWhenTheyAreSilent) {
   const auto hear = [this](const char* name) {
     InstanceReport report = ReportOf(name);
@@ -224,9 +221,8 @@
   CHECK_TRUE(news.ShouldWatchStore());
 }
 
-// Symptom: after the readers were lost, a configuration comes into force ten seconds late.
-// Sequence: two relays tell each other that a reader was heard, for ever. Cause: news of a reader
-// without its age.
+// Guards against two relays confirming to each other for ever that a store watcher exists after all
+// were lost.
 TEST(News, TheWordOfAReaderAgesOnItsWay) {
   Know({"another", "before"});
   InstanceReport report = ReportOf("another");
@@ -243,8 +239,7 @@
   CHECK_TRUE(news.ShouldWatchStore());
 }
 
-// Symptom: a change is in force two seconds late on instances that do not read the store. Sequence:
-// their reader learns of it and tells them in turn. Cause: news of a change waited for its turn.
+// Guards against a change waiting for the next regular report to each member.
 TEST(News, AReaderTellsItsDomainOfAChangeAtOnceAndOnlyOnce) {
   Know({"peer"});
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
@@ -262,9 +257,7 @@
   CHECK_EQUAL(1U, instances.LiveInstances().size());
 }
 
-// Symptom: 195 instances that start again together make 390 calls more than they need. Sequence:
-// each writes its record as new, is told that there is one, reads it and writes again. Cause: the
-// record of its former self, which the first list showed, is not used.
+// Guards against two additional store calls for each instance when a whole fleet restarts.
 TEST(News, ARecordThatIsKnownIsWrittenWithoutBeingReadFirst) {
   store.Put("instances/self", "of before");
   InstanceRegistration registration(store, time, logger, MakeInstance("self", 1));
