--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -20,7 +20,7 @@
 constexpr int kMembers = 40;
 constexpr Duration kWayOfNews = milliseconds(2);
 
-/** One instance of a fleet of which all talk over the test's own transport. */
+/** One instance of a fleet that is connected by the test's transport. */
 struct TestInstance final : ReportTransport, ReportSink {
   using Callback = std::function<void(Result<MirrorDelta>)>;
   using Deliver = std::function<void(const NetworkAddress&, const InstanceReport&, Callback)>;
@@ -67,7 +67,7 @@
   Deliver deliver;
   std::map<FailureDomainName, LoadTracker::Uses> uses;
   std::vector<std::string> stalls;
-  /** What it believes that the instances of a domain have in flight at the server "s". */
+  /** The last known number of requests of a domain's instances at the server "s". */
   std::uint32_t Requests(const FailureDomainName& domain) const {
     const auto reported = uses.find(domain);
     if (reported == uses.end() || !reported->second.contains("s")) {
@@ -136,7 +136,7 @@
     }));
   }
 
-  /** Lets time pass; the store answers whoever reads it. */
+  /** Advances the time; the store responds to all watches. */
   void Keep(Duration duration) {
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
@@ -165,9 +165,7 @@
   }
 };
 
-// Symptom: calls to the store are the largest price of a fleet of two hundred. Sequence: ten
-// instances read for their domains and the others watch every twenty seconds. Cause: duties by
-// domain and by name, without regard to the size of the fleet.
+// Guards against a number of store watchers that grows with the number of domains or instances.
 TEST(Relays, ThreeInstancesOfMostReadForTheWholeFleet) {
   CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.news.ShouldWatchStore(); }));
   CHECK_EQUAL(3, CountIf([](TestInstance& one) {
@@ -175,9 +173,7 @@
               }));
 }
 
-// Symptom: a small instance spends a tenth of its processor on news. Sequence: it sends and takes
-// in 180 reports a second. Cause: everybody tells everybody in turn. A member now sends and takes
-// in 10 a second together, a relay 250.
+// Guards against every instance reporting to every other.
 TEST(Relays, AMemberSendsAndTakesInFewReports) {
   for (auto& [address, instance] : fleet) {
     instance->sent = 0;
@@ -188,9 +184,8 @@
   CHECK_TRUE(At(0, 37).sent + At(0, 37).taken_in <= 4 * 300);
 }
 
-// Symptom: all instances of a domain choose the same server. Sequence: each knows its own requests
-// only. Cause: a relay that passes on what members say in place of their sum, or counts a member's
-// own requests as others'.
+// Guards against relays that forward single reports in place of the sum, or include a member's own
+// requests in its sum.
 TEST(Relays, EachMemberHearsWhatAllOthersOfItsDomainHaveInFlight) {
   for (int member = 0; member < kMembers; ++member) {
     At(2, member).news.SetUses({{"s", {1, 10.0, 1}}});
@@ -202,24 +197,24 @@
   CHECK_EQUAL(40U, At(4, 11).Requests("d2"));
 }
 
-// Symptom: streams of other domains wait for their own silence to notice a lost server. Sequence: a
-// member finds it. Cause: relays that keep the news to themselves.
+// Guards against relays that do not forward a stall, so that other domains detect a lost server
+// only by their own timeouts.
 TEST(Relays, AStallReachesEveryInstanceWithinSomeMilliseconds) {
   At(1, 3).news.SendStall("lost");
   time.AdvanceBy(milliseconds(8));
   CHECK_EQUAL(199, CountIf([](TestInstance& one) { return one.stalls.size() == 1; }));
 }
 
-// Symptom: a configuration is late on instances that do not read the store. Sequence: a reader
-// learns of it. Cause: the news waited for the next report of each relay.
-// Guards against a server in need that goes on getting requests from instances that have not heard.
+// Guards against an overloaded server that keeps receiving requests from instances that do not know
+// its limit yet.
 TEST(Relays, AServersLimitReachesEveryInstanceWithinSomeMilliseconds) {
   At(1, 3).news.SendServerLimits({{"s", 12.0, milliseconds(0)}}, true);
   time.AdvanceBy(milliseconds(20));
-  // Its relays tell it back to the one that heard it.
+  // The relays report it back to the sender too.
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.limits.size() == 1; }));
 }
 
+// Guards against a change that waits for the next regular report of each relay.
 TEST(Relays, AChangeThatAReaderHearsReachesEveryInstanceAtOnce) {
   for (auto& [address, instance] : fleet) {
     if (instance->news.ShouldWatchStore()) {
@@ -237,8 +232,7 @@
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.mirror.Revision() == 9; }));
 }
 
-// Symptom: a domain hears no news for fifteen seconds. Sequence: both of its relays lose power;
-// their records lapse only then. Cause: relays chosen by records alone.
+// Guards against a domain without reports until the records of its failed relays lapse.
 TEST(Relays, RelaysThatFallSilentAreReplacedWithinTwoSeconds) {
   At(3, 37).is_alive = false;
   At(3, 38).is_alive = false;
@@ -248,8 +242,7 @@
   CHECK_FALSE(At(3, 1).news.ShouldWatchStore());
 }
 
-// Symptom: a fleet goes on with old servers. Sequence: all three readers are lost at once. Cause:
-// nobody takes their place.
+// Guards against a fleet without a store watcher after all three were lost at once.
 TEST(Relays, WhenAllReadersAreLostOthersRead) {
   for (auto& [address, instance] : fleet) {
     instance->is_alive = !instance->news.ShouldWatchStore();
