--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -21,7 +21,7 @@
   if (instance.name == m_self.name) {
     return;
   }
-  Heard& heard = m_seen_peers[instance.name];
+  SeenPeer& heard = m_seen_peers[instance.name];
   heard.at = m_clock.Now();
   if (heard.instance != instance) {
     heard.instance = instance;
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -43,7 +43,7 @@
       and copying hundreds of names each time is expensive on a small instance. */
   static constexpr Duration kLiveListLifetime = std::chrono::milliseconds(250);
 
-  struct Heard {
+  struct SeenPeer {
     Instance instance;
     TimePoint at{};
   };
@@ -53,7 +53,7 @@
   const Clock& m_clock;
   const Instance m_self;
   std::map<InstanceName, Instance> m_recorded;
-  std::map<InstanceName, Heard> m_seen_peers;
+  std::map<InstanceName, SeenPeer> m_seen_peers;
   mutable std::vector<Instance> m_live;
   mutable TimePoint m_live_built_at{};
 };
