--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -37,12 +37,12 @@
 
 const std::vector<Instance>& InstanceDirectory::Live() const {
   if (m_live.empty() || m_clock.Now() - m_live_built_at >= kLiveListLifetime) {
-    Count();
+    RebuildLive();
   }
   return m_live;
 }
 
-void InstanceDirectory::Count() const {
+void InstanceDirectory::RebuildLive() const {
   std::map<InstanceName, const Instance*> live;
   for (const auto& [name, instance] : m_recorded) {
     live[name] = &instance;
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.h
@@ -48,7 +48,7 @@
     TimePoint at{};
   };
 
-  void Count() const;
+  void RebuildLive() const;
 
   const Clock& m_clock;
   const Instance m_self;
