--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
@@ -32,10 +32,10 @@
     : m_store(store), m_scheduler(scheduler), m_logger(logger), m_self(std::move(self)) {}
 
 void InstanceRegistration::Start() {
-  Again(kFirstListDelay, &InstanceRegistration::Grant);
+  ScheduleStep(kFirstListDelay, &InstanceRegistration::Grant);
 }
 
-void InstanceRegistration::Again(milliseconds pause, void (InstanceRegistration::*step)()) {
+void InstanceRegistration::ScheduleStep(milliseconds pause, void (InstanceRegistration::*step)()) {
   if (!m_stopped) {
     m_timer = m_scheduler.ScheduleAfter(pause, [this, step] { (this->*step)(); });
   }
@@ -44,7 +44,7 @@
 void InstanceRegistration::Grant() {
   m_store.GrantLease(kLease, WhileAlive(m_alive, [this](const Result<StoreLeaseId>& lease) {
                        if (!lease) {
-                         Again(kRetryPause, &InstanceRegistration::Grant);
+                         ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                          return;
                        }
                        m_lease = *lease;
@@ -58,7 +58,7 @@
   m_store.Get(std::string(kKeyPrefix) + m_self.name,
               WhileAlive(m_alive, [this](const Result<std::optional<StoreRecord>>& record) {
                 if (!record) {
-                  Again(kRetryPause, &InstanceRegistration::ReadBack);
+                  ScheduleStep(kRetryPause, &InstanceRegistration::ReadBack);
                   return;
                 }
                 Write(*record ? (*record)->version : 0);
@@ -71,11 +71,11 @@
                            if (result) {
                              m_logger.Log(LogLevel::kInfo, "instance_registered",
                                           {{"revision", std::to_string(*result)}});
-                             Again(kRenewInterval, &InstanceRegistration::Renew);
+                             ScheduleStep(kRenewInterval, &InstanceRegistration::Renew);
                            } else if (result.error().kind == ErrorKind::kNotFound) {
-                             Again(kRetryPause, &InstanceRegistration::Grant);
+                             ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                            } else {
-                             Again(kRetryPause, &InstanceRegistration::ReadBack);
+                             ScheduleStep(kRetryPause, &InstanceRegistration::ReadBack);
                            }
                          }));
 }
@@ -84,10 +84,10 @@
   m_store.KeepLeaseAlive(m_lease, WhileAlive(m_alive, [this](const Result<void>& result) {
                            if (!result && result.error().kind == ErrorKind::kNotFound) {
                              m_logger.Log(LogLevel::kWarning, "instance_record_lapsed", {});
-                             Again(kRetryPause, &InstanceRegistration::Grant);
+                             ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                              return;
                            }
-                           Again(kRenewInterval, &InstanceRegistration::Renew);
+                           ScheduleStep(kRenewInterval, &InstanceRegistration::Renew);
                          }));
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.h
@@ -41,7 +41,7 @@
   void ReadBack();
   void Write(std::uint64_t expected_version);
   void Renew();
-  void Again(std::chrono::milliseconds pause, void (InstanceRegistration::*step)());
+  void ScheduleStep(std::chrono::milliseconds pause, void (InstanceRegistration::*step)());
 
   PlatformStore& m_store;
   Scheduler& m_scheduler;
