--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
@@ -14,7 +14,7 @@
 
 /** Outlasts pauses and two failed renewals, but is short enough that budgets are redistributed soon
     after an instance is lost. Store calls are billed, so renewals are infrequent. */
-constexpr milliseconds kLease{15'000};
+constexpr milliseconds kLeaseDuration{15'000};
 constexpr milliseconds kRenewInterval{5'000};
 
 /** The first list of the store's records takes some milliseconds. */
@@ -42,7 +42,7 @@
 }
 
 void InstanceRegistration::Grant() {
-  m_store.GrantLease(kLease, WhileAlive(m_alive, [this](const Result<StoreLeaseId>& lease) {
+  m_store.GrantLease(kLeaseDuration, WhileAlive(m_alive, [this](const Result<StoreLeaseId>& lease) {
                        if (!lease) {
                          ScheduleStep(kRetryPause, &InstanceRegistration::Grant);
                          return;
