--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -52,7 +52,7 @@
   List();
 }
 
-void StoreMirror::Later(std::chrono::milliseconds pause, void (StoreMirror::*step)()) {
+void StoreMirror::ScheduleStep(std::chrono::milliseconds pause, void (StoreMirror::*step)()) {
   m_timer = m_scheduler.ScheduleAfter(pause, [this, step] { (this->*step)(); });
 }
 
@@ -68,7 +68,7 @@
 void StoreMirror::OnListed(const Result<StoreBatch>& result) {
   if (!result) {
     NoteFailure(result.error());
-    Later(RetryPause(), &StoreMirror::List);
+    ScheduleStep(RetryPause(), &StoreMirror::List);
     return;
   }
   NoteContact();
@@ -89,7 +89,7 @@
   } else if (pause.count() == 0) {
     Watch();
   } else {
-    Later(pause, &StoreMirror::Watch);
+    ScheduleStep(pause, &StoreMirror::Watch);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -136,7 +136,7 @@
   void RemoveMissing(const MirrorDelta& delta);
   void NoteFailure(const Error& error);
   void NoteContact();
-  void Later(std::chrono::milliseconds pause, void (StoreMirror::*step)());
+  void ScheduleStep(std::chrono::milliseconds pause, void (StoreMirror::*step)());
 
   PlatformStore& m_store;
   Scheduler& m_scheduler;
