--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -67,7 +67,7 @@
 
 void StoreMirror::OnListed(const Result<StoreBatch>& result) {
   if (!result) {
-    NoteFailure(result.error());
+    RecordFailure(result.error());
     ScheduleStep(RetryPause(), &StoreMirror::List);
     return;
   }
@@ -126,7 +126,7 @@
     return;
   }
   if (!result) {
-    NoteFailure(result.error());
+    RecordFailure(result.error());
     WatchAfter(RetryPause());
     return;
   }
@@ -219,7 +219,7 @@
   return m_in_contact && heard_lately && (!m_last_failure || now - *m_last_failure >= duration);
 }
 
-void StoreMirror::NoteFailure(const Error& error) {
+void StoreMirror::RecordFailure(const Error& error) {
   if (m_in_contact || !m_last_failure) {
     m_logger.Log(LogLevel::kWarning, "store_lost",
                  {{"reason", Describe(error)}, {"revision", std::to_string(m_revision)}});
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -134,7 +134,7 @@
   void OnWatched(const Result<StoreBatch>& result);
   void Apply(const MirroredRecord& record);
   void RemoveMissing(const MirrorDelta& delta);
-  void NoteFailure(const Error& error);
+  void RecordFailure(const Error& error);
   void NoteContact();
   void ScheduleStep(std::chrono::milliseconds pause, void (StoreMirror::*step)());
 
