--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -71,7 +71,7 @@
     ScheduleStep(RetryPause(), &StoreMirror::List);
     return;
   }
-  NoteContact();
+  RecordContact();
   const bool is_first = !m_filled;
   MirrorDelta delta;
   delta.complete = true;
@@ -130,7 +130,7 @@
     WatchAfter(RetryPause());
     return;
   }
-  NoteContact();
+  RecordContact();
   MirrorDelta delta;
   delta.revision = result->version;
   for (const StoreRecord& record : result->records) {
@@ -229,7 +229,7 @@
   m_retry_pause = std::min(m_retry_pause * 2, m_settings.longest_retry_pause_of_substitute);
 }
 
-void StoreMirror::NoteContact() {
+void StoreMirror::RecordContact() {
   if (!m_in_contact) {
     m_logger.Log(LogLevel::kInfo, m_ever_in_contact ? "store_regained" : "store_reached",
                  {{"revision", std::to_string(m_revision)}});
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -135,7 +135,7 @@
   void Apply(const MirroredRecord& record);
   void RemoveMissing(const MirrorDelta& delta);
   void RecordFailure(const Error& error);
-  void NoteContact();
+  void RecordContact();
   void ScheduleStep(std::chrono::milliseconds pause, void (StoreMirror::*step)());
 
   PlatformStore& m_store;
