--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -84,7 +84,7 @@
 }
 
 void StoreMirror::WatchAfter(std::chrono::milliseconds pause) {
-  if (m_reading == StoreWatchRole::kNone) {
+  if (m_role == StoreWatchRole::kNone) {
     m_timer.reset();
   } else if (pause.count() == 0) {
     Watch();
@@ -106,7 +106,7 @@
 
 void StoreMirror::SetWatchRole(StoreWatchRole reading, std::size_t live_instances) {
   m_live_instances = live_instances;
-  const StoreWatchRole before = std::exchange(m_reading, reading);
+  const StoreWatchRole before = std::exchange(m_role, reading);
   if (reading == before || !m_filled || reading == StoreWatchRole::kNone) {
     return;
   }
@@ -141,7 +141,7 @@
 }
 
 std::chrono::milliseconds StoreMirror::RetryPause() const {
-  if (m_reading == StoreWatchRole::kStoreWatcher) {
+  if (m_role == StoreWatchRole::kStoreWatcher) {
     return std::min(m_retry_pause, m_settings.longest_retry_pause);
   }
   const std::chrono::milliseconds spread = m_settings.retry_per_instance * m_live_instances;
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -99,7 +99,7 @@
   void SetWatchRole(StoreWatchRole reading, std::size_t live_instances);
 
   /** Whether this mirror watches the store itself. */
-  bool IsWatching() const { return m_reading != StoreWatchRole::kNone; }
+  bool IsWatching() const { return m_role != StoreWatchRole::kNone; }
 
   /** Whether this instance is the placer, which shortens the pause between watches. */
   void SetIsPlacer(bool is_placer) { m_is_placer = is_placer; }
@@ -152,7 +152,7 @@
   std::chrono::milliseconds m_retry_pause;
   std::optional<TimePoint> m_last_failure;
   std::optional<TimePoint> m_last_contact;
-  StoreWatchRole m_reading = StoreWatchRole::kStoreWatcher;
+  StoreWatchRole m_role = StoreWatchRole::kStoreWatcher;
   std::size_t m_live_instances = 1;
   bool m_is_placer = false;
 
