--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
@@ -25,8 +25,8 @@
   return sum;
 }
 
-LoadTracker::Uses MemberLoads::Without(const InstanceName& member,
-                                       const LoadTracker::Uses& sum) const {
+LoadTracker::Uses MemberLoads::SumWithout(const InstanceName& member,
+                                          const LoadTracker::Uses& sum) const {
   LoadTracker::Uses others = sum;
   const auto said = m_members.find(member);
   if (said == m_members.end()) {
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
@@ -27,7 +27,7 @@
   LoadTracker::Uses Sum(const LoadTracker::Uses& own);
 
   /** Returns `sum` less the last report of `member`. */
-  LoadTracker::Uses Without(const InstanceName& member, const LoadTracker::Uses& sum) const;
+  LoadTracker::Uses SumWithout(const InstanceName& member, const LoadTracker::Uses& sum) const;
 
  private:
   const Clock& m_clock;
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -230,7 +230,7 @@
   const FailureDomainName& own = m_instances.Self().failure_domain;
   const auto sum = report.domain_uses.find(own);
   if (sum != report.domain_uses.end() && recipient != Recipient::kRemoteRelay) {
-    sum->second = m_member_loads.Without(peer.name, sum->second);
+    sum->second = m_member_loads.SumWithout(peer.name, sum->second);
   }
   if (recipient == Recipient::kMember && m_relays.IsRelay()) {
     report.uses.clear();
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -260,7 +260,7 @@
   loads.Set("b", {{"s", {3, 30.0, 0}}});
   const LoadTracker::Uses sum = loads.Sum({{"s", {1, 10.0, 1}}});
   CHECK_EQUAL(6U, sum.at("s").requests);
-  const LoadTracker::Uses others = loads.Without("a", sum);
+  const LoadTracker::Uses others = loads.SumWithout("a", sum);
   CHECK_EQUAL(4U, others.at("s").requests);
   DOUBLES_EQUAL(40.0, others.at("s").token_layers, 1e-9);
   CHECK_FALSE(others.contains("only"));
