--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -29,7 +29,7 @@
       : store(time),
         mirror(store, time, time, logger, {}),
         instances(time, self),
-        news(*this, time, time, instances, mirror, *this, {}, {}) {}
+        exchange(*this, time, time, instances, mirror, *this, {}, {}) {}
 
   void Exchange(const NetworkAddress& peer,
                 const InstanceReport& report,
@@ -53,7 +53,7 @@
     const bool is_new = limits.empty();
     limits = heard;
     if (is_new) {
-      news.SendServerLimits(heard, false);
+      exchange.SendServerLimits(heard, false);
     }
   }
   void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
@@ -63,7 +63,7 @@
   SilentLogger logger;
   StoreMirror mirror;
   InstanceDirectory instances;
-  ReportExchange news;
+  ReportExchange exchange;
   Deliver deliver;
   std::map<FailureDomainName, LoadTracker::Uses> uses;
   std::vector<std::string> stalls;
@@ -116,7 +116,7 @@
         instance->instances.OnRecord(other->instances.Self());
       }
       instance->mirror.Merge({true, 5, {{"k", 5, "v"}}});
-      instance->news.Start();
+      instance->exchange.Start();
     }
     time.AdvanceBy(milliseconds(10));
     Keep(seconds(2));
@@ -131,7 +131,7 @@
         return;
       }
       ++peer.taken_in;
-      const MirrorDelta answer = peer.news.OnReport(report);
+      const MirrorDelta answer = peer.exchange.OnReport(report);
       calls.push_back(time.ScheduleAfter(kWayOfNews, [callback, answer] { callback(answer); }));
     }));
   }
@@ -140,11 +140,11 @@
   void Keep(Duration duration) {
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
-        const bool reads = instance->is_alive && instance->news.ShouldWatchStore();
+        const bool reads = instance->is_alive && instance->exchange.ShouldWatchStore();
         instance->mirror.SetWatchRole(
             !reads ? StoreWatchRole::kNone
-                   : (instance->news.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
-                                                              : StoreWatchRole::kSubstitute),
+                   : (instance->exchange.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
+                                                                  : StoreWatchRole::kSubstitute),
             instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
           instance->store.AnswerWatch();
@@ -167,9 +167,9 @@
 
 // Guards against a number of store watchers that grows with the number of domains or instances.
 TEST(Relays, ThreeInstancesOfMostReadForTheWholeFleet) {
-  CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.news.ShouldWatchStore(); }));
+  CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.exchange.ShouldWatchStore(); }));
   CHECK_EQUAL(3, CountIf([](TestInstance& one) {
-                return one.news.ShouldWatchStore() && one.instances.Self().link_mbps == 200;
+                return one.exchange.ShouldWatchStore() && one.instances.Self().link_mbps == 200;
               }));
 }
 
@@ -188,7 +188,7 @@
 // requests in its sum.
 TEST(Relays, EachMemberHearsWhatAllOthersOfItsDomainHaveInFlight) {
   for (int member = 0; member < kMembers; ++member) {
-    At(2, member).news.SetUses({{"s", {1, 10.0, 1}}});
+    At(2, member).exchange.SetUses({{"s", {1, 10.0, 1}}});
   }
   Keep(milliseconds(1'300));
   CHECK_EQUAL(39U, At(2, 0).Requests("d2"));
@@ -200,7 +200,7 @@
 // Guards against relays that do not forward a stall, so that other domains detect a lost server
 // only by their own timeouts.
 TEST(Relays, AStallReachesEveryInstanceWithinSomeMilliseconds) {
-  At(1, 3).news.SendStall("lost");
+  At(1, 3).exchange.SendStall("lost");
   time.AdvanceBy(milliseconds(8));
   CHECK_EQUAL(199, CountIf([](TestInstance& one) { return one.stalls.size() == 1; }));
 }
@@ -208,7 +208,7 @@
 // Guards against an overloaded server that keeps receiving requests from instances that do not know
 // its limit yet.
 TEST(Relays, AServersLimitReachesEveryInstanceWithinSomeMilliseconds) {
-  At(1, 3).news.SendServerLimits({{"s", 12.0, milliseconds(0)}}, true);
+  At(1, 3).exchange.SendServerLimits({{"s", 12.0, milliseconds(0)}}, true);
   time.AdvanceBy(milliseconds(20));
   // The relays report it back to the sender too.
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.limits.size() == 1; }));
@@ -217,16 +217,16 @@
 // Guards against a change that waits for the next regular report of each relay.
 TEST(Relays, AChangeThatAReaderHearsReachesEveryInstanceAtOnce) {
   for (auto& [address, instance] : fleet) {
-    if (instance->news.ShouldWatchStore()) {
+    if (instance->exchange.ShouldWatchStore()) {
       instance->mirror.Merge({false, 9, {{"k", 9, "new"}}});
-      instance->news.SendRevision();
+      instance->exchange.SendRevision();
       break;
     }
   }
   for (int step = 0; step < 40; ++step) {
     time.AdvanceBy(milliseconds(1));
     for (auto& [address, instance] : fleet) {
-      instance->news.SendRevision();
+      instance->exchange.SendRevision();
     }
   }
   CHECK_EQUAL(200, CountIf([](TestInstance& one) { return one.mirror.Revision() == 9; }));
@@ -236,20 +236,20 @@
 TEST(Relays, RelaysThatFallSilentAreReplacedWithinTwoSeconds) {
   At(3, 37).is_alive = false;
   At(3, 38).is_alive = false;
-  At(3, 0).news.SetUses({{"s", {5, 10.0, 5}}});
+  At(3, 0).exchange.SetUses({{"s", {5, 10.0, 5}}});
   Keep(seconds(4));
   CHECK_EQUAL(5U, At(3, 1).Requests("d3"));
-  CHECK_FALSE(At(3, 1).news.ShouldWatchStore());
+  CHECK_FALSE(At(3, 1).exchange.ShouldWatchStore());
 }
 
 // Guards against a fleet without a store watcher after all three were lost at once.
 TEST(Relays, WhenAllReadersAreLostOthersRead) {
   for (auto& [address, instance] : fleet) {
-    instance->is_alive = !instance->news.ShouldWatchStore();
+    instance->is_alive = !instance->exchange.ShouldWatchStore();
   }
   Keep(seconds(4));
   const auto readers =
-      CountIf([](TestInstance& one) { return one.is_alive && one.news.ShouldWatchStore(); });
+      CountIf([](TestInstance& one) { return one.is_alive && one.exchange.ShouldWatchStore(); });
   CHECK_TRUE(readers >= 3);
   CHECK_TRUE(readers <= 5);
 }
--- a/tests/forwarding/news_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -1,7 +1,7 @@
+#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
 #include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 
 #include <CppUTest/TestHarness.h>
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_GROUP(News) {
+TEST_GROUP(ReportExchange) {
   struct Transport final : ReportTransport {
     void Exchange(const NetworkAddress& peer,
                   const InstanceReport& report,
@@ -55,7 +55,7 @@
   InstanceDirectory instances{time, MakeInstance("self", 1)};
   Transport transport;
   Sink sink;
-  ReportExchange news{transport, time, time, instances, mirror, sink, {{"10.0.0.7", 7}}, {}};
+  ReportExchange exchange{transport, time, time, instances, mirror, sink, {{"10.0.0.7", 7}}, {}};
 
   static Instance MakeInstance(const std::string& name, std::uint16_t port) {
     Instance instance;
@@ -73,24 +73,24 @@
   /** Delivers a report of each peer, then starts the exchange. */
   void Know(std::initializer_list<const char*> names) {
     for (const char* name : names) {
-      news.OnReport(ReportOf(name));
+      exchange.OnReport(ReportOf(name));
     }
-    news.Start();
+    exchange.Start();
     transport.sent.clear();
   }
 
   /** The report that is sent to peers now. */
   InstanceReport LastReport() {
-    news.SendLeaving();
+    exchange.SendLeaving();
     return transport.sent.back().second;
   }
 };
 
 // Guards against an instance that never serves because the store refuses it at the start and peers
 // are looked up only in the store.
-TEST(News, AnInstanceThatKnowsNobodyAsksTheSeedsAndLearnsEverything) {
+TEST(ReportExchange, AnInstanceThatKnowsNobodyAsksTheSeedsAndLearnsEverything) {
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
-  news.Start();
+  exchange.Start();
   time.AdvanceBy(milliseconds(250));
   CHECK_FALSE(transport.sent.empty());
   CHECK_EQUAL(7, transport.sent.front().first.port);
@@ -100,11 +100,11 @@
 
 // Guards against several peers sending a large configuration at once over a slow link, so that no
 // copy arrives in time.
-TEST(News, AnInstanceThatIsBehindFetchesFromOnePeerAtATime) {
+TEST(ReportExchange, AnInstanceThatIsBehindFetchesFromOnePeerAtATime) {
   for (const char* name : {"a", "b", "c"}) {
     InstanceReport report = ReportOf(name);
     report.revision = 9;
-    news.OnReport(report);
+    exchange.OnReport(report);
   }
   CHECK_EQUAL(1U, transport.sent.size());
   CHECK_TRUE(transport.sent[0].second.wants_records);
@@ -113,152 +113,152 @@
   InstanceReport report = ReportOf("b");
   report.revision = 9;
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
-  news.OnReport(report);
+  exchange.OnReport(report);
   CHECK_EQUAL(2U, transport.sent.size());
   CHECK_TRUE(mirror.Has("k"));
-  news.OnReport(report);
+  exchange.OnReport(report);
   CHECK_EQUAL(2U, transport.sent.size());
 }
 
-TEST(News, AReportIsAnsweredWithRecordsOnlyIfItWantsThem) {
+TEST(ReportExchange, AReportIsAnsweredWithRecordsOnlyIfItWantsThem) {
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
   InstanceReport report = ReportOf("peer");
-  CHECK_EQUAL(0U, news.OnReport(report).records.size());
-  CHECK_EQUAL(9U, news.OnReport(report).revision);
+  CHECK_EQUAL(0U, exchange.OnReport(report).records.size());
+  CHECK_EQUAL(9U, exchange.OnReport(report).revision);
   report.wants_records = true;
-  CHECK_EQUAL(1U, news.OnReport(report).records.size());
+  CHECK_EQUAL(1U, exchange.OnReport(report).records.size());
 }
 
 // Guards against a response without records being taken for "nothing changed", which would keep an
 // old configuration for good.
-TEST(News, AnAnswerWithoutRecordsDoesNotMoveTheCopyForward) {
+TEST(ReportExchange, AnAnswerWithoutRecordsDoesNotMoveTheCopyForward) {
   mirror.Merge({true, 4, {{"k", 4, "old"}}});
   Know({"peer"});
   transport.answer = MirrorDelta{false, 9, {}};
   transport.answers_to_fetches = MirrorDelta{false, 9, {{"k", 8, "new"}}};
-  news.SendLeaving();
+  exchange.SendLeaving();
   CHECK_EQUAL(2U, transport.sent.size());
   CHECK_EQUAL(8U, mirror.ChangesAfter(4).records.at(0).revision);
 }
 
-TEST(News, PeersThatWereHeardCountAsAliveForAWhile) {
-  news.OnReport(ReportOf("peer"));
+TEST(ReportExchange, PeersThatWereHeardCountAsAliveForAWhile) {
+  exchange.OnReport(ReportOf("peer"));
   CHECK_EQUAL(2U, instances.LiveInstances().size());
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(1U, instances.LiveInstances().size());
 }
 
-TEST(News, AStallGoesToPeersAtOnceAndOnlyOnce) {
+TEST(ReportExchange, AStallGoesToPeersAtOnceAndOnlyOnce) {
   Know({"peer"});
-  news.SendStall("s");
-  news.SendStall("s");
+  exchange.SendStall("s");
+  exchange.SendStall("s");
   CHECK_EQUAL(1U, transport.sent.size());
   STRCMP_EQUAL("s", transport.sent[0].second.stalls[0].server.c_str());
 }
 
-TEST(News, SlowServersAreToldAndHeard) {
+TEST(ReportExchange, SlowServersAreToldAndHeard) {
   Know({"peer"});
-  news.SetSlowServers({{"s", 5.0, milliseconds(10)}});
-  news.SendLeaving();
+  exchange.SetSlowServers({{"s", 5.0, milliseconds(10)}});
+  exchange.SendLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.slow_servers.size());
   InstanceReport report = ReportOf("peer");
   report.slow_servers = {{"other", 4.0, milliseconds(30)}};
-  news.OnReport(report);
+  exchange.OnReport(report);
   STRCMP_EQUAL("other", sink.slow.at(0).server.c_str());
 }
 
-TEST(News, WhatAServerSaidOfItselfIsToldForAMoment) {
+TEST(ReportExchange, WhatAServerSaidOfItselfIsToldForAMoment) {
   Know({"peer"});
-  news.AddServerState({"s", {20, 40}});
-  news.SendLeaving();
+  exchange.AddServerState({"s", {20, 40}});
+  exchange.SendLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.server_states.size());
   time.AdvanceBy(seconds(1));
-  news.SendLeaving();
+  exchange.SendLeaving();
   CHECK_EQUAL(0U, transport.sent.back().second.server_states.size());
   InstanceReport report = ReportOf("peer");
   report.server_states = {{"other", {0, 5}}};
-  news.OnReport(report);
+  exchange.OnReport(report);
   STRCMP_EQUAL("other", sink.layers.at(0).server.c_str());
 }
 
-TEST(News, AStallHeardIsTakenInOnce) {
+TEST(ReportExchange, AStallHeardIsTakenInOnce) {
   InstanceReport report = ReportOf("peer");
   report.stalls.push_back({"s", milliseconds(30)});
-  news.OnReport(report);
-  news.OnReport(report);
+  exchange.OnReport(report);
+  exchange.OnReport(report);
   CHECK_EQUAL(1U, sink.stalls.size());
 }
 
 // Guards against an instance that the store refuses taking its own failures for an outage and
 // sending requests to a leaving server.
-TEST(News, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
-  CHECK_FALSE(news.AnyPeerSeesStableStore());
+TEST(ReportExchange, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
+  CHECK_FALSE(exchange.AnyPeerSeesStableStore());
   InstanceReport report = ReportOf("peer");
   report.stable_store_age = milliseconds(0);
-  news.OnReport(report);
-  CHECK_TRUE(news.AnyPeerSeesStableStore());
+  exchange.OnReport(report);
+  CHECK_TRUE(exchange.AnyPeerSeesStableStore());
   time.AdvanceBy(milliseconds(1'300));
-  CHECK_FALSE(news.AnyPeerSeesStableStore());
+  CHECK_FALSE(exchange.AnyPeerSeesStableStore());
 }
 
 // Guards against every instance watching the store, which exceeds the store's rate limits.
-TEST(News, TheReadersReadAndTheOthersOnlyWhenTheyAreSilent) {
+TEST(ReportExchange, TheReadersReadAndTheOthersOnlyWhenTheyAreSilent) {
   const auto hear = [this](const char* name) {
     InstanceReport report = ReportOf(name);
     report.store_watcher_age = milliseconds(0);
-    news.OnReport(report);
+    exchange.OnReport(report);
   };
-  news.Start();
+  exchange.Start();
   hear("another");
   time.AdvanceBy(milliseconds(200));
-  CHECK_TRUE(news.ShouldWatchStore());
+  CHECK_TRUE(exchange.ShouldWatchStore());
   hear("before");
   time.AdvanceBy(milliseconds(200));
-  CHECK_FALSE(news.ShouldWatchStore());
+  CHECK_FALSE(exchange.ShouldWatchStore());
   time.AdvanceBy(milliseconds(700));
-  CHECK_FALSE(news.ShouldWatchStore());
+  CHECK_FALSE(exchange.ShouldWatchStore());
   time.AdvanceBy(seconds(2));
-  CHECK_TRUE(news.ShouldWatchStore());
+  CHECK_TRUE(exchange.ShouldWatchStore());
 }
 
 // Guards against two relays confirming to each other for ever that a store watcher exists after all
 // were lost.
-TEST(News, TheWordOfAReaderAgesOnItsWay) {
+TEST(ReportExchange, TheWordOfAReaderAgesOnItsWay) {
   Know({"another", "before"});
   InstanceReport report = ReportOf("another");
   report.store_watcher_age = milliseconds(700);
-  news.OnReport(report);
+  exchange.OnReport(report);
   time.AdvanceBy(milliseconds(400));
   report.store_watcher_age = milliseconds(1'100);
-  news.OnReport(report);
-  CHECK_FALSE(news.ShouldWatchStore());
+  exchange.OnReport(report);
+  CHECK_FALSE(exchange.ShouldWatchStore());
   CHECK_EQUAL(1'100, LastReport().store_watcher_age->count());
   time.AdvanceBy(milliseconds(200));
   report.store_watcher_age = milliseconds(1'300);
-  news.OnReport(report);
-  CHECK_TRUE(news.ShouldWatchStore());
+  exchange.OnReport(report);
+  CHECK_TRUE(exchange.ShouldWatchStore());
 }
 
 // Guards against a change waiting for the next regular report to each member.
-TEST(News, AReaderTellsItsDomainOfAChangeAtOnceAndOnlyOnce) {
+TEST(ReportExchange, AReaderTellsItsDomainOfAChangeAtOnceAndOnlyOnce) {
   Know({"peer"});
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
-  news.SendRevision();
-  news.SendRevision();
+  exchange.SendRevision();
+  exchange.SendRevision();
   CHECK_EQUAL(1U, transport.sent.size());
   CHECK_EQUAL(9U, transport.sent[0].second.revision);
 }
 
-TEST(News, AnInstanceThatLeavesIsForgottenAtOnce) {
+TEST(ReportExchange, AnInstanceThatLeavesIsForgottenAtOnce) {
   InstanceReport report = ReportOf("peer");
-  news.OnReport(report);
+  exchange.OnReport(report);
   report.leaving = true;
-  news.OnReport(report);
+  exchange.OnReport(report);
   CHECK_EQUAL(1U, instances.LiveInstances().size());
 }
 
 // Guards against two additional store calls for each instance when a whole fleet restarts.
-TEST(News, ARecordThatIsKnownIsWrittenWithoutBeingReadFirst) {
+TEST(ReportExchange, ARecordThatIsKnownIsWrittenWithoutBeingReadFirst) {
   store.Put("instances/self", "of before");
   InstanceRegistration registration(store, time, logger, MakeInstance("self", 1));
   registration.Start();
@@ -268,7 +268,7 @@
   CHECK_TRUE(*store.records["instances/self"].value != "of before");
 }
 
-TEST(News, ARecordOfAnUnknownVersionIsReadAndReplaced) {
+TEST(ReportExchange, ARecordOfAnUnknownVersionIsReadAndReplaced) {
   store.Put("instances/self", "of before");
   InstanceRegistration registration(store, time, logger, MakeInstance("self", 1));
   registration.Start();
@@ -277,7 +277,7 @@
   CHECK_TRUE(*store.records["instances/self"].value != "of before");
 }
 
-TEST(News, InstanceRecordsReadBackAsWritten) {
+TEST(ReportExchange, InstanceRecordsReadBackAsWritten) {
   const Instance written = MakeInstance("n", 5);
   const auto read =
       InstanceRegistration::Decode("instances/n", InstanceRegistration::Encode(written));
