--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -166,7 +166,7 @@
 };
 
 // Guards against a number of store watchers that grows with the number of domains or instances.
-TEST(Relays, ThreeInstancesOfMostReadForTheWholeFleet) {
+TEST(Relays, ThreeOfTheLargestInstancesWatchTheStore) {
   CHECK_EQUAL(3, CountIf([](TestInstance& one) { return one.exchange.ShouldWatchStore(); }));
   CHECK_EQUAL(3, CountIf([](TestInstance& one) {
                 return one.exchange.ShouldWatchStore() && one.instances.Self().link_mbps == 200;
@@ -174,7 +174,7 @@
 }
 
 // Guards against every instance reporting to every other.
-TEST(Relays, AMemberSendsAndTakesInFewReports) {
+TEST(Relays, AMemberSendsAndReceivesFewReports) {
   for (auto& [address, instance] : fleet) {
     instance->sent = 0;
     instance->taken_in = 0;
@@ -186,7 +186,7 @@
 
 // Guards against relays that forward single reports in place of the sum, or include a member's own
 // requests in its sum.
-TEST(Relays, EachMemberHearsWhatAllOthersOfItsDomainHaveInFlight) {
+TEST(Relays, EachMemberReceivesTheSumOverTheOthersOfItsDomain) {
   for (int member = 0; member < kMembers; ++member) {
     At(2, member).exchange.SetUses({{"s", {1, 10.0, 1}}});
   }
@@ -215,7 +215,7 @@
 }
 
 // Guards against a change that waits for the next regular report of each relay.
-TEST(Relays, AChangeThatAReaderHearsReachesEveryInstanceAtOnce) {
+TEST(Relays, AChangeSeenByAStoreWatcherReachesEveryInstanceAtOnce) {
   for (auto& [address, instance] : fleet) {
     if (instance->exchange.ShouldWatchStore()) {
       instance->mirror.Merge({false, 9, {{"k", 9, "new"}}});
@@ -243,7 +243,7 @@
 }
 
 // Guards against a fleet without a store watcher after all three were lost at once.
-TEST(Relays, WhenAllReadersAreLostOthersRead) {
+TEST(Relays, WhenAllStoreWatchersAreLostOthersTakeOver) {
   for (auto& [address, instance] : fleet) {
     instance->is_alive = !instance->exchange.ShouldWatchStore();
   }
--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -88,7 +88,7 @@
 
 // Guards against an instance that never serves because the store refuses it at the start and peers
 // are looked up only in the store.
-TEST(ReportExchange, AnInstanceThatKnowsNobodyAsksTheSeedsAndLearnsEverything) {
+TEST(ReportExchange, AnInstanceWithoutPeersFetchesRecordsFromSeeds) {
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
   exchange.Start();
   time.AdvanceBy(milliseconds(250));
@@ -131,7 +131,7 @@
 
 // Guards against a response without records being taken for "nothing changed", which would keep an
 // old configuration for good.
-TEST(ReportExchange, AnAnswerWithoutRecordsDoesNotMoveTheCopyForward) {
+TEST(ReportExchange, AResponseWithoutRecordsDoesNotAdvanceTheMirror) {
   mirror.Merge({true, 4, {{"k", 4, "old"}}});
   Know({"peer"});
   transport.answer = MirrorDelta{false, 9, {}};
@@ -141,14 +141,14 @@
   CHECK_EQUAL(8U, mirror.ChangesAfter(4).records.at(0).revision);
 }
 
-TEST(ReportExchange, PeersThatWereHeardCountAsAliveForAWhile) {
+TEST(ReportExchange, PeersCountAsLiveForAWhileAfterAReport) {
   exchange.OnReport(ReportOf("peer"));
   CHECK_EQUAL(2U, instances.LiveInstances().size());
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(1U, instances.LiveInstances().size());
 }
 
-TEST(ReportExchange, AStallGoesToPeersAtOnceAndOnlyOnce) {
+TEST(ReportExchange, AStallIsSentAtOnceAndOnlyOnce) {
   Know({"peer"});
   exchange.SendStall("s");
   exchange.SendStall("s");
@@ -156,7 +156,7 @@
   STRCMP_EQUAL("s", transport.sent[0].second.stalls[0].server.c_str());
 }
 
-TEST(ReportExchange, SlowServersAreToldAndHeard) {
+TEST(ReportExchange, SlowServersAreSentAndReceived) {
   Know({"peer"});
   exchange.SetSlowServers({{"s", 5.0, milliseconds(10)}});
   exchange.SendLeaving();
@@ -167,7 +167,7 @@
   STRCMP_EQUAL("other", sink.slow.at(0).server.c_str());
 }
 
-TEST(ReportExchange, WhatAServerSaidOfItselfIsToldForAMoment) {
+TEST(ReportExchange, AServerStateIsReportedForAShortTime) {
   Know({"peer"});
   exchange.AddServerState({"s", {20, 40}});
   exchange.SendLeaving();
@@ -181,7 +181,7 @@
   STRCMP_EQUAL("other", sink.layers.at(0).server.c_str());
 }
 
-TEST(ReportExchange, AStallHeardIsTakenInOnce) {
+TEST(ReportExchange, AReceivedStallIsAppliedOnce) {
   InstanceReport report = ReportOf("peer");
   report.stalls.push_back({"s", milliseconds(30)});
   exchange.OnReport(report);
@@ -202,7 +202,7 @@
 }
 
 // Guards against every instance watching the store, which exceeds the store's rate limits.
-TEST(ReportExchange, TheReadersReadAndTheOthersOnlyWhenTheyAreSilent) {
+TEST(ReportExchange, OthersWatchTheStoreOnlyIfItsWatchersAreSilent) {
   const auto hear = [this](const char* name) {
     InstanceReport report = ReportOf(name);
     report.store_watcher_age = milliseconds(0);
@@ -223,7 +223,7 @@
 
 // Guards against two relays confirming to each other for ever that a store watcher exists after all
 // were lost.
-TEST(ReportExchange, TheWordOfAReaderAgesOnItsWay) {
+TEST(ReportExchange, StoreWatcherAgeGrowsWhileForwarded) {
   Know({"another", "before"});
   InstanceReport report = ReportOf("another");
   report.store_watcher_age = milliseconds(700);
@@ -240,7 +240,7 @@
 }
 
 // Guards against a change waiting for the next regular report to each member.
-TEST(ReportExchange, AReaderTellsItsDomainOfAChangeAtOnceAndOnlyOnce) {
+TEST(ReportExchange, AStoreWatcherSendsANewRevisionAtOnceAndOnlyOnce) {
   Know({"peer"});
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
   exchange.SendRevision();
@@ -249,7 +249,7 @@
   CHECK_EQUAL(9U, transport.sent[0].second.revision);
 }
 
-TEST(ReportExchange, AnInstanceThatLeavesIsForgottenAtOnce) {
+TEST(ReportExchange, ALeavingInstanceIsRemovedAtOnce) {
   InstanceReport report = ReportOf("peer");
   exchange.OnReport(report);
   report.leaving = true;
