--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
@@ -21,10 +21,10 @@
   if (instance.name == m_self.name) {
     return;
   }
-  SeenPeer& heard = m_seen_peers[instance.name];
-  heard.at = m_clock.Now();
-  if (heard.instance != instance) {
-    heard.instance = instance;
+  SeenPeer& peer = m_seen_peers[instance.name];
+  peer.at = m_clock.Now();
+  if (peer.instance != instance) {
+    peer.instance = instance;
     m_live.clear();
   }
 }
@@ -47,9 +47,9 @@
   for (const auto& [name, instance] : m_recorded) {
     live[name] = &instance;
   }
-  for (const auto& [name, heard] : m_seen_peers) {
-    if (m_clock.Now() - heard.at < kPeerLifetime) {
-      live[name] = &heard.instance;
+  for (const auto& [name, peer] : m_seen_peers) {
+    if (m_clock.Now() - peer.at < kPeerLifetime) {
+      live[name] = &peer.instance;
     }
   }
   live[m_self.name] = &m_self;
@@ -62,8 +62,8 @@
 }
 
 const TimePoint* InstanceDirectory::LastSeen(const InstanceName& name) const {
-  const auto heard = m_seen_peers.find(name);
-  return heard == m_seen_peers.end() ? nullptr : &heard->second.at;
+  const auto found = m_seen_peers.find(name);
+  return found == m_seen_peers.end() ? nullptr : &found->second.at;
 }
 
 }  // namespace zinnia
