--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
@@ -14,8 +14,8 @@
     return now - member.second.first > LoadTracker::kReportLifetime;
   });
   LoadTracker::Uses sum = own;
-  for (const auto& [member, said] : m_members) {
-    for (const auto& [server, use] : said.second) {
+  for (const auto& [member, reported] : m_members) {
+    for (const auto& [server, use] : reported.second) {
       ServerUse& total = sum[server];
       total.requests += use.requests;
       total.token_layers += use.token_layers;
@@ -28,11 +28,11 @@
 LoadTracker::Uses MemberLoads::SumWithout(const InstanceName& member,
                                           const LoadTracker::Uses& sum) const {
   LoadTracker::Uses others = sum;
-  const auto said = m_members.find(member);
-  if (said == m_members.end()) {
+  const auto found = m_members.find(member);
+  if (found == m_members.end()) {
     return others;
   }
-  for (const auto& [server, use] : said->second.second) {
+  for (const auto& [server, use] : found->second.second) {
     const auto total = others.find(server);
     if (total == others.end()) {
       continue;
