--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -17,10 +17,10 @@
          std::tie(one->link_mbps, one->cores, other->name);
 }
 
-template <typename IsPassedOver>
+template <typename Predicate>
 std::vector<Instance> FirstOf(const std::vector<const Instance*>& ranked,
                               std::size_t count,
-                              IsPassedOver is_excluded) {
+                              Predicate is_excluded) {
   std::vector<Instance> first;
   for (const Instance* instance : ranked) {
     if (first.size() < count && !is_excluded(*instance, first.size())) {
@@ -50,8 +50,8 @@
     const bool is_own = domain == self.failure_domain;
     const auto is_excluded = [&](const Instance& instance, std::size_t rank) {
       // Both relays send to the members of their domain, the first also to the relays of others.
-      const bool should_talk = is_own || (was_relay && rank == 0);
-      return should_talk && instance.name != self.name &&
+      const bool should_send = is_own || (was_relay && rank == 0);
+      return should_send && instance.name != self.name &&
              IsSilent(instance, expected_before, silence_limit);
     };
     relays.push_back(FirstOf(ranked, kRelaysPerDomain, is_excluded));
@@ -71,15 +71,15 @@
       }
     }
   }
-  std::vector<InstanceName> readers;
+  std::vector<InstanceName> watchers;
   for (std::size_t rank = 0; rank < kRelaysPerDomain; ++rank) {
     for (const std::vector<Instance>& of_domain : relays) {
-      if (rank < of_domain.size() && readers.size() < kStoreWatchersPerFleet) {
-        readers.push_back(of_domain[rank].name);
+      if (rank < of_domain.size() && watchers.size() < kStoreWatchersPerFleet) {
+        watchers.push_back(of_domain[rank].name);
       }
     }
   }
-  m_is_store_watcher = std::find(readers.begin(), readers.end(), self.name) != readers.end();
+  m_is_store_watcher = std::find(watchers.begin(), watchers.end(), self.name) != watchers.end();
   std::erase_if(m_excluded_at, [&](const auto& entry) {
     return m_clock.Now() - entry.second > kExclusionDuration;
   });
@@ -89,19 +89,19 @@
                               const Times& expected_before,
                               Duration silence_limit) {
   const TimePoint now = m_clock.Now();
-  const TimePoint* heard = m_instances.LastSeen(instance.name);
-  const auto passed_over = m_excluded_at.find(instance.name);
-  if (passed_over != m_excluded_at.end()) {
-    if (heard == nullptr || *heard <= passed_over->second) {
+  const TimePoint* last_seen = m_instances.LastSeen(instance.name);
+  const auto excluded = m_excluded_at.find(instance.name);
+  if (excluded != m_excluded_at.end()) {
+    if (last_seen == nullptr || *last_seen <= excluded->second) {
       return true;
     }
-    m_excluded_at.erase(passed_over);
+    m_excluded_at.erase(excluded);
   }
   const auto expected = expected_before.find(instance.name);
   TimePoint since = expected == expected_before.end() ? now : expected->second;
   m_expected_since[instance.name] = since;
-  if (heard != nullptr) {
-    since = std::max(since, *heard);
+  if (last_seen != nullptr) {
+    since = std::max(since, *last_seen);
   }
   if (now - since < silence_limit) {
     return false;
