--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -124,7 +124,7 @@
   const std::size_t parts = IntervalsBetweenMemberReports();
   const std::size_t count = (members.size() + parts - 1) / parts;
   const InstanceReport report = MakeReport(Recipient::kMember);
-  for (std::size_t told = 0; told < count; ++told) {
+  for (std::size_t sent = 0; sent < count; ++sent) {
     const Instance& member = members[m_next_member++ % members.size()];
     Send(member, KindOf(member), report);
   }
@@ -185,14 +185,14 @@
     return;
   }
   const std::uint64_t intervals = IntervalsBetweenMemberReports();
-  const bool sums_are_due =
+  const bool includes_sums =
       intervals == 1 || m_ticks / intervals % m_settings.reports_between_sums == 0;
   report.domain_uses[own] = m_domain_sum;
   if (recipient == Recipient::kRemoteRelay) {
     return;
   }
   report.uses = m_uses;
-  if (sums_are_due) {
+  if (includes_sums) {
     for (const auto& [domain, uses] : m_other_domains) {
       if (m_clock.Now() - uses.first < LoadTracker::kReportLifetime) {
         report.domain_uses[domain] = uses.second;
@@ -212,8 +212,8 @@
   std::erase_if(m_server_states, [now](const auto& entry) {
     return now - entry.second.first > kServerStateLifetime;
   });
-  for (const auto& [server, heard] : m_server_states) {
-    report.server_states.push_back(heard.second);
+  for (const auto& [server, state] : m_server_states) {
+    report.server_states.push_back(state.second);
   }
   report.slow_servers = m_slow_servers;
   report.server_limits = m_server_limits;
@@ -268,18 +268,18 @@
 }
 
 void ReportExchange::SendStall(const BackendServerName& server) {
-  const bool is_news = !m_stalls.contains(server);
+  const bool is_new = !m_stalls.contains(server);
   m_stalls[server] = m_clock.Now();
-  if (!is_news) {
+  if (!is_new) {
     return;
   }
   SendToOwnDomain();
   SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
 }
 
-void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here) {
+void ReportExchange::SendServerLimits(std::vector<ServerLimitNews> limits, bool found_here) {
   SetServerLimits(std::move(limits));
-  if (heard_here) {
+  if (found_here) {
     SendToOwnDomain();
     SendToRelays(Recipient::kRemoteRelay, m_relays.RemoteRelays());
   } else if (m_relays.IsRelay()) {
@@ -311,8 +311,8 @@
 }
 
 bool ReportExchange::ShouldWatchStore() const {
-  const TimePoint last_word = m_store_watcher_seen_at.value_or(m_started_at);
-  return m_relays.IsStoreWatcher() || m_clock.Now() - last_word >= SilenceLimit();
+  const TimePoint last_seen = m_store_watcher_seen_at.value_or(m_started_at);
+  return m_relays.IsStoreWatcher() || m_clock.Now() - last_seen >= SilenceLimit();
 }
 
 bool ReportExchange::AnyPeerSeesStableStore() const {
@@ -337,17 +337,17 @@
 }
 
 void ReportExchange::ApplyStalls(const InstanceReport& report) {
-  std::vector<StallReport> news;
+  std::vector<StallReport> new_stalls;
   for (const StallReport& stall : report.stalls) {
     if (!m_stalls.contains(stall.server)) {
       m_stalls[stall.server] = m_clock.Now() - stall.age;
-      news.push_back(stall);
+      new_stalls.push_back(stall);
     }
   }
-  if (news.empty()) {
+  if (new_stalls.empty()) {
     return;
   }
-  m_sink.OnPeerStalls(news);
+  m_sink.OnPeerStalls(new_stalls);
   if (m_relays.IsRelay()) {
     SendToMembers();
   }
@@ -368,8 +368,8 @@
                : MirrorDelta{};
   }
   ApplyLoads(report, report.instance.failure_domain == m_instances.Self().failure_domain);
-  for (const ServerStateReport& news : report.server_states) {
-    m_sink.OnPeerServerState(news);
+  for (const ServerStateReport& state : report.server_states) {
+    m_sink.OnPeerServerState(state);
   }
   if (!report.slow_servers.empty()) {
     m_sink.OnPeerSlowdowns(report.slow_servers);
@@ -381,9 +381,9 @@
   if (!report.leaving) {
     FetchIfNewer(report.instance.peer_address, report.revision);
   }
-  MirrorDelta just_revision;
-  just_revision.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
-  return just_revision;
+  MirrorDelta revision_only;
+  revision_only.revision = m_mirror.IsFilled() ? m_mirror.Revision() : 0;
+  return revision_only;
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -28,7 +28,7 @@
       not included. */
   virtual void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses uses) = 0;
   virtual void OnPeerStalls(const std::vector<StallReport>& stalls) = 0;
-  virtual void OnPeerServerState(const ServerStateReport& news) = 0;
+  virtual void OnPeerServerState(const ServerStateReport& state) = 0;
   virtual void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) = 0;
   virtual void OnPeerServerLimits(const std::vector<ServerLimitNews>& limits) = 0;
 };
@@ -77,8 +77,8 @@
   void SetUses(LoadTracker::Uses own) { m_uses = std::move(own); }
 
   /** Reports a server's statement to the peers for a short time. */
-  void AddServerState(const ServerStateReport& news) {
-    m_server_states[news.server] = {m_clock.Now(), news};
+  void AddServerState(const ServerStateReport& state) {
+    m_server_states[state.server] = {m_clock.Now(), state};
   }
 
   /** Sets the slow servers for the next reports, found by this instance or reported by peers. */
@@ -89,7 +89,7 @@
 
   /** Sets the limits and reports them at once: to all relays if `found_here`, else only to the
       members if this instance is a relay. */
-  void SendServerLimits(std::vector<ServerLimitNews> limits, bool heard_here);
+  void SendServerLimits(std::vector<ServerLimitNews> limits, bool found_here);
 
   /** Reports a stalled server at once to the relays of all domains, which forward it to their
       members. */
