--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-std::string_view NameOf(StoreWatchRole reading) {
-  return kRoleNames[static_cast<std::size_t>(reading)];
+std::string_view NameOf(StoreWatchRole role) {
+  return kRoleNames[static_cast<std::size_t>(role)];
 }
 
 StoreMirror::StoreMirror(PlatformStore& store,
@@ -104,13 +104,13 @@
                 }));
 }
 
-void StoreMirror::SetWatchRole(StoreWatchRole reading, std::size_t live_instances) {
+void StoreMirror::SetWatchRole(StoreWatchRole role, std::size_t live_instances) {
   m_live_instances = live_instances;
-  const StoreWatchRole before = std::exchange(m_role, reading);
-  if (reading == before || !m_filled || reading == StoreWatchRole::kNone) {
+  const StoreWatchRole before = std::exchange(m_role, role);
+  if (role == before || !m_filled || role == StoreWatchRole::kNone) {
     return;
   }
-  if (reading == StoreWatchRole::kStoreWatcher) {
+  if (role == StoreWatchRole::kStoreWatcher) {
     Watch();
   } else if (before == StoreWatchRole::kNone) {
     const double spread = m_settings.place * static_cast<double>(m_live_instances);
@@ -215,8 +215,9 @@
 
 bool StoreMirror::IsStableFor(Duration duration) const {
   const TimePoint now = m_clock.Now();
-  const bool heard_lately = m_last_contact && now - *m_last_contact <= kContactLifetime;
-  return m_in_contact && heard_lately && (!m_last_failure || now - *m_last_failure >= duration);
+  const bool is_contact_recent = m_last_contact && now - *m_last_contact <= kContactLifetime;
+  return m_in_contact && is_contact_recent &&
+         (!m_last_failure || now - *m_last_failure >= duration);
 }
 
 void StoreMirror::RecordFailure(const Error& error) {
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -39,7 +39,7 @@
   kStoreWatcher,
 };
 
-std::string_view NameOf(StoreWatchRole reading);
+std::string_view NameOf(StoreWatchRole role);
 
 struct StoreMirrorSettings {
   /** Maximum duration of one watch. Each watch is billed, but a watch that waits while the store
@@ -96,7 +96,7 @@
   void Start();
 
   /** Sets the watch role and the number of live instances. */
-  void SetWatchRole(StoreWatchRole reading, std::size_t live_instances);
+  void SetWatchRole(StoreWatchRole role, std::size_t live_instances);
 
   /** Whether this mirror watches the store itself. */
   bool IsWatching() const { return m_role != StoreWatchRole::kNone; }
