--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -18,7 +18,7 @@
 
 constexpr int kDomains = 5;
 constexpr int kMembers = 40;
-constexpr Duration kWayOfNews = milliseconds(2);
+constexpr Duration kDeliveryTime = milliseconds(2);
 
 /** One instance of a fleet that is connected by the test's transport. */
 struct TestInstance final : ReportTransport, ReportSink {
@@ -43,17 +43,17 @@
   void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
     uses[domain] = std::move(reported);
   }
-  void OnPeerStalls(const std::vector<StallReport>& heard) override {
-    for (const StallReport& stall : heard) {
+  void OnPeerStalls(const std::vector<StallReport>& reported) override {
+    for (const StallReport& stall : reported) {
       stalls.push_back(stall.server);
     }
   }
   void OnPeerServerState(const ServerStateReport&) override {}
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override {
+  void OnPeerServerLimits(const std::vector<ServerLimitNews>& reported) override {
     const bool is_new = limits.empty();
-    limits = heard;
+    limits = reported;
     if (is_new) {
-      exchange.SendServerLimits(heard, false);
+      exchange.SendServerLimits(reported, false);
     }
   }
   void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
@@ -68,7 +68,7 @@
   std::map<FailureDomainName, LoadTracker::Uses> uses;
   std::vector<std::string> stalls;
   /** The last known number of requests of a domain's instances at the server "s". */
-  std::uint32_t Requests(const FailureDomainName& domain) const {
+  std::uint32_t RequestsInFlight(const FailureDomainName& domain) const {
     const auto reported = uses.find(domain);
     if (reported == uses.end() || !reported->second.contains("s")) {
       return 0;
@@ -77,7 +77,7 @@
   }
 
   int sent = 0;
-  int taken_in = 0;
+  int received = 0;
   bool is_alive = true;
 };
 
@@ -119,32 +119,32 @@
       instance->exchange.Start();
     }
     time.AdvanceBy(milliseconds(10));
-    Keep(seconds(2));
+    Advance(seconds(2));
   }
 
   void Deliver(const NetworkAddress& to, const InstanceReport& report,
                const TestInstance::Callback& callback) {
-    calls.push_back(time.ScheduleAfter(kWayOfNews, [this, to, report, callback] {
+    calls.push_back(time.ScheduleAfter(kDeliveryTime, [this, to, report, callback] {
       TestInstance& peer = *fleet.at(to);
       if (!peer.is_alive) {
         callback(MakeError(ErrorKind::kPeerUnavailable, "dead"));
         return;
       }
-      ++peer.taken_in;
+      ++peer.received;
       const MirrorDelta answer = peer.exchange.OnReport(report);
-      calls.push_back(time.ScheduleAfter(kWayOfNews, [callback, answer] { callback(answer); }));
+      calls.push_back(time.ScheduleAfter(kDeliveryTime, [callback, answer] { callback(answer); }));
     }));
   }
 
   /** Advances the time; the store responds to all watches. */
-  void Keep(Duration duration) {
+  void Advance(Duration duration) {
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
-        const bool reads = instance->is_alive && instance->exchange.ShouldWatchStore();
+        const bool watches = instance->is_alive && instance->exchange.ShouldWatchStore();
         instance->mirror.SetWatchRole(
-            !reads ? StoreWatchRole::kNone
-                   : (instance->exchange.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
-                                                                  : StoreWatchRole::kSubstitute),
+            !watches ? StoreWatchRole::kNone
+                     : (instance->exchange.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
+                                                                    : StoreWatchRole::kSubstitute),
             instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
           instance->store.AnswerWatch();
@@ -177,11 +177,11 @@
 TEST(Relays, AMemberSendsAndReceivesFewReports) {
   for (auto& [address, instance] : fleet) {
     instance->sent = 0;
-    instance->taken_in = 0;
+    instance->received = 0;
   }
-  Keep(seconds(4));
-  CHECK_TRUE(At(0, 0).sent + At(0, 0).taken_in <= 4 * 12);
-  CHECK_TRUE(At(0, 37).sent + At(0, 37).taken_in <= 4 * 300);
+  Advance(seconds(4));
+  CHECK_TRUE(At(0, 0).sent + At(0, 0).received <= 4 * 12);
+  CHECK_TRUE(At(0, 37).sent + At(0, 37).received <= 4 * 300);
 }
 
 // Guards against relays that forward single reports in place of the sum, or include a member's own
@@ -190,11 +190,11 @@
   for (int member = 0; member < kMembers; ++member) {
     At(2, member).exchange.SetUses({{"s", {1, 10.0, 1}}});
   }
-  Keep(milliseconds(1'300));
-  CHECK_EQUAL(39U, At(2, 0).Requests("d2"));
-  CHECK_EQUAL(39U, At(2, 37).Requests("d2"));
-  Keep(seconds(1));
-  CHECK_EQUAL(40U, At(4, 11).Requests("d2"));
+  Advance(milliseconds(1'300));
+  CHECK_EQUAL(39U, At(2, 0).RequestsInFlight("d2"));
+  CHECK_EQUAL(39U, At(2, 37).RequestsInFlight("d2"));
+  Advance(seconds(1));
+  CHECK_EQUAL(40U, At(4, 11).RequestsInFlight("d2"));
 }
 
 // Guards against relays that do not forward a stall, so that other domains detect a lost server
@@ -237,8 +237,8 @@
   At(3, 37).is_alive = false;
   At(3, 38).is_alive = false;
   At(3, 0).exchange.SetUses({{"s", {5, 10.0, 5}}});
-  Keep(seconds(4));
-  CHECK_EQUAL(5U, At(3, 1).Requests("d3"));
+  Advance(seconds(4));
+  CHECK_EQUAL(5U, At(3, 1).RequestsInFlight("d3"));
   CHECK_FALSE(At(3, 1).exchange.ShouldWatchStore());
 }
 
@@ -247,11 +247,11 @@
   for (auto& [address, instance] : fleet) {
     instance->is_alive = !instance->exchange.ShouldWatchStore();
   }
-  Keep(seconds(4));
-  const auto readers =
+  Advance(seconds(4));
+  const auto watchers =
       CountIf([](TestInstance& one) { return one.is_alive && one.exchange.ShouldWatchStore(); });
-  CHECK_TRUE(readers >= 3);
-  CHECK_TRUE(readers <= 5);
+  CHECK_TRUE(watchers >= 3);
+  CHECK_TRUE(watchers <= 5);
 }
 
 TEST(Relays, ASumWithoutAMemberLeavesTheOthersRequests) {
