--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -31,17 +31,21 @@
     void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
       uses[domain] = std::move(reported);
     }
-    void OnPeerStalls(const std::vector<StallReport>& heard) override {
-      for (const StallReport& stall : heard) {
+    void OnPeerStalls(const std::vector<StallReport>& reported) override {
+      for (const StallReport& stall : reported) {
         stalls.push_back(stall.server);
       }
     }
-    void OnPeerServerLimits(const std::vector<ServerLimitNews>& heard) override { limits = heard; }
+    void OnPeerServerLimits(const std::vector<ServerLimitNews>& reported) override {
+      limits = reported;
+    }
     void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) override {
       slow = slow_servers;
     }
     std::vector<ServerLimitNews> limits;
-    void OnPeerServerState(const ServerStateReport& heard) override { layers.push_back(heard); }
+    void OnPeerServerState(const ServerStateReport& reported) override {
+      layers.push_back(reported);
+    }
     std::map<InstanceName, LoadTracker::Uses> uses;
     std::vector<std::string> stalls;
     std::vector<SlowdownReport> slow;
@@ -71,7 +75,7 @@
   }
 
   /** Delivers a report of each peer, then starts the exchange. */
-  void Know(std::initializer_list<const char*> names) {
+  void ReceiveReportsAndStart(std::initializer_list<const char*> names) {
     for (const char* name : names) {
       exchange.OnReport(ReportOf(name));
     }
@@ -133,7 +137,7 @@
 // old configuration for good.
 TEST(ReportExchange, AResponseWithoutRecordsDoesNotAdvanceTheMirror) {
   mirror.Merge({true, 4, {{"k", 4, "old"}}});
-  Know({"peer"});
+  ReceiveReportsAndStart({"peer"});
   transport.answer = MirrorDelta{false, 9, {}};
   transport.answers_to_fetches = MirrorDelta{false, 9, {{"k", 8, "new"}}};
   exchange.SendLeaving();
@@ -149,7 +153,7 @@
 }
 
 TEST(ReportExchange, AStallIsSentAtOnceAndOnlyOnce) {
-  Know({"peer"});
+  ReceiveReportsAndStart({"peer"});
   exchange.SendStall("s");
   exchange.SendStall("s");
   CHECK_EQUAL(1U, transport.sent.size());
@@ -157,7 +161,7 @@
 }
 
 TEST(ReportExchange, SlowServersAreSentAndReceived) {
-  Know({"peer"});
+  ReceiveReportsAndStart({"peer"});
   exchange.SetSlowServers({{"s", 5.0, milliseconds(10)}});
   exchange.SendLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.slow_servers.size());
@@ -168,7 +172,7 @@
 }
 
 TEST(ReportExchange, AServerStateIsReportedForAShortTime) {
-  Know({"peer"});
+  ReceiveReportsAndStart({"peer"});
   exchange.AddServerState({"s", {20, 40}});
   exchange.SendLeaving();
   CHECK_EQUAL(1U, transport.sent.back().second.server_states.size());
@@ -203,16 +207,16 @@
 
 // Guards against every instance watching the store, which exceeds the store's rate limits.
 TEST(ReportExchange, OthersWatchTheStoreOnlyIfItsWatchersAreSilent) {
-  const auto hear = [this](const char* name) {
+  const auto report_watcher = [this](const char* name) {
     InstanceReport report = ReportOf(name);
     report.store_watcher_age = milliseconds(0);
     exchange.OnReport(report);
   };
   exchange.Start();
-  hear("another");
+  report_watcher("another");
   time.AdvanceBy(milliseconds(200));
   CHECK_TRUE(exchange.ShouldWatchStore());
-  hear("before");
+  report_watcher("before");
   time.AdvanceBy(milliseconds(200));
   CHECK_FALSE(exchange.ShouldWatchStore());
   time.AdvanceBy(milliseconds(700));
@@ -224,7 +228,7 @@
 // Guards against two relays confirming to each other for ever that a store watcher exists after all
 // were lost.
 TEST(ReportExchange, StoreWatcherAgeGrowsWhileForwarded) {
-  Know({"another", "before"});
+  ReceiveReportsAndStart({"another", "before"});
   InstanceReport report = ReportOf("another");
   report.store_watcher_age = milliseconds(700);
   exchange.OnReport(report);
@@ -241,7 +245,7 @@
 
 // Guards against a change waiting for the next regular report to each member.
 TEST(ReportExchange, AStoreWatcherSendsANewRevisionAtOnceAndOnlyOnce) {
-  Know({"peer"});
+  ReceiveReportsAndStart({"peer"});
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
   exchange.SendRevision();
   exchange.SendRevision();
