--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
@@ -113,7 +113,7 @@
   if (role == StoreWatchRole::kStoreWatcher) {
     Watch();
   } else if (before == StoreWatchRole::kNone) {
-    const double spread = m_settings.place * static_cast<double>(m_live_instances);
+    const double spread = m_settings.spread_position * static_cast<double>(m_live_instances);
     WatchAfter(std::chrono::duration_cast<std::chrono::milliseconds>(
         m_settings.first_try_per_instance * spread));
   }
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -72,7 +72,7 @@
   std::chrono::milliseconds retry_per_instance{20};
 
   /** This instance's position in that spread, from 0 to 1. */
-  double place = 0.0;
+  double spread_position = 0.0;
 };
 
 /** A copy of all records in the platform's store, kept current by one list and a chain of watches.
--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -39,7 +39,7 @@
 StoreMirrorSettings MirrorSettings(const InstanceName& self) {
   StoreMirrorSettings settings;
   constexpr auto kMost = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  settings.place = static_cast<double>(Hash64(self)) / kMost;
+  settings.spread_position = static_cast<double>(Hash64(self)) / kMost;
   return settings;
 }
 
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -103,7 +103,7 @@
 // Sequence: all members miss the readers' word at the same time. Cause: all try at once.
 TEST(Mirror, SubstitutesSpreadTheirFirstCalls) {
   StoreMirrorSettings settings;
-  settings.place = 0.5;
+  settings.spread_position = 0.5;
   HeldStore quiet{time};
   StoreMirror late{quiet, time, time, logger, settings};
   late.SetWatchRole(StoreWatchRole::kNone, 200);
