--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -81,7 +81,7 @@
   bool is_alive = true;
 };
 
-Instance Describe(int domain, int member) {
+Instance MakeInstance(int domain, int member) {
   Instance instance;
   instance.name = "d" + std::to_string(domain) + "-" + std::to_string(member);
   instance.peer_address = {"10.0.0.1", static_cast<std::uint16_t>(domain * 100 + member + 1)};
@@ -102,7 +102,7 @@
   void setup() override {
     for (int domain = 0; domain < kDomains; ++domain) {
       for (int member = 0; member < kMembers; ++member) {
-        const Instance self = Describe(domain, member);
+        const Instance self = MakeInstance(domain, member);
         auto instance = std::make_unique<TestInstance>(time, self);
         instance->deliver = [this](const NetworkAddress& to, const InstanceReport& report,
                                    const TestInstance::Callback& callback) {
@@ -155,7 +155,7 @@
   }
 
   TestInstance& At(int domain, int member) {
-    return *fleet.at(Describe(domain, member).peer_address);
+    return *fleet.at(MakeInstance(domain, member).peer_address);
   }
 
   template <typename Predicate>
