--- a/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/beliefs.h
@@ -1,7 +1,6 @@
 #pragma once
 
-/** The last known state of the store, of the backend servers and of the peers with their loads.
-    Other folders of forwarding include this one; it includes none of them. */
+/** The last known state of the store, of the backend servers and of the peers with their loads. */
 
 #include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
@@ -15,7 +15,7 @@
     A relay sends each member the sum over the others: one row per member would be many times
     larger, and no decision depends on whose request it is.
 
-    Lives on the control thread. */
+    Used on the control thread only. */
 class MemberLoads {
  public:
   explicit MemberLoads(const Clock& clock) : m_clock(clock) {}
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.h
@@ -12,8 +12,8 @@
 
 class InstanceDirectory;
 
-/** Decides which instances watch the platform's store for the fleet, and which relay reports in
-    each failure domain.
+/** Decides which instances watch the platform's store for the fleet, and which ones relay reports
+    in each failure domain.
 
     Reports sent by everybody to everybody do not scale. Members send to the two relays of their
     domain, relays to their members and to each other, and three relays of different domains watch
@@ -21,10 +21,10 @@
     first by name, since copies of a large configuration for a whole domain saturate a slow link.
 
     Each instance decides on its own, from the instances that it knows to be live. An instance that
-    should send to this one and is silent for `silence_limit` is excluded until its next report, so
-    that a failed relay is replaced long before its record lapses.
+    should send to this one and is silent for `silence_limit` is excluded for a while or until its
+    next report, so that a failed relay is replaced long before its record lapses.
 
-    Lives on the control thread. */
+    Used on the control thread only. */
 class RelayDirectory {
  public:
   /** Enough that one of them very likely has contact while the store refuses a third of all
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -87,12 +87,12 @@
   /** Sets the limits that servers gave, for the next reports. */
   void SetServerLimits(std::vector<ServerLimitNews> limits) { m_server_limits = std::move(limits); }
 
-  /** Sets the limits and reports them at once: to all relays if `found_here`, else only to the
-      members if this instance is a relay. */
+  /** Sets the limits and reports them at once: to the own domain and the relays of other domains if
+      `found_here`, else only from a relay to its members. */
   void SendServerLimits(std::vector<ServerLimitNews> limits, bool found_here);
 
-  /** Reports a stalled server at once to the relays of all domains, which forward it to their
-      members. */
+  /** Reports a stalled server at once to the own domain and the relays of other domains, which
+      forward it to their members. */
   void SendStall(const BackendServerName& server);
 
   /** Reports a new revision of the mirror at once to the instances that depend on this one. */
@@ -104,8 +104,7 @@
       recent sign of one. */
   bool ShouldWatchStore() const;
 
-  /** Milliseconds since a store watcher is known to have been in contact, or "never"; for the log.
-   */
+  /** The time since a store watcher was in contact, in ms, or "never"; for the log. */
   std::string DescribeStoreWatcherAge() const;
 
   bool IsAssignedStoreWatcher() const { return m_relays.IsStoreWatcher(); }
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
@@ -43,15 +43,14 @@
 
 struct StoreMirrorSettings {
   /** Maximum duration of one watch. Each watch is billed, but a watch that waits while the store
-      drops its history receives nothing until it ends. */
+      drops its history receives nothing until it ends, so it must be short. */
   std::chrono::milliseconds longest_wait{1'500};
 
   /** Pause between two watches, so that one response carries a burst of changes. A fifth of the two
       seconds within which changes must be in force. */
   std::chrono::milliseconds pause{400};
 
-  /** Used in place of `pause` by the placer, since each engine that starts waits for its decision.
-   */
+  /** Replaces `pause` on the placer: each engine that starts waits for its decision. */
   std::chrono::milliseconds pause_of_placer{80};
 
   /** Pause after the first list, which also shows who watches for the fleet. Avoids a watch by
@@ -82,7 +81,7 @@
     again and reports missing records as removed. If the store cannot be reached, records of peers
     are taken over by Merge. Revisions never decrease.
 
-    Lives on the control thread. */
+    Used on the control thread only. */
 class StoreMirror {
  public:
   StoreMirror(PlatformStore& store,
