--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
@@ -12,7 +12,7 @@
 /** An excluded instance is tried again after this time. The record of a dead one lapses earlier. */
 constexpr Duration kExclusionDuration = std::chrono::seconds(30);
 
-bool HasMoreCapacity(const Instance* one, const Instance* other) {
+bool RanksHigher(const Instance* one, const Instance* other) {
   return std::tie(other->link_mbps, other->cores, one->name) <
          std::tie(one->link_mbps, one->cores, other->name);
 }
@@ -46,7 +46,7 @@
   const auto expected_before = std::exchange(m_expected_since, {});
   std::vector<std::vector<Instance>> relays;
   for (auto& [domain, ranked] : domains) {
-    std::sort(ranked.begin(), ranked.end(), HasMoreCapacity);
+    std::sort(ranked.begin(), ranked.end(), RanksHigher);
     const bool is_own = domain == self.failure_domain;
     const auto is_excluded = [&](const Instance& instance, std::size_t rank) {
       // Both relays send to the members of their domain, the first also to the relays of others.
