--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -86,7 +86,7 @@
 void ReportExchange::Tick() {
   m_relays.Refresh(SilenceLimit());
   if (m_relays.Members().empty() && m_relays.RemoteRelays().empty()) {
-    AskSeeds();
+    ReportToSeeds();
   }
   if (m_relays.IsRelay()) {
     SendAsRelay();
@@ -97,7 +97,7 @@
   m_timer = m_scheduler.ScheduleAfter(m_settings.interval, [this] { Tick(); });
 }
 
-void ReportExchange::AskSeeds() {
+void ReportExchange::ReportToSeeds() {
   for (const NetworkAddress& seed : m_seeds) {
     if (seed != m_instances.Self().peer_address) {
       Instance unknown;
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -118,7 +118,7 @@
   enum class Recipient { kMember, kOwnRelay, kRemoteRelay };
 
   void Tick();
-  void AskSeeds();
+  void ReportToSeeds();
   void SendAsRelay();
   InstanceReport MakeReport(Recipient recipient);
   void AddLoads(Recipient recipient, InstanceReport& report);
