--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -126,14 +126,14 @@
   const InstanceReport report = MakeReport(Recipient::kMember);
   for (std::size_t sent = 0; sent < count; ++sent) {
     const Instance& member = members[m_next_member++ % members.size()];
-    Send(member, KindOf(member), report);
+    Send(member, RecipientTypeOf(member), report);
   }
 }
 
 void ReportExchange::SendToMembers() {
   const InstanceReport report = MakeReport(Recipient::kMember);
   for (const Instance& member : m_relays.Members()) {
-    Send(member, KindOf(member), report);
+    Send(member, RecipientTypeOf(member), report);
   }
 }
 
@@ -152,7 +152,7 @@
   }
 }
 
-ReportExchange::Recipient ReportExchange::KindOf(const Instance& peer) const {
+ReportExchange::Recipient ReportExchange::RecipientTypeOf(const Instance& peer) const {
   const std::vector<Instance>& own = m_relays.OwnRelays();
   const bool is_relay = std::any_of(own.begin(), own.end(),
                                     [&](const Instance& relay) { return relay.name == peer.name; });
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
@@ -127,7 +127,7 @@
   void SendToOwnDomain();
   void SendToRelays(Recipient recipient, const std::vector<Instance>& relays);
   void Send(const Instance& peer, Recipient recipient, InstanceReport report);
-  Recipient KindOf(const Instance& peer) const;
+  Recipient RecipientTypeOf(const Instance& peer) const;
 
   /** How long a relay or the sign of a store watcher may be missing before this instance replaces
       it. */
