--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
@@ -212,8 +212,8 @@
   std::erase_if(m_server_states, [now](const auto& entry) {
     return now - entry.second.first > kServerStateLifetime;
   });
-  for (const auto& [server, state] : m_server_states) {
-    report.server_states.push_back(state.second);
+  for (const auto& [server, timed_state] : m_server_states) {
+    report.server_states.push_back(timed_state.second);
   }
   report.slow_servers = m_slow_servers;
   report.server_limits = m_server_limits;
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -43,17 +43,17 @@
   void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
     uses[domain] = std::move(reported);
   }
-  void OnPeerStalls(const std::vector<StallReport>& reported) override {
-    for (const StallReport& stall : reported) {
+  void OnPeerStalls(const std::vector<StallReport>& from_peer) override {
+    for (const StallReport& stall : from_peer) {
       stalls.push_back(stall.server);
     }
   }
   void OnPeerServerState(const ServerStateReport&) override {}
-  void OnPeerServerLimits(const std::vector<ServerLimitNews>& reported) override {
+  void OnPeerServerLimits(const std::vector<ServerLimitNews>& from_peer) override {
     const bool is_new = limits.empty();
-    limits = reported;
+    limits = from_peer;
     if (is_new) {
-      exchange.SendServerLimits(reported, false);
+      exchange.SendServerLimits(from_peer, false);
     }
   }
   void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
@@ -140,12 +140,12 @@
   void Advance(Duration duration) {
     for (Duration passed{}; passed < duration; passed += milliseconds(50)) {
       for (auto& [address, instance] : fleet) {
-        const bool watches = instance->is_alive && instance->exchange.ShouldWatchStore();
-        instance->mirror.SetWatchRole(
-            !watches ? StoreWatchRole::kNone
-                     : (instance->exchange.IsAssignedStoreWatcher() ? StoreWatchRole::kStoreWatcher
-                                                                    : StoreWatchRole::kSubstitute),
-            instance->instances.Live().size());
+        const bool is_watching = instance->is_alive && instance->exchange.ShouldWatchStore();
+        instance->mirror.SetWatchRole(!is_watching ? StoreWatchRole::kNone
+                                                   : (instance->exchange.IsAssignedStoreWatcher()
+                                                          ? StoreWatchRole::kStoreWatcher
+                                                          : StoreWatchRole::kSubstitute),
+                                      instance->instances.Live().size());
         while (!instance->store.watches.empty()) {
           instance->store.AnswerWatch();
         }
--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_GROUP(ReportExchange) {
+TEST_GROUP(InstanceReports) {
   struct Transport final : ReportTransport {
     void Exchange(const NetworkAddress& peer,
                   const InstanceReport& report,
@@ -31,20 +31,20 @@
     void OnDomainUses(const FailureDomainName& domain, LoadTracker::Uses reported) override {
       uses[domain] = std::move(reported);
     }
-    void OnPeerStalls(const std::vector<StallReport>& reported) override {
-      for (const StallReport& stall : reported) {
+    void OnPeerStalls(const std::vector<StallReport>& from_peer) override {
+      for (const StallReport& stall : from_peer) {
         stalls.push_back(stall.server);
       }
     }
-    void OnPeerServerLimits(const std::vector<ServerLimitNews>& reported) override {
-      limits = reported;
+    void OnPeerServerLimits(const std::vector<ServerLimitNews>& from_peer) override {
+      limits = from_peer;
     }
     void OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) override {
       slow = slow_servers;
     }
     std::vector<ServerLimitNews> limits;
-    void OnPeerServerState(const ServerStateReport& reported) override {
-      layers.push_back(reported);
+    void OnPeerServerState(const ServerStateReport& from_peer) override {
+      layers.push_back(from_peer);
     }
     std::map<InstanceName, LoadTracker::Uses> uses;
     std::vector<std::string> stalls;
@@ -92,7 +92,7 @@
 
 // Guards against an instance that never serves because the store refuses it at the start and peers
 // are looked up only in the store.
-TEST(ReportExchange, AnInstanceWithoutPeersFetchesRecordsFromSeeds) {
+TEST(InstanceReports, AnInstanceWithoutPeersFetchesRecordsFromSeeds) {
   transport.answer = MirrorDelta{true, 9, {{"k", 5, "v"}}};
   exchange.Start();
   time.AdvanceBy(milliseconds(250));
@@ -104,7 +104,7 @@
 
 // Guards against several peers sending a large configuration at once over a slow link, so that no
 // copy arrives in time.
-TEST(ReportExchange, AnInstanceThatIsBehindFetchesFromOnePeerAtATime) {
+TEST(InstanceReports, AnInstanceThatIsBehindFetchesFromOnePeerAtATime) {
   for (const char* name : {"a", "b", "c"}) {
     InstanceReport report = ReportOf(name);
     report.revision = 9;
@@ -124,7 +124,7 @@
   CHECK_EQUAL(2U, transport.sent.size());
 }
 
-TEST(ReportExchange, AReportIsAnsweredWithRecordsOnlyIfItWantsThem) {
+TEST(InstanceReports, AReportIsAnsweredWithRecordsOnlyIfItWantsThem) {
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
   InstanceReport report = ReportOf("peer");
   CHECK_EQUAL(0U, exchange.OnReport(report).records.size());
@@ -135,7 +135,7 @@
 
 // Guards against a response without records being taken for "nothing changed", which would keep an
 // old configuration for good.
-TEST(ReportExchange, AResponseWithoutRecordsDoesNotAdvanceTheMirror) {
+TEST(InstanceReports, AResponseWithoutRecordsDoesNotAdvanceTheMirror) {
   mirror.Merge({true, 4, {{"k", 4, "old"}}});
   ReceiveReportsAndStart({"peer"});
   transport.answer = MirrorDelta{false, 9, {}};
@@ -145,14 +145,14 @@
   CHECK_EQUAL(8U, mirror.ChangesAfter(4).records.at(0).revision);
 }
 
-TEST(ReportExchange, PeersCountAsLiveForAWhileAfterAReport) {
+TEST(InstanceReports, PeersCountAsLiveForAWhileAfterAReport) {
   exchange.OnReport(ReportOf("peer"));
   CHECK_EQUAL(2U, instances.LiveInstances().size());
   time.AdvanceBy(seconds(6));
   CHECK_EQUAL(1U, instances.LiveInstances().size());
 }
 
-TEST(ReportExchange, AStallIsSentAtOnceAndOnlyOnce) {
+TEST(InstanceReports, AStallIsSentAtOnceAndOnlyOnce) {
   ReceiveReportsAndStart({"peer"});
   exchange.SendStall("s");
   exchange.SendStall("s");
@@ -160,7 +160,7 @@
   STRCMP_EQUAL("s", transport.sent[0].second.stalls[0].server.c_str());
 }
 
-TEST(ReportExchange, SlowServersAreSentAndReceived) {
+TEST(InstanceReports, SlowServersAreSentAndReceived) {
   ReceiveReportsAndStart({"peer"});
   exchange.SetSlowServers({{"s", 5.0, milliseconds(10)}});
   exchange.SendLeaving();
@@ -171,7 +171,7 @@
   STRCMP_EQUAL("other", sink.slow.at(0).server.c_str());
 }
 
-TEST(ReportExchange, AServerStateIsReportedForAShortTime) {
+TEST(InstanceReports, AServerStateIsReportedForAShortTime) {
   ReceiveReportsAndStart({"peer"});
   exchange.AddServerState({"s", {20, 40}});
   exchange.SendLeaving();
@@ -185,7 +185,7 @@
   STRCMP_EQUAL("other", sink.layers.at(0).server.c_str());
 }
 
-TEST(ReportExchange, AReceivedStallIsAppliedOnce) {
+TEST(InstanceReports, AReceivedStallIsAppliedOnce) {
   InstanceReport report = ReportOf("peer");
   report.stalls.push_back({"s", milliseconds(30)});
   exchange.OnReport(report);
@@ -195,7 +195,7 @@
 
 // Guards against an instance that the store refuses taking its own failures for an outage and
 // sending requests to a leaving server.
-TEST(ReportExchange, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
+TEST(InstanceReports, APeerThatTheStoreServesProvesThatThereIsNoOutage) {
   CHECK_FALSE(exchange.AnyPeerSeesStableStore());
   InstanceReport report = ReportOf("peer");
   report.stable_store_age = milliseconds(0);
@@ -206,7 +206,7 @@
 }
 
 // Guards against every instance watching the store, which exceeds the store's rate limits.
-TEST(ReportExchange, OthersWatchTheStoreOnlyIfItsWatchersAreSilent) {
+TEST(InstanceReports, OthersWatchTheStoreOnlyIfItsWatchersAreSilent) {
   const auto report_watcher = [this](const char* name) {
     InstanceReport report = ReportOf(name);
     report.store_watcher_age = milliseconds(0);
@@ -227,7 +227,7 @@
 
 // Guards against two relays confirming to each other for ever that a store watcher exists after all
 // were lost.
-TEST(ReportExchange, StoreWatcherAgeGrowsWhileForwarded) {
+TEST(InstanceReports, StoreWatcherAgeGrowsWhileForwarded) {
   ReceiveReportsAndStart({"another", "before"});
   InstanceReport report = ReportOf("another");
   report.store_watcher_age = milliseconds(700);
@@ -244,7 +244,7 @@
 }
 
 // Guards against a change waiting for the next regular report to each member.
-TEST(ReportExchange, AStoreWatcherSendsANewRevisionAtOnceAndOnlyOnce) {
+TEST(InstanceReports, AStoreWatcherSendsANewRevisionAtOnceAndOnlyOnce) {
   ReceiveReportsAndStart({"peer"});
   mirror.Merge({true, 9, {{"k", 5, "v"}}});
   exchange.SendRevision();
@@ -253,7 +253,7 @@
   CHECK_EQUAL(9U, transport.sent[0].second.revision);
 }
 
-TEST(ReportExchange, ALeavingInstanceIsRemovedAtOnce) {
+TEST(InstanceReports, ALeavingInstanceIsRemovedAtOnce) {
   InstanceReport report = ReportOf("peer");
   exchange.OnReport(report);
   report.leaving = true;
@@ -262,7 +262,7 @@
 }
 
 // Guards against two additional store calls for each instance when a whole fleet restarts.
-TEST(ReportExchange, ARecordThatIsKnownIsWrittenWithoutBeingReadFirst) {
+TEST(InstanceReports, ARecordThatIsKnownIsWrittenWithoutBeingReadFirst) {
   store.Put("instances/self", "of before");
   InstanceRegistration registration(store, time, logger, MakeInstance("self", 1));
   registration.Start();
@@ -272,7 +272,7 @@
   CHECK_TRUE(*store.records["instances/self"].value != "of before");
 }
 
-TEST(ReportExchange, ARecordOfAnUnknownVersionIsReadAndReplaced) {
+TEST(InstanceReports, ARecordOfAnUnknownVersionIsReadAndReplaced) {
   store.Put("instances/self", "of before");
   InstanceRegistration registration(store, time, logger, MakeInstance("self", 1));
   registration.Start();
@@ -281,7 +281,7 @@
   CHECK_TRUE(*store.records["instances/self"].value != "of before");
 }
 
-TEST(ReportExchange, InstanceRecordsReadBackAsWritten) {
+TEST(InstanceReports, InstanceRecordsReadBackAsWritten) {
   const Instance written = MakeInstance("n", 5);
   const auto read =
       InstanceRegistration::Decode("instances/n", InstanceRegistration::Encode(written));
