--- a/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
+++ b/packages/zinnia_decisions/forwarding/paths/first_server_sampler.h
@@ -31,7 +31,7 @@
 
   /** Returns which first servers to consider. `is_local` tells which servers are in the caller's
       failure domain, `has_connection` which of them have an idle connection. */
-  std::vector<bool> Draw(const std::vector<bool>& is_local,
+  std::vector<bool> Draw(const std::vector<bool>& is_same_domain,
                          const std::vector<bool>& has_connection);
 
  private:
