--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/news_codec.cc
@@ -43,7 +43,7 @@
     row.setServer(server);
     row.setRequests(use.requests);
     row.setTokenLayers(use.token_layers);
-    row.setBegun(use.begun);
+    row.setBegun(use.first_stage_requests);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
@@ -38,7 +38,7 @@
   ServerUse& use = m_own[server];
   ++use.requests;
   use.token_layers += token_layers;
-  use.begun += begins ? 1 : 0;
+  use.first_stage_requests += begins ? 1 : 0;
   m_own_begun += begins ? 1 : 0;
   RecentAdditions& recent = m_recent[server];
   recent = Decayed(recent);
@@ -52,7 +52,7 @@
   assert(found != m_own.end() && found->second.requests > 0 && "Remove without its Add");
   ServerUse& use = found->second;
   --use.requests;
-  use.begun -= begins ? 1 : 0;
+  use.first_stage_requests -= begins ? 1 : 0;
   m_own_begun -= begins ? 1 : 0;
   use.token_layers = std::max(0.0, use.token_layers - token_layers);
   if (use.requests == 0) {
@@ -72,7 +72,7 @@
     if (use != report.uses.end() && m_clock.Now() - report.received_at <= kReportLifetime) {
       sum.requests += use->second.requests;
       sum.token_layers += use->second.token_layers;
-      sum.begun += use->second.begun;
+      sum.first_stage_requests += use->second.first_stage_requests;
     }
   }
 }
@@ -92,7 +92,7 @@
   m_others_begun = 0;
   for (const auto& [domain, report] : m_domains) {
     for (const auto& [server, use] : report.uses) {
-      m_others_begun += use.begun;
+      m_others_begun += use.first_stage_requests;
     }
   }
 }
@@ -108,7 +108,7 @@
   const double others = kChoiceCorrelation * std::min(OthersTrafficRatio(), kMaxCorrelatedPeers);
   sum.requests += static_cast<std::uint32_t>(recent.requests * others);
   sum.token_layers += recent.token_layers * others;
-  sum.begun += static_cast<std::uint32_t>(recent.begun * others);
+  sum.first_stage_requests += static_cast<std::uint32_t>(recent.begun * others);
 }
 
 ServerUse LoadTracker::UseOf(const BackendServerName& server) const {
@@ -124,10 +124,11 @@
     const double peers = kChoiceCorrelation * static_cast<double>(m_peer_count);
     others.requests = std::max(others.requests, static_cast<std::uint32_t>(own.requests * peers));
     others.token_layers = std::max(others.token_layers, own.token_layers * peers);
-    others.begun = std::max(others.begun, static_cast<std::uint32_t>(own.begun * peers));
+    others.first_stage_requests = std::max(
+        others.first_stage_requests, static_cast<std::uint32_t>(own.first_stage_requests * peers));
   }
   return {own.requests + others.requests, own.token_layers + others.token_layers,
-          own.begun + others.begun};
+          own.first_stage_requests + others.first_stage_requests};
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
+++ b/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
@@ -19,7 +19,7 @@
       ServerUse& total = sum[server];
       total.requests += use.requests;
       total.token_layers += use.token_layers;
-      total.begun += use.begun;
+      total.first_stage_requests += use.first_stage_requests;
     }
   }
   return sum;
@@ -38,7 +38,8 @@
       continue;
     }
     total->second.requests -= std::min(total->second.requests, use.requests);
-    total->second.begun -= std::min(total->second.begun, use.begun);
+    total->second.first_stage_requests -=
+        std::min(total->second.first_stage_requests, use.first_stage_requests);
     total->second.token_layers = std::max(0.0, total->second.token_layers - use.token_layers);
     if (total->second.requests == 0) {
       others.erase(total);
--- a/packages/zinnia_decisions/forwarding/beliefs/server_use.h
+++ b/packages/zinnia_decisions/forwarding/beliefs/server_use.h
@@ -13,7 +13,7 @@
   double token_layers = 0.0;
 
   /** Requests whose path begins at the server. Engines limit only these. */
-  std::uint32_t begun = 0;
+  std::uint32_t first_stage_requests = 0;
 
   bool operator==(const ServerUse&) const = default;
 };
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -319,7 +319,7 @@
 }
 
 bool IsNearlyFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use) {
-  return use.begun >= server.most_requests * kNearlyFull ||
+  return use.first_stage_requests >= server.most_requests * kNearlyFull ||
          use.token_layers >= TokenLayerCapacity(engine, server) * kNearlyFull;
 }
 
@@ -387,7 +387,8 @@
   candidate.free_token_layers =
       TokenLayerCapacity(engine, server) * kMaxReservedShare - use.token_layers;
   candidate.can_start_request =
-      use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
+      use.first_stage_requests < server.most_requests * kMaxStartedShare &&
+      m_limits.MaySend(server.name);
   candidate.first_event_delay_ms = Milliseconds(m_health.FirstEventDelay(server.name));
   candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
   return candidate;
--- a/tests/forwarding/load_spreading_test.cc
+++ b/tests/forwarding/load_spreading_test.cc
@@ -89,7 +89,7 @@
       for (const auto& [server, use] : chooser->loads.Own()) {
         sum[server].requests += use.requests;
         sum[server].token_layers += use.token_layers;
-        sum[server].begun += use.begun;
+        sum[server].first_stage_requests += use.first_stage_requests;
       }
     }
     for (const auto& chooser : choosers) {
@@ -97,7 +97,7 @@
       for (const auto& [server, use] : chooser->loads.Own()) {
         others[server].requests -= use.requests;
         others[server].token_layers -= use.token_layers;
-        others[server].begun -= use.begun;
+        others[server].first_stage_requests -= use.first_stage_requests;
       }
       chooser->loads.SetDomainUses("all", others);
     }
