--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -199,14 +199,14 @@
     return;
   }
   const TimePoint now = m_parts.clock.Now();
-  const bool is_first = !m_rhythm.HasBegun();
-  m_rhythm.OnEvent(now);
+  const bool is_first = !m_event_intervals.HasBegun();
+  m_event_intervals.OnEvent(now);
   if (is_first) {
     m_first_event_after = now - m_started_at;
     m_parts.health.OnFirstEvent(m_server, now - m_sent_at);
     m_parts.metrics.Observe(m_organisation, RequestClass::kChat, Measure::kFirstToken,
                             m_first_event_after);
-  } else if (m_rhythm.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
+  } else if (m_event_intervals.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
                  m_route->event_gap_objective * kGapThatAsksForPaces))) {
     AskForPaces();
   }
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -163,7 +163,7 @@
   EventSplitter m_events;
   bool m_is_streaming = false;    // The present answer is a stream.
   bool m_stream_started = false;  // The caller has the head of a stream.
-  EventIntervalTracker m_rhythm;
+  EventIntervalTracker m_event_intervals;
 
   /** The configuration is not known yet. */
   bool m_awaits_rules = false;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -128,7 +128,7 @@
                       {"outcome", std::string(outcome)},
                       {"server", m_server},
                       {"first_event_ms", Milliseconds(m_first_event_after)},
-                      {"longest_gap_ms", Milliseconds(m_rhythm.LongestInterval())},
+                      {"longest_gap_ms", Milliseconds(m_event_intervals.LongestInterval())},
                       {"last_event", std::to_string(m_events.LastEventId().value_or(0))},
                       {"ms", Milliseconds(m_parts.clock.Now() - m_started_at)}});
   m_on_end(*this);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -77,7 +77,7 @@
 
 bool ForwardExchange::ChoosePath() {
   const auto view = m_parts.view();
-  if (m_rhythm.HasBegun()) {
+  if (m_event_intervals.HasBegun()) {
     const auto recovery =
         m_parts.recovery.Choose(*view, m_service, ExpectedSize(), {}, m_avoided, true);
     if (recovery) {
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -95,7 +95,7 @@
 
 void ForwardExchange::CheckSilence() {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
-  const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_rhythm.HasBegun());
+  const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_event_intervals.HasBegun());
   if (m_last_progress > m_asked_at) {
     m_looks = 0;
   }
@@ -122,7 +122,7 @@
 void ForwardExchange::OnReport(const Result<EngineReport>& report) {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const SilencePolicy policy(*m_route);
-  if (silent < policy.ProbeAfter(m_rhythm.HasBegun()) || !m_connection) {
+  if (silent < policy.ProbeAfter(m_event_intervals.HasBegun()) || !m_connection) {
     return;
   }
   if (!report) {
@@ -131,7 +131,7 @@
                         {"server", m_server},
                         {"reason", zinnia::Describe(report.error())}});
     // One report may be lost to a full connection table; the stream's own silence must agree.
-    const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
+    const bool is_long = silent >= policy.AbandonAfter(m_event_intervals.HasBegun());
     if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
       m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
@@ -159,10 +159,10 @@
 }
 
 std::optional<StreamProgress> ForwardExchange::Progress() const {
-  if (m_ended || !m_connection || !m_rhythm.HasBegun() || m_rerouting || m_path.empty()) {
+  if (m_ended || !m_connection || !m_event_intervals.HasBegun() || m_rerouting || m_path.empty()) {
     return std::nullopt;
   }
-  return StreamProgress{&m_path, m_last_progress, m_rhythm.MeanInterval()};
+  return StreamProgress{&m_path, m_last_progress, m_event_intervals.MeanInterval()};
 }
 
 void ForwardExchange::OnServersStalled(const std::vector<BackendServerName>& servers) {
@@ -279,7 +279,8 @@
     tokens_per_event = std::max(1.0, service->second.engine->steps_per_pass);
   }
   const double events = ExpectedSize().answer_tokens / tokens_per_event;
-  m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedRemaining(events));
+  m_move_at =
+      m_parts.departures.MoveAt(m_parts.clock.Now(), m_event_intervals.ExpectedRemaining(events));
 }
 
 /** Best called after an event: moved right then, a stream has the whole allowed pause for it. */
@@ -321,7 +322,7 @@
   SendHistory history = m_history;
   history.time_left = TimeLeft() > Duration::zero();
   history.has_alternative = true;
-  return m_rhythm.HasBegun() &&
+  return m_event_intervals.HasBegun() &&
          DecideNextStep(*m_route, SendOutcome::kUnknown, history) == NextStep::kSendAgain;
 }
 
@@ -371,7 +372,7 @@
   }
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   if (m_connection && m_failed_reroutes >= kReroutesBeforeLeaving &&
-      silent >= SilencePolicy(*m_route).AbandonAfter(m_rhythm.HasBegun())) {
+      silent >= SilencePolicy(*m_route).AbandonAfter(m_event_intervals.HasBegun())) {
     AbandonServer("the path could not be changed");
   }
 }
