--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -71,10 +71,10 @@
   ServerHealth health(time);
   const RendezvousLimitDivision division;
   const ServerLimits limits(time, division, "self");
-  InterDomainLinkMeter pipe(time);
+  InterDomainLinkMeter link_meter(time);
   RandomSource random(1);
   const NoConnections connections;
-  const PathFinder paths(loads, health, limits, pipe, connections, random);
+  const PathFinder paths(loads, health, limits, link_meter, connections, random);
   RecoveryChooser recovery(time, paths, loads, health);
   std::vector<ServerEntry> servers;
   servers.reserve(engines);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -95,7 +95,7 @@
 }
 
 void ForwardExchange::TakePath(const FoundPath& found) {
-  m_parts.pipe.Add(found.link_ms);
+  m_parts.link_meter.Add(found.link_ms);
   m_path = found.path;
   m_server = m_path.front().server;
   m_server_address = m_path.front().address;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -349,7 +349,7 @@
 
 void ForwardExchange::ChangePath(const FoundPath& found, std::string_view reason) {
   LogMove("request_rerouted", found.path, reason);
-  m_parts.pipe.Add(found.link_ms);
+  m_parts.link_meter.Add(found.link_ms);
   m_rerouting = true;
   const std::uint64_t change = ++m_path_changes;
   m_parts.engine_calls.Reroute(
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -43,7 +43,7 @@
   RecoveryChooser& recovery;
   CapacityQueue& room;
   const DepartureSchedule& departures;
-  InterDomainLinkMeter& pipe;
+  InterDomainLinkMeter& link_meter;
   const PlainServerChooser& plain_servers;
   SharedRetryBudget& retries;
   ServerConnectionPool& connections;
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -88,7 +88,7 @@
   ServerHealth m_health;
   RendezvousLimitDivision m_limit_division;
   ServerLimits m_limits;
-  InterDomainLinkMeter m_pipe;
+  InterDomainLinkMeter m_link_meter;
   ServerConnectionPool m_connections;
   PathFinder m_paths;
   RecoveryChooser m_recovery;
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -437,7 +437,7 @@
                                                 const GenerationSize& size,
                                                 const SearchSpace& space,
                                                 const std::optional<PathPart>& first) const {
-  const double link_use = m_link.OwnUtilization() * static_cast<double>(view.live_instances);
+  const double link_use = m_link_meter.OwnUtilization() * static_cast<double>(view.live_instances);
   Search search(engine, size, space.candidates, link_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
   auto found = search.Run(first_layer, space.start_domain, space.domains.size(), false);
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.h
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.h
@@ -63,13 +63,13 @@
   PathFinder(const LoadTracker& loads,
              const ServerHealth& health,
              const ServerLimits& limits,
-             const InterDomainLinkMeter& pipe,
+             const InterDomainLinkMeter& link_meter,
              const IdleConnections& connections,
              RandomSource& random)
       : m_loads(loads),
         m_health(health),
         m_limits(limits),
-        m_link(pipe),
+        m_link_meter(link_meter),
         m_connections(connections),
         m_random(random) {}
 
@@ -124,7 +124,7 @@
   const LoadTracker& m_loads;
   const ServerHealth& m_health;
   const ServerLimits& m_limits;
-  const InterDomainLinkMeter& m_link;
+  const InterDomainLinkMeter& m_link_meter;
   const IdleConnections& m_connections;
   RandomSource& m_random;
 };
--- a/tests/forwarding/load_spreading_test.cc
+++ b/tests/forwarding/load_spreading_test.cc
@@ -42,7 +42,7 @@
         : loads(time),
           health(time),
           limits(time, division, "self"),
-          pipe(time),
+          link_meter(time),
           random(number + 1) {
       loads.SetPeerCount(kInstances - 1);
     }
@@ -50,10 +50,10 @@
     ServerHealth health;
     RendezvousLimitDivision division;
     ServerLimits limits;
-    InterDomainLinkMeter pipe;
+    InterDomainLinkMeter link_meter;
     RandomSource random;
     NamedConnections connections;
-    PathFinder finder{loads, health, limits, pipe, connections, random};
+    PathFinder finder{loads, health, limits, link_meter, connections, random};
   };
   struct RunningRequest {
     TimePoint ends_at;
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -21,10 +21,10 @@
   ServerHealth health{time};
   RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
-  InterDomainLinkMeter pipe{time};
+  InterDomainLinkMeter link_meter{time};
   RandomSource random{1};
   NamedConnections connections;
-  PathFinder finder{loads, health, limits, pipe, connections, random};
+  PathFinder finder{loads, health, limits, link_meter, connections, random};
   GenerationSize size{774, 200};
   std::vector<ServerEntry> servers = {
       EngineServer("x1", "fast", "x", {0, 40}),    EngineServer("x2", "fast", "x", {40, 80}),
@@ -116,7 +116,7 @@
 }
 
 TEST(Paths, DoesNotCrossASaturatedLink) {
-  pipe.Add(700);
+  link_meter.Add(700);
   STRCMP_EQUAL("none", Find({"x2", "y1"}).c_str());
   time.AdvanceBy(seconds(2));
   STRCMP_EQUAL("x1 y3 y4 ", Find({"x2", "y1"}).c_str());
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -24,10 +24,10 @@
   ServerHealth health{time};
   RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
-  InterDomainLinkMeter pipe{time};
+  InterDomainLinkMeter link_meter{time};
   RandomSource random{1};
   NamedConnections connections;
-  PathFinder finder{loads, health, limits, pipe, connections, random};
+  PathFinder finder{loads, health, limits, link_meter, connections, random};
   RecoveryChooser chooser{time, finder, loads, health};
   GenerationSize size{774, 200};
 
