--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -301,7 +301,7 @@
   const auto view = m_parts.view();
   const auto recovery = m_parts.recovery.Choose(*view, m_service, ExpectedSize(), m_path, {},
                                                 is_broken && MayStartAgain());
-  if (recovery && recovery->keeps_first) {
+  if (recovery && recovery->keeps_first_server) {
     ChangePath(recovery->found, reason);
     return;
   }
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -72,10 +72,11 @@
     longest = std::max(longest, m_backlog.WaitMs(part.server) + prefill_ms);
     sum += prefill_ms;
   }
-  const bool keeps_first = !kept.empty();
-  const double pause = longest + sum * kUnoverlappedPrefill + (keeps_first ? 0.0 : kRestartMs);
+  const bool keeps_first_server = !kept.empty();
+  const double pause =
+      longest + sum * kUnoverlappedPrefill + (keeps_first_server ? 0.0 : kRestartMs);
   if (!best || pause < best->expected_pause_ms) {
-    best = RecoveryPath{std::move(*found), keeps_first, pause};
+    best = RecoveryPath{std::move(*found), keeps_first_server, pause};
   }
 }
 
@@ -109,7 +110,7 @@
     // The other instances reroute their streams of the lost server at the same time.
     const double instances = 1.0 + m_loads.OthersTrafficRatio();
     for (const PathPart& part : best->found.path) {
-      if (!best->keeps_first || !ContainsPart(present, part)) {
+      if (!best->keeps_first_server || !ContainsPart(present, part)) {
         m_backlog.Add(part.server, PrefillMs(view, engine, size, part) * instances);
       }
     }
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -22,7 +22,7 @@
   /** Whether the first server is kept, so that only the new parts prefill the tokens generated so
       far. Otherwise the stream restarts after its last event on other servers, which costs a retry.
   */
-  bool keeps_first = false;
+  bool keeps_first_server = false;
 
   /** Expected time until events arrive again. */
   double expected_pause_ms = 0.0;
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -79,7 +79,7 @@
   for (int stream = 0; stream < kStreams; ++stream) {
     const auto recovery = Choose(true);
     CHECK_TRUE(recovery.has_value());
-    ++kept[recovery->keeps_first];
+    ++kept[recovery->keeps_first_server];
     pauses.push_back(recovery->expected_pause_ms);
   }
   CHECK_TRUE(kept[true] >= kStreams / 5);
@@ -101,7 +101,7 @@
   CHECK_FALSE(Choose(false).has_value());
   const auto recovery = Choose(true);
   CHECK_TRUE(recovery.has_value());
-  CHECK_FALSE(recovery->keeps_first);
+  CHECK_FALSE(recovery->keeps_first_server);
   STRCMP_EQUAL("y1", recovery->found.path.front().server.c_str());
   DOUBLES_EQUAL(0, recovery->found.link_ms, 1e-9);
 }
