--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -89,7 +89,7 @@
 
 void ForwardingControl::OnServerStalled(const BackendServerName& server) {
   for (auto& [service, placer] : m_placers) {
-    placer->NoteStalled(server);
+    placer->OnEngineStalled(server);
   }
 }
 
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -272,7 +272,7 @@
   }
 }
 
-void LayerPlacer::NoteStalled(const BackendServerName& server) {
+void LayerPlacer::OnEngineStalled(const BackendServerName& server) {
   const auto seen = m_last_servers.find(server);
   if (seen == m_last_servers.end() || seen->second.layers.Count() == 0 ||
       !m_stalled.insert(server).second) {
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -46,7 +46,7 @@
   void TickRole(bool may_seek);
 
   /** Reports that an engine has stopped responding. Its range counts as uncovered from now on. */
-  void NoteStalled(const BackendServerName& server);
+  void OnEngineStalled(const BackendServerName& server);
 
   /** Tells whether a peer says the store serves it; see OrderRole::NoteStoreServesOthers. */
   void NoteStoreServesOthers(bool serves) { m_role.NoteStoreServesOthers(serves); }
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -412,7 +412,7 @@
   ApplyOrders();
   Run(milliseconds(100));
   orders.placed.clear();
-  placer->NoteStalled("middle0");
+  placer->OnEngineStalled("middle0");
   Run(seconds(1));
   CHECK_FALSE(orders.placed.empty());
   const int ordered = orders.count;
