--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -36,7 +36,7 @@
 constexpr double kAsksOfFleet = 4.0;
 
 /** Suspects are looked through once in so many ticks. */
-constexpr std::uint64_t kTicksBetweenSuspects = 10;
+constexpr std::uint64_t kTicksBetweenProbes = 10;
 
 /** How long a server that answered no probe gets no requests, until engines' reports confirm it. */
 constexpr Duration kDeadExclusion = std::chrono::milliseconds(1'500);
@@ -123,8 +123,8 @@
                            m_parts.report_stalled(dead);
                          });
   }
-  if (m_ticks % kTicksBetweenSuspects == 0) {
-    AskSuspects();
+  if (m_ticks % kTicksBetweenProbes == 0) {
+    ProbeSuspects();
   }
   if (m_ticks % kTicksBetweenPaces == 0) {
     AskSlowServersAgain();
@@ -173,7 +173,7 @@
 
 /** A question costs a call; a caller's request at a dead server costs its objective. Plain servers
     have no such call, and take the next request. */
-void ForwardServer::AskSuspects() {
+void ForwardServer::ProbeSuspects() {
   const auto view = m_parts.view();
   for (const BackendServerName& name : m_parts.health.TakeSuspectsToProbe()) {
     const auto server = view->servers.find(name);
--- a/packages/zinnia_adapters/forwarding/forward_server.h
+++ b/packages/zinnia_adapters/forwarding/forward_server.h
@@ -66,7 +66,7 @@
 
   void TakeConnection(boost::asio::ip::tcp::socket socket);
   void ScheduleTick();
-  void AskSuspects();
+  void ProbeSuspects();
   void AskSlowServersAgain();
   void Tick();
   std::vector<std::shared_ptr<ForwardExchange>> Exchanging() const;
