--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -87,7 +87,7 @@
   void Begin();
   void WaitForRoom();
   void RefuseForWantOfRoom();
-  LimitAvailability OutlookOfLimits() const;
+  LimitAvailability AvailabilityUnderLimits() const;
   void LogServersAtLimit();
   std::optional<Error> FindRoute();
   ServiceName ChooseService();
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -81,7 +81,7 @@
 
 void ForwardExchange::Answer(const Error& error) {
   CallerResponse response = MakeProblemResponse(error);
-  const LimitAvailability limits = OutlookOfLimits();
+  const LimitAvailability limits = AvailabilityUnderLimits();
   if (error.was_run == WasRun::kUnknown) {
     response.result(error.kind == ErrorKind::kBackendTimeout ? http::status::gateway_timeout
                                                              : http::status::bad_gateway);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -29,7 +29,7 @@
     its limit is worth waiting for. */
 void ForwardExchange::WaitForRoom() {
   const bool queues = m_route->repeatability == Repeatability::kStream;
-  if (MayWait(OutlookOfLimits(), queues, m_route->latency_objective)) {
+  if (MayWait(AvailabilityUnderLimits(), queues, m_route->latency_objective)) {
     const TimePoint on_time_until = m_started_at + m_route->latency_objective / 2;
     m_room_ticket = m_parts.room.Enter({m_route->priority, m_started_at, on_time_until});
   }
@@ -39,13 +39,13 @@
 }
 
 void ForwardExchange::RefuseForWantOfRoom() {
-  const bool is_limit = OutlookOfLimits().all_at_limit;
+  const bool is_limit = AvailabilityUnderLimits().all_at_limit;
   Answer(NotRun(ErrorKind::kOverloaded,
                 is_limit ? "every server of " + m_service + " has as many requests as it takes"
                          : "no server of " + m_service + " has room"));
 }
 
-LimitAvailability ForwardExchange::OutlookOfLimits() const {
+LimitAvailability ForwardExchange::AvailabilityUnderLimits() const {
   return FindLimitAvailability(*m_parts.view(), m_service, m_avoided, m_parts.limits);
 }
 
@@ -63,7 +63,7 @@
 
 /** Who asks why a request went elsewhere finds the servers that it was kept from. */
 void ForwardExchange::LogServersAtLimit() {
-  const std::vector<BackendServerName> closed = OutlookOfLimits().at_limit;
+  const std::vector<BackendServerName> closed = AvailabilityUnderLimits().at_limit;
   if (closed.empty()) {
     return;
   }
