--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -51,8 +51,8 @@
 
   void Tick();
 
-  /** The ticket with which it waits for room; CapacityQueue::kNoTicket if it does not. */
-  std::uint64_t RoomTicket() const { return m_room_ticket; }
+  /** The ticket with which it waits for capacity; CapacityQueue::kNoTicket if it does not. */
+  std::uint64_t CapacityTicket() const { return m_capacity_ticket; }
 
   /** Begins if there is room now. Only for requests that wait for it. */
   bool TryToBegin();
@@ -168,7 +168,7 @@
   /** The configuration is not known yet. */
   bool m_awaits_rules = false;
 
-  std::uint64_t m_room_ticket = 0;
+  std::uint64_t m_capacity_ticket = 0;
 
   /** Whether an event came over the present path. */
   bool m_path_proved = false;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -119,8 +119,8 @@
   if (m_connection) {
     std::exchange(m_connection, nullptr)->Close();
   }
-  if (m_room_ticket != CapacityQueue::kNoTicket) {
-    m_parts.room.Leave(std::exchange(m_room_ticket, CapacityQueue::kNoTicket));
+  if (m_capacity_ticket != CapacityQueue::kNoTicket) {
+    m_parts.room.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
   }
   ReleaseReservations();
   m_parts.logger.Log(LogLevel::kInfo, "request_ended",
@@ -135,7 +135,7 @@
 }
 
 void ForwardExchange::OnDeadline() {
-  if (m_room_ticket != CapacityQueue::kNoTicket) {
+  if (m_capacity_ticket != CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
     return;
   }
@@ -154,7 +154,7 @@
   if (m_stream_started) {
     m_responder->CutOff();
     End("instance_stops");
-  } else if (m_awaits_rules || m_room_ticket != CapacityQueue::kNoTicket) {
+  } else if (m_awaits_rules || m_capacity_ticket != CapacityQueue::kNoTicket) {
     Answer(NotRun(ErrorKind::kStoreUnavailable, "this instance stops"));
   } else {
     Answer(PerhapsRun(ErrorKind::kBackendUnavailable,
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -80,7 +80,7 @@
     OnDeadline();
     return;
   }
-  if (m_room_ticket != CapacityQueue::kNoTicket && m_parts.room.IsOverdue(m_room_ticket)) {
+  if (m_capacity_ticket != CapacityQueue::kNoTicket && m_parts.room.IsOverdue(m_capacity_ticket)) {
     RefuseForWantOfRoom();
     return;
   }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -139,8 +139,8 @@
 void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
-    if (exchange->RoomTicket() != CapacityQueue::kNoTicket) {
-      waiting[exchange->RoomTicket()] = exchange.get();
+    if (exchange->CapacityTicket() != CapacityQueue::kNoTicket) {
+      waiting[exchange->CapacityTicket()] = exchange.get();
     }
   }
   int failed = 0;
