--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -89,7 +89,7 @@
   } else if (IsPromise(response.result_int())) {
     const bool wants_room = error.kind == ErrorKind::kOverloaded && m_route &&
                             m_route->repeatability == Repeatability::kStream;
-    Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefWant;
+    Duration soonest = wants_room ? m_parts.capacity_queue.OnRefused() : kRetryAfterBriefWant;
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoRules;
     } else if (limits.all_at_limit) {
@@ -120,7 +120,7 @@
     std::exchange(m_connection, nullptr)->Close();
   }
   if (m_capacity_ticket != CapacityQueue::kNoTicket) {
-    m_parts.room.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
+    m_parts.capacity_queue.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
   }
   ReleaseReservations();
   m_parts.logger.Log(LogLevel::kInfo, "request_ended",
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -31,7 +31,8 @@
   const bool queues = m_route->repeatability == Repeatability::kStream;
   if (MayWait(AvailabilityUnderLimits(), queues, m_route->latency_objective)) {
     const TimePoint on_time_until = m_started_at + m_route->latency_objective / 2;
-    m_capacity_ticket = m_parts.room.Enter({m_route->priority, m_started_at, on_time_until});
+    m_capacity_ticket =
+        m_parts.capacity_queue.Enter({m_route->priority, m_started_at, on_time_until});
   }
   if (m_capacity_ticket == CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
@@ -53,7 +54,7 @@
   if (m_ended || !ChooseServer()) {
     return false;
   }
-  m_parts.room.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
+  m_parts.capacity_queue.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
   m_parts.logger.Log(
       LogLevel::kInfo, "request_waited_for_room",
       {{"request", m_facts.id}, {"waited_ms", Milliseconds(m_parts.clock.Now() - m_started_at)}});
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -80,7 +80,8 @@
     OnDeadline();
     return;
   }
-  if (m_capacity_ticket != CapacityQueue::kNoTicket && m_parts.room.IsOverdue(m_capacity_ticket)) {
+  if (m_capacity_ticket != CapacityQueue::kNoTicket &&
+      m_parts.capacity_queue.IsOverdue(m_capacity_ticket)) {
     RefuseForWantOfRoom();
     return;
   }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -144,7 +144,7 @@
     }
   }
   int failed = 0;
-  for (const std::uint64_t ticket : m_parts.room.OrderedTickets()) {
+  for (const std::uint64_t ticket : m_parts.capacity_queue.OrderedTickets()) {
     const auto exchange = waiting.find(ticket);
     if (exchange != waiting.end() && !exchange->second->TryToBegin() &&
         ++failed >= kMostFailedTries) {
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -41,7 +41,7 @@
   ServerLimits& limits;
   const PathFinder& paths;
   RecoveryChooser& recovery;
-  CapacityQueue& room;
+  CapacityQueue& capacity_queue;
   const DepartureSchedule& departures;
   InterDomainLinkMeter& link_meter;
   const PlainServerChooser& plain_servers;
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -92,7 +92,7 @@
   ServerConnectionPool m_connections;
   PathFinder m_paths;
   RecoveryChooser m_recovery;
-  CapacityQueue m_room;
+  CapacityQueue m_capacity_queue;
   DepartureSchedule m_departures;
   PlainServerChooser m_plain_servers;
   SharedRetryBudget m_retries;
