--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -30,9 +30,9 @@
 void ForwardExchange::WaitForRoom() {
   const bool queues = m_route->repeatability == Repeatability::kStream;
   if (MayWait(AvailabilityUnderLimits(), queues, m_route->latency_objective)) {
-    const TimePoint on_time_until = m_started_at + m_route->latency_objective / 2;
+    const TimePoint start_deadline = m_started_at + m_route->latency_objective / 2;
     m_capacity_ticket =
-        m_parts.capacity_queue.Enter({m_route->priority, m_started_at, on_time_until});
+        m_parts.capacity_queue.Enter({m_route->priority, m_started_at, start_deadline});
   }
   if (m_capacity_ticket == CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
