--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_capacity.cc
@@ -15,7 +15,7 @@
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/ports/metrics.h"
 
-// The part of ForwardExchange that waits for room, and heeds the limits that servers name.
+// The part of ForwardExchange that waits for capacity, and heeds the limits that servers name.
 
 namespace zinnia {
 namespace {
