--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -80,15 +80,15 @@
 }
 
 void ForwardingTraffic::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
-  for (const SlowdownReport& news : slow_servers) {
-    m_health.OnSlowdownReport(news);
+  for (const SlowdownReport& report : slow_servers) {
+    m_health.OnSlowdownReport(report);
   }
 }
 
 void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
-  for (const ServerLimitReport& news : limits) {
-    if (m_view->servers.contains(news.server) && m_limits.OnReport(news)) {
-      OnLimitHeard(news.server, kPeer);
+  for (const ServerLimitReport& report : limits) {
+    if (m_view->servers.contains(report.server) && m_limits.OnReport(report)) {
+      OnLimitHeard(report.server, kPeer);
     }
   }
 }
