--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -11,7 +11,7 @@
 
 TEST_GROUP(Mirror) {
   VirtualTime time;
-  HeldStore store{time};
+  FakeStore store{time};
   SilentLogger logger;
   RecordedMirror recorded;
   StoreMirror mirror{store, time, time, logger, {}};
@@ -100,7 +100,7 @@
 TEST(Mirror, SubstitutesSpreadFirstCalls) {
   StoreMirrorSettings settings;
   settings.spread_position = 0.5;
-  HeldStore unwatched_store{time};
+  FakeStore unwatched_store{time};
   StoreMirror delayed_mirror{unwatched_store, time, time, logger, settings};
   delayed_mirror.SetWatchRole(StoreWatchRole::kNone, 200);
   delayed_mirror.Start();
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -55,7 +55,7 @@
   };
 
   VirtualTime time;
-  HeldStore store{time};
+  FakeStore store{time};
   SilentLogger logger;
   Reader reader;
   Transport transport;
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -79,9 +79,9 @@
 }
 
 /** A store with a working compare-and-swap. Tests answer its watches one by one. */
-class HeldStore final : public PlatformStore {
+class FakeStore final : public PlatformStore {
  public:
-  explicit HeldStore(VirtualTime& time) : m_time(time) {}
+  explicit FakeStore(VirtualTime& time) : m_time(time) {}
 
   std::map<std::string, StoreRecord> records;
   std::uint64_t version = 1;
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -18,7 +18,7 @@
   };
 
   VirtualTime time;
-  HeldStore store{time};
+  FakeStore store{time};
   SilentLogger logger;
   Recorder recorder;
   InstanceDirectory instances{time, Instance{"self", {}, "k", "r", 1}};
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -59,7 +59,7 @@
   void OnPeerSlowdowns(const std::vector<SlowdownReport>&) override {}
   std::vector<ServerLimitReport> limits;
 
-  HeldStore store;
+  FakeStore store;
   SilentLogger logger;
   StoreMirror mirror;
   InstanceDirectory instances;
--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -53,7 +53,7 @@
   };
 
   VirtualTime time;
-  HeldStore store{time};
+  FakeStore store{time};
   SilentLogger logger;
   StoreMirror mirror{store, time, time, logger, {}};
   InstanceDirectory instances{time, MakeInstance("self", 1)};
