--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -12,7 +12,7 @@
 TEST_GROUP(Mirror) {
   VirtualTime time;
   FakeStore store{time};
-  SilentLogger logger;
+  RecordingLogger logger;
   RecordedMirror recorded;
   StoreMirror mirror{store, time, time, logger, {}};
 
@@ -172,7 +172,7 @@
 
 TEST_GROUP(Servers) {
   VirtualTime time;
-  SilentLogger logger;
+  RecordingLogger logger;
   ServerDirectory directory{time, logger};
   int changes = 0;
 
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -56,7 +56,7 @@
 
   VirtualTime time;
   FakeStore store{time};
-  SilentLogger logger;
+  RecordingLogger logger;
   Reader reader;
   Transport transport;
   RecordedOrders orders;
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -20,7 +20,7 @@
 
 namespace zinnia {
 
-struct SilentLogger final : Logger {
+struct RecordingLogger final : Logger {
   void Log(LogLevel, std::string_view event, std::initializer_list<LogField>) override {
     events.emplace_back(event);
   }
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -19,7 +19,7 @@
 
   VirtualTime time;
   FakeStore store{time};
-  SilentLogger logger;
+  RecordingLogger logger;
   Recorder recorder;
   InstanceDirectory instances{time, Instance{"self", {}, "k", "r", 1}};
   RecordedOrders orders;
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -60,7 +60,7 @@
   std::vector<ServerLimitReport> limits;
 
   FakeStore store;
-  SilentLogger logger;
+  RecordingLogger logger;
   StoreMirror mirror;
   InstanceDirectory instances;
   ReportExchange exchange;
--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -54,7 +54,7 @@
 
   VirtualTime time;
   FakeStore store{time};
-  SilentLogger logger;
+  RecordingLogger logger;
   StoreMirror mirror{store, time, time, logger, {}};
   InstanceDirectory instances{time, MakeInstance("self", 1)};
   Transport transport;
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -249,7 +249,7 @@
   static std::string Event(int id) { return fmt::format("id: {}\ndata: e{}\n\n", id, id); }
 
   SystemClock clock;
-  SilentLogger logger;
+  RecordingLogger logger;
   CountingMetrics metrics;
   TestCodec codec;
   TestEngineCalls calls;
