--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -13,7 +13,7 @@
   VirtualTime time;
   FakeStore store{time};
   RecordingLogger logger;
-  RecordedMirror recorded;
+  RecordingMirrorListener recorded;
   StoreMirror mirror{store, time, time, logger, {}};
 
   void setup() override {
@@ -139,7 +139,7 @@
   CHECK_FALSE(delta.complete);
   CHECK_EQUAL(2U, delta.records.size());
 
-  RecordedMirror other_recorded;
+  RecordingMirrorListener other_recorded;
   StoreMirror other{store, time, time, logger, {}};
   other.SetListener(&other_recorded);
   other.Merge(mirror.ChangesAfter(0));
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -195,7 +195,7 @@
 };
 
 /** Records the latest value of each key. */
-struct RecordedMirror final : MirrorListener {
+struct RecordingMirrorListener final : MirrorListener {
   void OnMirrorAdvanced() override { ++advances; }
   void OnMirroredRecord(const MirroredRecord& record) override {
     values[record.key] = record.value;
