--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -59,7 +59,7 @@
   RecordingLogger logger;
   Reader reader;
   Transport transport;
-  RecordedOrders orders;
+  RecordingLayerOrders orders;
   Recorder recorder;
   Sink sink;
   std::shared_ptr<const ForwardingView> view;
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -205,7 +205,7 @@
 };
 
 /** Records the last order for each server and answers with `answer`. */
-struct RecordedOrders final : LayerOrders {
+struct RecordingLayerOrders final : LayerOrders {
   void Place(const ServerEntry& server,
              LayerRange layers,
              std::uint64_t,
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -22,7 +22,7 @@
   RecordingLogger logger;
   Recorder recorder;
   InstanceDirectory instances{time, Instance{"self", {}, "k", "r", 1}};
-  RecordedOrders orders;
+  RecordingLayerOrders orders;
   OrderSettings settings;
   std::unique_ptr<LayerPlacer> placer;
   std::vector<ServerEntry> servers;
