--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -189,7 +189,7 @@
 };
 
 /** Reports unused connections to the servers in `servers`. */
-struct NamedConnections final : IdleConnections {
+struct FakeIdleConnections final : IdleConnections {
   bool HasIdle(const BackendServerName& server) const override { return servers.contains(server); }
   std::set<BackendServerName> servers;
 };
--- a/tests/forwarding/load_spreading_test.cc
+++ b/tests/forwarding/load_spreading_test.cc
@@ -52,7 +52,7 @@
     ServerLimits limits;
     InterDomainLinkMeter link_meter;
     RandomSource random;
-    NamedConnections connections;
+    FakeIdleConnections connections;
     PathFinder finder{loads, health, limits, link_meter, connections, random};
   };
   struct RunningRequest {
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -23,7 +23,7 @@
   ServerLimits limits{time, division, "self"};
   InterDomainLinkMeter link_meter{time};
   RandomSource random{1};
-  NamedConnections connections;
+  FakeIdleConnections connections;
   PathFinder finder{loads, health, limits, link_meter, connections, random};
   GenerationSize size{774, 200};
   std::vector<ServerEntry> servers = {
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -26,7 +26,7 @@
   ServerLimits limits{time, division, "self"};
   InterDomainLinkMeter link_meter{time};
   RandomSource random{1};
-  NamedConnections connections;
+  FakeIdleConnections connections;
   PathFinder finder{loads, health, limits, link_meter, connections, random};
   RecoveryChooser chooser{time, finder, loads, health};
   GenerationSize size{774, 200};
