--- a/packages/zinnia_adapters/fleet_news/news_client.cc
+++ b/packages/zinnia_adapters/fleet_news/report_client.cc
@@ -1,7 +1,7 @@
 // g++ 12 wrongly believes that kj::Maybe reads a Result that was never written.
 #pragma GCC diagnostic ignored "-Wmaybe-uninitialized"
 
-#include "zinnia_adapters/fleet_news/news_client.h"
+#include "zinnia_adapters/fleet_news/report_client.h"
 
 #include <capnp/rpc-twoparty.h>
 #include <kj/async-io.h>
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-class NewsClient::Impl final : private kj::TaskSet::ErrorHandler {
+class ReportClient::Impl final : private kj::TaskSet::ErrorHandler {
  public:
   Impl(kj::AsyncIoContext& io, const Clock& clock) : m_io(io), m_clock(clock), m_tasks(*this) {}
 
@@ -78,7 +78,7 @@
   kj::TaskSet m_tasks;
 };
 
-kj::Promise<SharedConnection> NewsClient::Impl::Connect(const NetworkAddress& address) {
+kj::Promise<SharedConnection> ReportClient::Impl::Connect(const NetworkAddress& address) {
   const SharedConnection kept = m_peers[address].connection;
   if (kept) {
     return kept;
@@ -98,9 +98,9 @@
       });
 }
 
-void NewsClient::Impl::Exchange(const NetworkAddress& address,
-                                const InstanceReport& report,
-                                std::function<void(Result<MirrorDelta>)> callback) {
+void ReportClient::Impl::Exchange(const NetworkAddress& address,
+                                  const InstanceReport& report,
+                                  std::function<void(Result<MirrorDelta>)> callback) {
   Peer& peer = m_peers[address];
   if (m_clock.Now() < peer.not_before || peer.in_flight >= kMostCallsInFlight) {
     m_tasks.add(kj::evalLater([callback = std::move(callback), address] {
@@ -137,14 +137,14 @@
                       }));
 }
 
-NewsClient::NewsClient(kj::AsyncIoContext& io, const Clock& clock)
+ReportClient::ReportClient(kj::AsyncIoContext& io, const Clock& clock)
     : m_impl(std::make_unique<Impl>(io, clock)) {}
 
-NewsClient::~NewsClient() = default;
+ReportClient::~ReportClient() = default;
 
-void NewsClient::Exchange(const NetworkAddress& peer,
-                          const InstanceReport& report,
-                          std::function<void(Result<MirrorDelta>)> callback) {
+void ReportClient::Exchange(const NetworkAddress& peer,
+                            const InstanceReport& report,
+                            std::function<void(Result<MirrorDelta>)> callback) {
   m_impl->Exchange(peer, report, std::move(callback));
 }
 
--- a/packages/zinnia_adapters/fleet_news/news_client.h
+++ b/packages/zinnia_adapters/fleet_news/report_client.h
@@ -11,13 +11,13 @@
 
 namespace zinnia {
 
-/** Sends news to peers by Cap'n Proto RPC, over one kept connection a peer. A connection on which a
-    call failed or took too long is dropped and made anew after a pause: it may have gone silent for
-    good. Lives on the control thread. */
-class NewsClient final : public ReportTransport {
+/** Sends reports to peers by Cap'n Proto RPC, over one kept connection a peer. A connection on
+   which a call failed or took too long is dropped and made anew after a pause: it may have gone
+   silent for good. Lives on the control thread. */
+class ReportClient final : public ReportTransport {
  public:
-  NewsClient(kj::AsyncIoContext& io, const Clock& clock);
-  ~NewsClient() override;
+  ReportClient(kj::AsyncIoContext& io, const Clock& clock);
+  ~ReportClient() override;
 
   void Exchange(const NetworkAddress& peer,
                 const InstanceReport& report,
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -8,8 +8,8 @@
 #include "platform/platform_codec.h"
 #include "platform/platform_store.h"
 #include "platform/record_reader.h"
-#include "zinnia_adapters/fleet_news/news_client.h"
 #include "zinnia_adapters/fleet_news/news_server.h"
+#include "zinnia_adapters/fleet_news/report_client.h"
 #include "zinnia_adapters/forwarding/forwarding_traffic.h"
 #include "zinnia_adapters/forwarding/text_server.h"
 #include "zinnia_adapters/http/http_client.h"
@@ -133,10 +133,10 @@
   std::promise<Result<void>> listening;
   m_control_thread->Post([&] {
     const std::uint64_t start = StartOf(m_clock);
-    m_news_client = std::make_unique<NewsClient>(m_control_thread->Io(), m_clock);
+    m_report_client = std::make_unique<ReportClient>(m_control_thread->Io(), m_clock);
     m_control = std::make_unique<ForwardingControl>(
         ForwardingControlParts{m_clock, *m_control_thread, m_platform->counted_store,
-                               m_platform->reader, *m_news_client, m_platform->control_engines,
+                               m_platform->reader, *m_report_client, m_platform->control_engines,
                                m_decisions, m_logger, *this, DescribeSelf(m_settings, start),
                                m_settings.seeds, m_settings.engines_check_fencing},
         [this](std::shared_ptr<const ForwardingView> view) {
@@ -280,7 +280,7 @@
       }
       m_news_server.reset();
       m_control.reset();
-      m_news_client.reset();
+      m_report_client.reset();
     });
   }
   if (m_traffic_thread) {
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -18,7 +18,7 @@
 class ForwardingControl;
 class ForwardingTraffic;
 class HttpClient;
-class NewsClient;
+class ReportClient;
 class NewsServer;
 class StandardOutputLogger;
 class TextServer;
@@ -84,7 +84,7 @@
   std::unique_ptr<TextServer> m_readiness;
   std::unique_ptr<TextServer> m_metrics_server;
   std::unique_ptr<ScheduledCall> m_upkeep;
-  std::unique_ptr<NewsClient> m_news_client;
+  std::unique_ptr<ReportClient> m_report_client;
   std::unique_ptr<ForwardingControl> m_control;
   std::unique_ptr<NewsServer> m_news_server;
 };
