--- a/packages/zinnia_adapters/fleet_news/news_server.cc
+++ b/packages/zinnia_adapters/fleet_news/report_server.cc
@@ -1,4 +1,4 @@
-#include "zinnia_adapters/fleet_news/news_server.h"
+#include "zinnia_adapters/fleet_news/report_server.h"
 
 #include <capnp/rpc-twoparty.h>
 #include <kj/async-io.h>
@@ -16,9 +16,9 @@
 /** Wait after a failed accept, which without it would spin while all descriptors are in use. */
 constexpr auto kAcceptPause = 100 * kj::MILLISECONDS;
 
-class NewsService final : public wire::FleetNews::Server {
+class ReportService final : public wire::FleetNews::Server {
  public:
-  explicit NewsService(ReportHandler& listener) : m_listener(listener) {}
+  explicit ReportService(ReportHandler& listener) : m_listener(listener) {}
 
   kj::Promise<void> exchange(ExchangeContext context) override {
     const MirrorDelta delta =
@@ -36,7 +36,7 @@
       : stream(kj::mv(accepted)),
         network(*stream, capnp::rpc::twoparty::Side::SERVER, PeerCallLimits()),
         rpc(capnp::makeRpcServer(network,
-                                 wire::FleetNews::Client(kj::heap<NewsService>(listener)))) {}
+                                 wire::FleetNews::Client(kj::heap<ReportService>(listener)))) {}
 
   kj::Own<kj::AsyncIoStream> stream;
   capnp::TwoPartyVatNetwork network;
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-class NewsServer::Impl final : private kj::TaskSet::ErrorHandler {
+class ReportServer::Impl final : private kj::TaskSet::ErrorHandler {
  public:
   Impl(kj::AsyncIoContext& io, kj::Own<kj::ConnectionReceiver> acceptor, ReportHandler& listener)
       : m_io(io), m_listener(listener), m_acceptor(kj::mv(acceptor)), m_tasks(*this) {
@@ -73,9 +73,9 @@
   kj::TaskSet m_tasks;
 };
 
-Result<std::unique_ptr<NewsServer>> NewsServer::Listen(kj::AsyncIoContext& io,
-                                                       const NetworkAddress& address,
-                                                       ReportHandler& listener) {
+Result<std::unique_ptr<ReportServer>> ReportServer::Listen(kj::AsyncIoContext& io,
+                                                           const NetworkAddress& address,
+                                                           ReportHandler& listener) {
   boost::system::error_code error;
   const auto ip = boost::asio::ip::make_address(address.ip, error);
   if (error) {
@@ -93,12 +93,12 @@
                                                       address.ToString() + ": " +
                                                       exception->getDescription().cStr());
   }
-  return std::unique_ptr<NewsServer>(
-      new NewsServer(std::make_unique<Impl>(io, kj::mv(acceptor), listener)));
+  return std::unique_ptr<ReportServer>(
+      new ReportServer(std::make_unique<Impl>(io, kj::mv(acceptor), listener)));
 }
 
-NewsServer::NewsServer(std::unique_ptr<Impl> impl) : m_impl(std::move(impl)) {}
+ReportServer::ReportServer(std::unique_ptr<Impl> impl) : m_impl(std::move(impl)) {}
 
-NewsServer::~NewsServer() = default;
+ReportServer::~ReportServer() = default;
 
 }  // namespace zinnia
--- a/packages/zinnia_apps/daemon/forwarding_daemon.cc
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.cc
@@ -8,8 +8,8 @@
 #include "platform/platform_codec.h"
 #include "platform/platform_store.h"
 #include "platform/record_reader.h"
-#include "zinnia_adapters/fleet_news/news_server.h"
 #include "zinnia_adapters/fleet_news/report_client.h"
+#include "zinnia_adapters/fleet_news/report_server.h"
 #include "zinnia_adapters/forwarding/forwarding_traffic.h"
 #include "zinnia_adapters/forwarding/text_server.h"
 #include "zinnia_adapters/http/http_client.h"
@@ -144,12 +144,12 @@
           m_traffic_thread->Post([this, view = std::move(view)] { m_traffic->SetView(view); });
         });
     auto server =
-        NewsServer::Listen(m_control_thread->Io(), m_settings.peer_address, m_control->Reports());
+        ReportServer::Listen(m_control_thread->Io(), m_settings.peer_address, m_control->Reports());
     if (!server) {
       listening.set_value(server.error());
       return;
     }
-    m_news_server = std::move(*server);
+    m_report_server = std::move(*server);
     m_control->Start();
     listening.set_value({});
   });
@@ -278,7 +278,7 @@
       if (m_control) {
         m_control->Stop();
       }
-      m_news_server.reset();
+      m_report_server.reset();
       m_control.reset();
       m_report_client.reset();
     });
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -19,7 +19,7 @@
 class ForwardingTraffic;
 class HttpClient;
 class ReportClient;
-class NewsServer;
+class ReportServer;
 class StandardOutputLogger;
 class TextServer;
 class TrafficThread;
@@ -86,7 +86,7 @@
   std::unique_ptr<ScheduledCall> m_upkeep;
   std::unique_ptr<ReportClient> m_report_client;
   std::unique_ptr<ForwardingControl> m_control;
-  std::unique_ptr<NewsServer> m_news_server;
+  std::unique_ptr<ReportServer> m_report_server;
 };
 
 }  // namespace zinnia
