--- a/packages/zinnia_adapters/fleet_news/report_client.cc
+++ b/packages/zinnia_adapters/fleet_news/report_client.cc
@@ -10,7 +10,7 @@
 #include <map>
 #include <utility>
 
-#include "zinnia_adapters/fleet_news/news_codec.h"
+#include "zinnia_adapters/fleet_news/report_codec.h"
 #include "zinnia_adapters/peers/peer_limits.h"
 
 namespace zinnia {
@@ -114,9 +114,9 @@
                 return Connect(address);
               }).then([report](SharedConnection connection) {
     auto request = connection->peer.exchangeRequest();
-    news_codec::Write(request.initReport(), report);
+    report_codec::Write(request.initReport(), report);
     return request.send()
-        .then([](auto&& answer) { return news_codec::Read(answer.getDelta()); })
+        .then([](auto&& answer) { return report_codec::Read(answer.getDelta()); })
         .attach(kj::cp(connection));
   });
   m_tasks.add(m_io.provider->getTimer()
--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/report_codec.cc
@@ -1,10 +1,10 @@
-#include "zinnia_adapters/fleet_news/news_codec.h"
+#include "zinnia_adapters/fleet_news/report_codec.h"
 
 #include <algorithm>
 #include <optional>
 #include <string>
 
-namespace zinnia::news_codec {
+namespace zinnia::report_codec {
 namespace {
 
 std::string ToText(capnp::Text::Reader text) {
@@ -178,4 +178,4 @@
   return delta;
 }
 
-}  // namespace zinnia::news_codec
+}  // namespace zinnia::report_codec
--- a/packages/zinnia_adapters/fleet_news/news_codec.h
+++ b/packages/zinnia_adapters/fleet_news/report_codec.h
@@ -5,11 +5,11 @@
 #include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
 
 /** Between the messages of fleet_news.capnp and the core's types. */
-namespace zinnia::news_codec {
+namespace zinnia::report_codec {
 
 void Write(wire::NewsReport::Builder to, const InstanceReport& report);
 InstanceReport Read(wire::NewsReport::Reader from);
 void Write(wire::NewsDelta::Builder to, const MirrorDelta& delta);
 MirrorDelta Read(wire::NewsDelta::Reader from);
 
-}  // namespace zinnia::news_codec
+}  // namespace zinnia::report_codec
--- a/packages/zinnia_adapters/fleet_news/report_server.cc
+++ b/packages/zinnia_adapters/fleet_news/report_server.cc
@@ -6,7 +6,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <utility>
 
-#include "zinnia_adapters/fleet_news/news_codec.h"
+#include "zinnia_adapters/fleet_news/report_codec.h"
 #include "zinnia_adapters/peers/peer_limits.h"
 #include "zinnia_decisions/ports/report_transport.h"
 
@@ -22,8 +22,8 @@
 
   kj::Promise<void> exchange(ExchangeContext context) override {
     const MirrorDelta delta =
-        m_listener.OnReport(news_codec::Read(context.getParams().getReport()));
-    news_codec::Write(context.getResults().initDelta(), delta);
+        m_listener.OnReport(report_codec::Read(context.getParams().getReport()));
+    report_codec::Write(context.getResults().initDelta(), delta);
     return kj::READY_NOW;
   }
 
--- a/tests/adapters/news_codec_test.cc
+++ b/tests/adapters/report_codec_test.cc
@@ -1,4 +1,4 @@
-#include "zinnia_adapters/fleet_news/news_codec.h"
+#include "zinnia_adapters/fleet_news/report_codec.h"
 
 #include <capnp/message.h>
 
@@ -8,11 +8,11 @@
 
 using std::chrono::milliseconds;
 
-TEST_GROUP(NewsCodec){static InstanceReport SendOver(const InstanceReport& report){
+TEST_GROUP(ReportCodec){static InstanceReport SendOver(const InstanceReport& report){
     capnp::MallocMessageBuilder message;
 auto written = message.initRoot<wire::NewsReport>();
-news_codec::Write(written, report);
-return news_codec::Read(written.asReader());
+report_codec::Write(written, report);
+return report_codec::Read(written.asReader());
 }  // namespace zinnia
 }
 ;
@@ -20,7 +20,7 @@
 // Symptom: on a fleet of equal machines every instance reads the store, 545 calls on a quiet day
 // instead of 268. Sequence: each knows its own size from its settings and the others' from news.
 // Cause: sizes rounded on the way, so that each takes itself for the largest.
-TEST(NewsCodec, SizesOfMachinesArriveAsTheyWere) {
+TEST(ReportCodec, SizesOfMachinesArriveAsTheyWere) {
   InstanceReport report;
   report.instance.name = "a";
   report.instance.failure_domain = "d";
@@ -29,7 +29,7 @@
   CHECK_TRUE(SendOver(report).instance == report.instance);
 }
 
-TEST(NewsCodec, AgesOfWordsArriveAndMayBeUnknown) {
+TEST(ReportCodec, AgesOfWordsArriveAndMayBeUnknown) {
   InstanceReport report;
   report.store_watcher_age = milliseconds(730);
   const InstanceReport read = SendOver(report);
@@ -37,7 +37,7 @@
   CHECK_FALSE(read.stable_store_age.has_value());
 }
 
-TEST(NewsCodec, LimitsOfServersAndTheirEndArrive) {
+TEST(ReportCodec, LimitsOfServersAndTheirEndArrive) {
   InstanceReport report;
   report.server_limits = {{"a", 11.2, milliseconds(40)}, {"b", std::nullopt, milliseconds(0)}};
   const InstanceReport read = SendOver(report);
@@ -49,16 +49,16 @@
 }
 
 // During an upgrade both versions run. An older one says of itself alone that it reads.
-TEST(NewsCodec, AnOlderVersionsWordCountsAsNew) {
+TEST(ReportCodec, AnOlderVersionsWordCountsAsNew) {
   capnp::MallocMessageBuilder message;
   auto older = message.initRoot<wire::NewsReport>();
   older.setIsReader(true);
-  const InstanceReport read = news_codec::Read(older.asReader());
+  const InstanceReport read = report_codec::Read(older.asReader());
   CHECK_EQUAL(0, read.store_watcher_age->count());
   CHECK_FALSE(read.stable_store_age.has_value());
 }
 
-TEST(NewsCodec, WhatAServerSaidOfItselfArrives) {
+TEST(ReportCodec, WhatAServerSaidOfItselfArrives) {
   InstanceReport report;
   report.server_states = {{"s", {20, 40}, false}, {"t", {}, true}};
   const InstanceReport read = SendOver(report);
@@ -69,7 +69,7 @@
   CHECK_TRUE(read.server_states[1].leaving);
 }
 
-TEST(NewsCodec, SumsArriveByFailureDomain) {
+TEST(ReportCodec, SumsArriveByFailureDomain) {
   InstanceReport report;
   report.domain_uses["x"]["s"] = {3, 12.5, 1};
   CHECK_TRUE(SendOver(report).domain_uses == report.domain_uses);
