--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "zinnia_base/time/virtual_time.h"
-#include "zinnia_decisions/forwarding/beliefs/beliefs.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/observed_state.h"
 #include "zinnia_decisions/forwarding/paths/paths.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
 
--- a/packages/zinnia_adapters/fleet_news/report_codec.h
+++ b/packages/zinnia_adapters/fleet_news/report_codec.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "zinnia_adapters/fleet_news/fleet_news.capnp.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
-#include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_report.h"
+#include "zinnia_decisions/forwarding/observed_state/mirrored_record.h"
 
 /** Between the messages of fleet_news.capnp and the core's types. */
 namespace zinnia::report_codec {
--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -14,9 +14,9 @@
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/retries/shared_retry_budget.h"
 #include "zinnia_decisions/ports/metrics.h"
 
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -12,8 +12,8 @@
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 // The part of ForwardExchange that ends a request: what its caller gets, and when to come back.
--- a/packages/zinnia_adapters/forwarding/forward_exchange_capacity.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_capacity.cc
@@ -10,9 +10,9 @@
 #include "zinnia_adapters/forwarding/log_text.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 // The part of ForwardExchange that waits for capacity, and heeds the limits that servers name.
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -7,8 +7,8 @@
 #include "zinnia_adapters/http/listening_socket.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 namespace zinnia {
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "zinnia_base/random/random_source.h"
-#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
+#include "zinnia_decisions/forwarding/observed_state/server_state_report.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -3,7 +3,7 @@
 #include <memory>
 #include <utility>
 
-#include "zinnia_decisions/forwarding/beliefs/probe_round.h"
+#include "zinnia_decisions/forwarding/observed_state/probe_round.h"
 
 namespace zinnia {
 
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -10,7 +10,7 @@
 #include "zinnia_adapters/settings/forwarding_settings.h"
 #include "zinnia_base/errors/result.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
+#include "zinnia_decisions/forwarding/observed_state/report_exchange.h"
 
 namespace zinnia {
 
--- a/packages/zinnia_decisions/forwarding/forwarding_control.h
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.h
@@ -7,13 +7,13 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
-#include "zinnia_decisions/forwarding/beliefs/server_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
 #include "zinnia_decisions/forwarding/limits/recent_instances.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_registration.h"
+#include "zinnia_decisions/forwarding/observed_state/report_exchange.h"
+#include "zinnia_decisions/forwarding/observed_state/server_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 #include "zinnia_decisions/orders/order_role.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
+++ b/packages/zinnia_decisions/forwarding/limits/limit_availability.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/forwarding/limits/server_limits.cc
+++ b/packages/zinnia_decisions/forwarding/limits/server_limits.cc
@@ -6,8 +6,8 @@
 #include <limits>
 #include <utility>
 
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_division.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_directory.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/instance_directory.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
 
 #include <utility>
 
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_registration.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/instance_registration.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_registration.h"
 
 #include <boost/json.hpp>
 #include <utility>
--- a/packages/zinnia_decisions/forwarding/beliefs/instance_report.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/instance_report.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
-#include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
 #include "zinnia_decisions/forwarding/limits/server_limit_report.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_state_report.h"
+#include "zinnia_decisions/forwarding/observed_state/slowdown_report.h"
 #include "zinnia_world/fleet/instance.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
 
 #include <cmath>
 
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/load_tracker.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
 
 #include <algorithm>
 #include <cassert>
--- a/packages/zinnia_decisions/forwarding/beliefs/load_tracker.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/load_tracker.h
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/server_use.h"
+#include "zinnia_decisions/forwarding/observed_state/server_use.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/member_loads.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/member_loads.h"
+#include "zinnia_decisions/forwarding/observed_state/member_loads.h"
 
 #include <algorithm>
 #include <utility>
--- a/packages/zinnia_decisions/forwarding/beliefs/member_loads.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/member_loads.h
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/prefill_backlog.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/prefill_backlog.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
+#include "zinnia_decisions/forwarding/observed_state/prefill_backlog.h"
 
 #include <algorithm>
 
--- a/packages/zinnia_decisions/forwarding/beliefs/probe_round.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/probe_round.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/probe_round.h"
+#include "zinnia_decisions/forwarding/observed_state/probe_round.h"
 
 #include <cassert>
 
--- a/packages/zinnia_decisions/forwarding/beliefs/relay_directory.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/relay_directory.cc
@@ -1,10 +1,10 @@
-#include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/relay_directory.h"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/report_exchange.cc
@@ -1,11 +1,11 @@
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
+#include "zinnia_decisions/forwarding/observed_state/report_exchange.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/server_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/server_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 #include "zinnia_decisions/once/alive_guard.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/report_exchange.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/report_exchange.h
@@ -9,9 +9,9 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
-#include "zinnia_decisions/forwarding/beliefs/member_loads.h"
-#include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_report.h"
+#include "zinnia_decisions/forwarding/observed_state/member_loads.h"
+#include "zinnia_decisions/forwarding/observed_state/relay_directory.h"
 #include "zinnia_decisions/ports/report_transport.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/server_directory.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/server_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/server_directory.h"
 
 #include <fmt/format.h>
 
--- a/packages/zinnia_decisions/forwarding/beliefs/server_directory.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/server_directory.h
@@ -9,7 +9,7 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/server_state_report.h"
+#include "zinnia_decisions/forwarding/observed_state/server_state_report.h"
 #include "zinnia_world/forwarding/server_entry.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/server_health.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/zinnia_decisions/forwarding/beliefs/server_health.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/server_health.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/slowdown_report.h"
+#include "zinnia_decisions/forwarding/observed_state/slowdown_report.h"
 #include "zinnia_world/names/names.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/beliefs/silence_detector.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/silence_detector.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
+#include "zinnia_decisions/forwarding/observed_state/silence_detector.h"
 
 #include <algorithm>
 #include <map>
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.cc
+++ b/packages/zinnia_decisions/forwarding/observed_state/store_mirror.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 
 #include <algorithm>
 #include <array>
--- a/packages/zinnia_decisions/forwarding/beliefs/store_mirror.h
+++ b/packages/zinnia_decisions/forwarding/observed_state/store_mirror.h
@@ -10,7 +10,7 @@
 
 #include "zinnia_base/time/clock.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
+#include "zinnia_decisions/forwarding/observed_state/mirrored_record.h"
 #include "zinnia_decisions/ports/platform_store.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -5,11 +5,11 @@
 #include <limits>
 #include <map>
 
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/forwarding/paths/prefill_time.h"
--- a/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/plain_server_chooser.cc
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <limits>
 
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.cc
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/prefill_time.h"
 
 namespace zinnia {
--- a/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
+++ b/packages/zinnia_decisions/forwarding/paths/recovery_chooser.h
@@ -3,7 +3,7 @@
 #include <optional>
 #include <set>
 
-#include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
+#include "zinnia_decisions/forwarding/observed_state/prefill_backlog.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_world/forwarding/path_part.h"
 #include "zinnia_world/names/names.h"
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
 #include "zinnia_decisions/orders/order_role.h"
 #include "zinnia_world/fleet/layer_range.h"
--- a/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
+++ b/packages/zinnia_decisions/forwarding/retries/shared_retry_budget.cc
@@ -1,6 +1,6 @@
 #include "zinnia_decisions/forwarding/retries/shared_retry_budget.h"
 
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/ports/report_transport.h
+++ b/packages/zinnia_decisions/ports/report_transport.h
@@ -3,8 +3,8 @@
 #include <functional>
 
 #include "zinnia_base/errors/result.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
-#include "zinnia_decisions/forwarding/beliefs/mirrored_record.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_report.h"
+#include "zinnia_decisions/forwarding/observed_state/mirrored_record.h"
 #include "zinnia_world/fleet/network_address.h"
 
 namespace zinnia {
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/server_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/server_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -12,8 +12,8 @@
 
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_base/time/virtual_time.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 #include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/ports/layer_orders.h"
 #include "zinnia_decisions/ports/platform_store.h"
--- a/tests/forwarding/limits_test.cc
+++ b/tests/forwarding/limits_test.cc
@@ -10,7 +10,7 @@
 
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_base/random/random_source.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/tests/forwarding/load_spreading_test.cc
+++ b/tests/forwarding/load_spreading_test.cc
@@ -1,9 +1,9 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_base/decisions/decision_record.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
 #include "zinnia_decisions/forwarding/placement/layer_placer.h"
 
 #include <algorithm>
--- a/tests/forwarding/relays_test.cc
+++ b/tests/forwarding/relays_test.cc
@@ -1,9 +1,9 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/member_loads.h"
-#include "zinnia_decisions/forwarding/beliefs/relay_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/member_loads.h"
+#include "zinnia_decisions/forwarding/observed_state/relay_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/report_exchange.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 
 #include <algorithm>
 
--- a/tests/forwarding/report_exchange_test.cc
+++ b/tests/forwarding/report_exchange_test.cc
@@ -1,8 +1,8 @@
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
+#include "zinnia_decisions/forwarding/observed_state/report_exchange.h"
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_registration.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_registration.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 
 #include <CppUTest/TestHarness.h>
 
