--- a/bench/forward_choice/main.cc
+++ b/bench/forward_choice/main.cc
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "zinnia_base/time/virtual_time.h"
-#include "zinnia_decisions/forwarding/beliefs/beliefs.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/observed_state.h"
 #include "zinnia_decisions/forwarding/paths/paths.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
 
@@ -71,10 +71,10 @@
   ServerHealth health(time);
   const RendezvousLimitDivision division;
   const ServerLimits limits(time, division, "self");
-  InterDomainLinkMeter pipe(time);
+  InterDomainLinkMeter link_meter(time);
   RandomSource random(1);
   const NoConnections connections;
-  const PathFinder paths(loads, health, limits, pipe, connections, random);
+  const PathFinder paths(loads, health, limits, link_meter, connections, random);
   RecoveryChooser recovery(time, paths, loads, health);
   std::vector<ServerEntry> servers;
   servers.reserve(engines);
--- a/packages/zinnia_adapters/fleet_news/news_codec.cc
+++ b/packages/zinnia_adapters/fleet_news/report_codec.cc
@@ -1,10 +1,10 @@
-#include "zinnia_adapters/fleet_news/news_codec.h"
+#include "zinnia_adapters/fleet_news/report_codec.h"
 
 #include <algorithm>
 #include <optional>
 #include <string>
 
-namespace zinnia::news_codec {
+namespace zinnia::report_codec {
 namespace {
 
 std::string ToText(capnp::Text::Reader text) {
@@ -43,7 +43,7 @@
     row.setServer(server);
     row.setRequests(use.requests);
     row.setTokenLayers(use.token_layers);
-    row.setBegun(use.begun);
+    row.setBegun(use.first_stage_requests);
   }
 }
 
@@ -178,4 +178,4 @@
   return delta;
 }
 
-}  // namespace zinnia::news_codec
+}  // namespace zinnia::report_codec
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -14,8 +14,8 @@
 #include "zinnia_adapters/forwarding/message_codec.h"
 #include "zinnia_adapters/forwarding/server_answer_listener.h"
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
 #include "zinnia_decisions/forwarding/event_splitter.h"
+#include "zinnia_decisions/forwarding/observed_state/silence_detector.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/retries/retry_policy.h"
 #include "zinnia_decisions/forwarding/streams/event_interval_tracker.h"
@@ -51,8 +51,8 @@
 
   void Tick();
 
-  /** The ticket with which it waits for room; CapacityQueue::kNoTicket if it does not. */
-  std::uint64_t RoomTicket() const { return m_room_ticket; }
+  /** The ticket with which it waits for capacity; CapacityQueue::kNoTicket if it does not. */
+  std::uint64_t CapacityTicket() const { return m_capacity_ticket; }
 
   /** Begins if there is room now. Only for requests that wait for it. */
   bool TryToBegin();
@@ -87,7 +87,7 @@
   void Begin();
   void WaitForRoom();
   void RefuseForWantOfRoom();
-  LimitAvailability OutlookOfLimits() const;
+  LimitAvailability AvailabilityUnderLimits() const;
   void LogServersAtLimit();
   std::optional<Error> FindRoute();
   ServiceName ChooseService();
@@ -163,12 +163,12 @@
   EventSplitter m_events;
   bool m_is_streaming = false;    // The present answer is a stream.
   bool m_stream_started = false;  // The caller has the head of a stream.
-  EventIntervalTracker m_rhythm;
+  EventIntervalTracker m_event_intervals;
 
   /** The configuration is not known yet. */
   bool m_awaits_rules = false;
 
-  std::uint64_t m_room_ticket = 0;
+  std::uint64_t m_capacity_ticket = 0;
 
   /** Whether an event came over the present path. */
   bool m_path_proved = false;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -12,8 +12,8 @@
 #include "zinnia_adapters/services/header_filter.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 // The part of ForwardExchange that ends a request: what its caller gets, and when to come back.
@@ -81,7 +81,7 @@
 
 void ForwardExchange::Answer(const Error& error) {
   CallerResponse response = MakeProblemResponse(error);
-  const LimitAvailability limits = OutlookOfLimits();
+  const LimitAvailability limits = AvailabilityUnderLimits();
   if (error.was_run == WasRun::kUnknown) {
     response.result(error.kind == ErrorKind::kBackendTimeout ? http::status::gateway_timeout
                                                              : http::status::bad_gateway);
@@ -89,7 +89,7 @@
   } else if (IsPromise(response.result_int())) {
     const bool wants_room = error.kind == ErrorKind::kOverloaded && m_route &&
                             m_route->repeatability == Repeatability::kStream;
-    Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefWant;
+    Duration soonest = wants_room ? m_parts.capacity_queue.OnRefused() : kRetryAfterBriefWant;
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoRules;
     } else if (limits.all_at_limit) {
@@ -119,8 +119,8 @@
   if (m_connection) {
     std::exchange(m_connection, nullptr)->Close();
   }
-  if (m_room_ticket != CapacityQueue::kNoTicket) {
-    m_parts.room.Leave(std::exchange(m_room_ticket, CapacityQueue::kNoTicket));
+  if (m_capacity_ticket != CapacityQueue::kNoTicket) {
+    m_parts.capacity_queue.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
   }
   ReleaseReservations();
   m_parts.logger.Log(LogLevel::kInfo, "request_ended",
@@ -128,14 +128,14 @@
                       {"outcome", std::string(outcome)},
                       {"server", m_server},
                       {"first_event_ms", Milliseconds(m_first_event_after)},
-                      {"longest_gap_ms", Milliseconds(m_rhythm.LongestInterval())},
+                      {"longest_gap_ms", Milliseconds(m_event_intervals.LongestInterval())},
                       {"last_event", std::to_string(m_events.LastEventId().value_or(0))},
                       {"ms", Milliseconds(m_parts.clock.Now() - m_started_at)}});
   m_on_end(*this);
 }
 
 void ForwardExchange::OnDeadline() {
-  if (m_room_ticket != CapacityQueue::kNoTicket) {
+  if (m_capacity_ticket != CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
     return;
   }
@@ -154,7 +154,7 @@
   if (m_stream_started) {
     m_responder->CutOff();
     End("instance_stops");
-  } else if (m_awaits_rules || m_room_ticket != CapacityQueue::kNoTicket) {
+  } else if (m_awaits_rules || m_capacity_ticket != CapacityQueue::kNoTicket) {
     Answer(NotRun(ErrorKind::kStoreUnavailable, "this instance stops"));
   } else {
     Answer(PerhapsRun(ErrorKind::kBackendUnavailable,
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_capacity.cc
@@ -10,12 +10,12 @@
 #include "zinnia_adapters/forwarding/log_text.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/ports/metrics.h"
 
-// The part of ForwardExchange that waits for room, and heeds the limits that servers name.
+// The part of ForwardExchange that waits for capacity, and heeds the limits that servers name.
 
 namespace zinnia {
 namespace {
@@ -29,23 +29,24 @@
     its limit is worth waiting for. */
 void ForwardExchange::WaitForRoom() {
   const bool queues = m_route->repeatability == Repeatability::kStream;
-  if (MayWait(OutlookOfLimits(), queues, m_route->latency_objective)) {
-    const TimePoint on_time_until = m_started_at + m_route->latency_objective / 2;
-    m_room_ticket = m_parts.room.Enter({m_route->priority, m_started_at, on_time_until});
+  if (MayWait(AvailabilityUnderLimits(), queues, m_route->latency_objective)) {
+    const TimePoint start_deadline = m_started_at + m_route->latency_objective / 2;
+    m_capacity_ticket =
+        m_parts.capacity_queue.Enter({m_route->priority, m_started_at, start_deadline});
   }
-  if (m_room_ticket == CapacityQueue::kNoTicket) {
+  if (m_capacity_ticket == CapacityQueue::kNoTicket) {
     RefuseForWantOfRoom();
   }
 }
 
 void ForwardExchange::RefuseForWantOfRoom() {
-  const bool is_limit = OutlookOfLimits().all_at_limit;
+  const bool is_limit = AvailabilityUnderLimits().all_at_limit;
   Answer(NotRun(ErrorKind::kOverloaded,
                 is_limit ? "every server of " + m_service + " has as many requests as it takes"
                          : "no server of " + m_service + " has room"));
 }
 
-LimitAvailability ForwardExchange::OutlookOfLimits() const {
+LimitAvailability ForwardExchange::AvailabilityUnderLimits() const {
   return FindLimitAvailability(*m_parts.view(), m_service, m_avoided, m_parts.limits);
 }
 
@@ -53,7 +54,7 @@
   if (m_ended || !ChooseServer()) {
     return false;
   }
-  m_parts.room.Leave(std::exchange(m_room_ticket, CapacityQueue::kNoTicket));
+  m_parts.capacity_queue.Leave(std::exchange(m_capacity_ticket, CapacityQueue::kNoTicket));
   m_parts.logger.Log(
       LogLevel::kInfo, "request_waited_for_room",
       {{"request", m_facts.id}, {"waited_ms", Milliseconds(m_parts.clock.Now() - m_started_at)}});
@@ -63,16 +64,16 @@
 
 /** Who asks why a request went elsewhere finds the servers that it was kept from. */
 void ForwardExchange::LogServersAtLimit() {
-  const std::vector<BackendServerName> closed = OutlookOfLimits().at_limit;
-  if (closed.empty()) {
+  const std::vector<BackendServerName> at_limit = AvailabilityUnderLimits().at_limit;
+  if (at_limit.empty()) {
     return;
   }
-  const auto end = closed.begin() + std::min<std::ptrdiff_t>(std::ssize(closed), kMostNamed);
+  const auto end = at_limit.begin() + std::min<std::ptrdiff_t>(std::ssize(at_limit), kMostNamed);
   m_parts.metrics.Count("requests_past_server_limits");
   m_parts.logger.Log(LogLevel::kInfo, "servers_at_limit",
                      {{"request", m_facts.id},
-                      {"count", std::to_string(closed.size())},
-                      {"servers", fmt::format("{}", fmt::join(closed.begin(), end, ","))}});
+                      {"count", std::to_string(at_limit.size())},
+                      {"servers", fmt::format("{}", fmt::join(at_limit.begin(), end, ","))}});
 }
 
 /** 421 may come from another server that got the address. That there is no limit any more is
--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -4,10 +4,10 @@
 
 #include "zinnia_adapters/forwarding/forward_exchange.h"
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/plain_server_chooser.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
@@ -77,7 +77,7 @@
 
 bool ForwardExchange::ChoosePath() {
   const auto view = m_parts.view();
-  if (m_rhythm.HasBegun()) {
+  if (m_event_intervals.HasBegun()) {
     const auto recovery =
         m_parts.recovery.Choose(*view, m_service, ExpectedSize(), {}, m_avoided, true);
     if (recovery) {
@@ -95,7 +95,7 @@
 }
 
 void ForwardExchange::TakePath(const FoundPath& found) {
-  m_parts.pipe.Add(found.link_ms);
+  m_parts.link_meter.Add(found.link_ms);
   m_path = found.path;
   m_server = m_path.front().server;
   m_server_address = m_path.front().address;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -11,10 +11,10 @@
 #include "zinnia_base/errors/error.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
 #include "zinnia_decisions/forwarding/retries/shared_retry_budget.h"
 #include "zinnia_decisions/forwarding/streams/departure_schedule.h"
@@ -80,7 +80,8 @@
     OnDeadline();
     return;
   }
-  if (m_room_ticket != CapacityQueue::kNoTicket && m_parts.room.IsOverdue(m_room_ticket)) {
+  if (m_capacity_ticket != CapacityQueue::kNoTicket &&
+      m_parts.capacity_queue.IsOverdue(m_capacity_ticket)) {
     RefuseForWantOfRoom();
     return;
   }
@@ -95,7 +96,7 @@
 
 void ForwardExchange::CheckSilence() {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
-  const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_rhythm.HasBegun());
+  const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_event_intervals.HasBegun());
   if (m_last_progress > m_asked_at) {
     m_looks = 0;
   }
@@ -122,7 +123,7 @@
 void ForwardExchange::OnReport(const Result<EngineReport>& report) {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const SilencePolicy policy(*m_route);
-  if (silent < policy.ProbeAfter(m_rhythm.HasBegun()) || !m_connection) {
+  if (silent < policy.ProbeAfter(m_event_intervals.HasBegun()) || !m_connection) {
     return;
   }
   if (!report) {
@@ -131,7 +132,7 @@
                         {"server", m_server},
                         {"reason", zinnia::Describe(report.error())}});
     // One report may be lost to a full connection table; the stream's own silence must agree.
-    const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
+    const bool is_long = silent >= policy.AbandonAfter(m_event_intervals.HasBegun());
     if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
       m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
@@ -159,10 +160,10 @@
 }
 
 std::optional<StreamProgress> ForwardExchange::Progress() const {
-  if (m_ended || !m_connection || !m_rhythm.HasBegun() || m_rerouting || m_path.empty()) {
+  if (m_ended || !m_connection || !m_event_intervals.HasBegun() || m_rerouting || m_path.empty()) {
     return std::nullopt;
   }
-  return StreamProgress{&m_path, m_last_progress, m_rhythm.MeanInterval()};
+  return StreamProgress{&m_path, m_last_progress, m_event_intervals.MeanInterval()};
 }
 
 void ForwardExchange::OnServersStalled(const std::vector<BackendServerName>& servers) {
@@ -279,7 +280,8 @@
     tokens_per_event = std::max(1.0, service->second.engine->steps_per_pass);
   }
   const double events = ExpectedSize().answer_tokens / tokens_per_event;
-  m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedRemaining(events));
+  m_move_at =
+      m_parts.departures.MoveAt(m_parts.clock.Now(), m_event_intervals.ExpectedRemaining(events));
 }
 
 /** Best called after an event: moved right then, a stream has the whole allowed pause for it. */
@@ -300,7 +302,7 @@
   const auto view = m_parts.view();
   const auto recovery = m_parts.recovery.Choose(*view, m_service, ExpectedSize(), m_path, {},
                                                 is_broken && MayStartAgain());
-  if (recovery && recovery->keeps_first) {
+  if (recovery && recovery->keeps_first_server) {
     ChangePath(recovery->found, reason);
     return;
   }
@@ -321,7 +323,7 @@
   SendHistory history = m_history;
   history.time_left = TimeLeft() > Duration::zero();
   history.has_alternative = true;
-  return m_rhythm.HasBegun() &&
+  return m_event_intervals.HasBegun() &&
          DecideNextStep(*m_route, SendOutcome::kUnknown, history) == NextStep::kSendAgain;
 }
 
@@ -348,7 +350,7 @@
 
 void ForwardExchange::ChangePath(const FoundPath& found, std::string_view reason) {
   LogMove("request_rerouted", found.path, reason);
-  m_parts.pipe.Add(found.link_ms);
+  m_parts.link_meter.Add(found.link_ms);
   m_rerouting = true;
   const std::uint64_t change = ++m_path_changes;
   m_parts.engine_calls.Reroute(
@@ -371,7 +373,7 @@
   }
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   if (m_connection && m_failed_reroutes >= kReroutesBeforeLeaving &&
-      silent >= SilencePolicy(*m_route).AbandonAfter(m_rhythm.HasBegun())) {
+      silent >= SilencePolicy(*m_route).AbandonAfter(m_event_intervals.HasBegun())) {
     AbandonServer("the path could not be changed");
   }
 }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -7,8 +7,8 @@
 #include "zinnia_adapters/http/listening_socket.h"
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/ports/metrics.h"
 
 namespace zinnia {
@@ -36,7 +36,7 @@
 constexpr double kAsksOfFleet = 4.0;
 
 /** Suspects are looked through once in so many ticks. */
-constexpr std::uint64_t kTicksBetweenSuspects = 10;
+constexpr std::uint64_t kTicksBetweenProbes = 10;
 
 /** How long a server that answered no probe gets no requests, until engines' reports confirm it. */
 constexpr Duration kDeadExclusion = std::chrono::milliseconds(1'500);
@@ -123,8 +123,8 @@
                            m_parts.report_stalled(dead);
                          });
   }
-  if (m_ticks % kTicksBetweenSuspects == 0) {
-    AskSuspects();
+  if (m_ticks % kTicksBetweenProbes == 0) {
+    ProbeSuspects();
   }
   if (m_ticks % kTicksBetweenPaces == 0) {
     AskSlowServersAgain();
@@ -139,12 +139,12 @@
 void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
-    if (exchange->RoomTicket() != CapacityQueue::kNoTicket) {
-      waiting[exchange->RoomTicket()] = exchange.get();
+    if (exchange->CapacityTicket() != CapacityQueue::kNoTicket) {
+      waiting[exchange->CapacityTicket()] = exchange.get();
     }
   }
   int failed = 0;
-  for (const std::uint64_t ticket : m_parts.room.OrderedTickets()) {
+  for (const std::uint64_t ticket : m_parts.capacity_queue.OrderedTickets()) {
     const auto exchange = waiting.find(ticket);
     if (exchange != waiting.end() && !exchange->second->TryToBegin() &&
         ++failed >= kMostFailedTries) {
@@ -173,7 +173,7 @@
 
 /** A question costs a call; a caller's request at a dead server costs its objective. Plain servers
     have no such call, and take the next request. */
-void ForwardServer::AskSuspects() {
+void ForwardServer::ProbeSuspects() {
   const auto view = m_parts.view();
   for (const BackendServerName& name : m_parts.health.TakeSuspectsToProbe()) {
     const auto server = view->servers.find(name);
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -26,11 +26,11 @@
       m_loads(m_parts.clock),
       m_health(m_parts.clock),
       m_limits(m_parts.clock, m_limit_division, m_parts.own_name),
-      m_pipe(m_parts.clock),
+      m_link_meter(m_parts.clock),
       m_connections(thread.Loop(), m_parts.clock),
-      m_paths(m_loads, m_health, m_limits, m_pipe, m_connections, m_random),
+      m_paths(m_loads, m_health, m_limits, m_link_meter, m_connections, m_random),
       m_recovery(m_parts.clock, m_paths, m_loads, m_health),
-      m_room(m_parts.clock),
+      m_capacity_queue(m_parts.clock),
       m_departures(m_random, m_parts.departure_notice),
       m_plain_servers(m_loads, m_health, m_limits, m_random),
       m_retries(m_parts.clock, m_parts.retry_budget),
@@ -53,9 +53,9 @@
           m_limits,
           m_paths,
           m_recovery,
-          m_room,
+          m_capacity_queue,
           m_departures,
-          m_pipe,
+          m_link_meter,
           m_plain_servers,
           m_retries,
           m_connections,
@@ -80,15 +80,15 @@
 }
 
 void ForwardingTraffic::OnPeerSlowdowns(const std::vector<SlowdownReport>& slow_servers) {
-  for (const SlowdownReport& news : slow_servers) {
-    m_health.OnSlowdownReport(news);
+  for (const SlowdownReport& report : slow_servers) {
+    m_health.OnSlowdownReport(report);
   }
 }
 
 void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
-  for (const ServerLimitReport& news : limits) {
-    if (m_view->servers.contains(news.server) && m_limits.OnReport(news)) {
-      OnLimitHeard(news.server, kPeer);
+  for (const ServerLimitReport& report : limits) {
+    if (m_view->servers.contains(report.server) && m_limits.OnReport(report)) {
+      OnLimitHeard(report.server, kPeer);
     }
   }
 }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -11,13 +11,13 @@
 #include "zinnia_adapters/forwarding/stall_inquiry.h"
 #include "zinnia_base/errors/result.h"
 #include "zinnia_decisions/forwarding/admission/capacity_queue.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_report.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_report.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/plain_server_chooser.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
@@ -88,11 +88,11 @@
   ServerHealth m_health;
   RendezvousLimitDivision m_limit_division;
   ServerLimits m_limits;
-  InterDomainLinkMeter m_pipe;
+  InterDomainLinkMeter m_link_meter;
   ServerConnectionPool m_connections;
   PathFinder m_paths;
   RecoveryChooser m_recovery;
-  CapacityQueue m_room;
+  CapacityQueue m_capacity_queue;
   DepartureSchedule m_departures;
   PlainServerChooser m_plain_servers;
   SharedRetryBudget m_retries;
--- a/packages/zinnia_apps/daemon/forwarding_daemon.h
+++ b/packages/zinnia_apps/daemon/forwarding_daemon.h
@@ -10,7 +10,7 @@
 #include "zinnia_adapters/settings/forwarding_settings.h"
 #include "zinnia_base/errors/result.h"
 #include "zinnia_base/time/scheduler.h"
-#include "zinnia_decisions/forwarding/beliefs/report_exchange.h"
+#include "zinnia_decisions/forwarding/observed_state/report_exchange.h"
 
 namespace zinnia {
 
@@ -18,8 +18,8 @@
 class ForwardingControl;
 class ForwardingTraffic;
 class HttpClient;
-class NewsClient;
-class NewsServer;
+class ReportClient;
+class ReportServer;
 class StandardOutputLogger;
 class TextServer;
 class TrafficThread;
@@ -84,9 +84,9 @@
   std::unique_ptr<TextServer> m_readiness;
   std::unique_ptr<TextServer> m_metrics_server;
   std::unique_ptr<ScheduledCall> m_upkeep;
-  std::unique_ptr<NewsClient> m_news_client;
+  std::unique_ptr<ReportClient> m_report_client;
   std::unique_ptr<ForwardingControl> m_control;
-  std::unique_ptr<NewsServer> m_news_server;
+  std::unique_ptr<ReportServer> m_report_server;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/forwarding/paths/path_finder.cc
+++ b/packages/zinnia_decisions/forwarding/paths/path_finder.cc
@@ -5,11 +5,11 @@
 #include <limits>
 #include <map>
 
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/forwarding/paths/prefill_time.h"
@@ -319,7 +319,7 @@
 }
 
 bool IsNearlyFull(const EngineProfile& engine, const ServerEntry& server, const ServerUse& use) {
-  return use.begun >= server.most_requests * kNearlyFull ||
+  return use.first_stage_requests >= server.most_requests * kNearlyFull ||
          use.token_layers >= TokenLayerCapacity(engine, server) * kNearlyFull;
 }
 
@@ -387,7 +387,8 @@
   candidate.free_token_layers =
       TokenLayerCapacity(engine, server) * kMaxReservedShare - use.token_layers;
   candidate.can_start_request =
-      use.begun < server.most_requests * kMaxStartedShare && m_limits.MaySend(server.name);
+      use.first_stage_requests < server.most_requests * kMaxStartedShare &&
+      m_limits.MaySend(server.name);
   candidate.first_event_delay_ms = Milliseconds(m_health.FirstEventDelay(server.name));
   candidate.has_connection = server.layers.first == 0 && m_connections.HasIdle(server.name);
   return candidate;
@@ -436,7 +437,7 @@
                                                 const GenerationSize& size,
                                                 const SearchSpace& space,
                                                 const std::optional<PathPart>& first) const {
-  const double link_use = m_link.OwnUtilization() * static_cast<double>(view.live_instances);
+  const double link_use = m_link_meter.OwnUtilization() * static_cast<double>(view.live_instances);
   Search search(engine, size, space.candidates, link_use);
   const std::uint32_t first_layer = first ? first->layers.end : 0;
   auto found = search.Run(first_layer, space.start_domain, space.domains.size(), false);
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "zinnia_base/time/clock.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
 #include "zinnia_decisions/orders/order_role.h"
 #include "zinnia_world/fleet/layer_range.h"
@@ -46,7 +46,7 @@
   void TickRole(bool may_seek);
 
   /** Reports that an engine has stopped responding. Its range counts as uncovered from now on. */
-  void NoteStalled(const BackendServerName& server);
+  void OnEngineStalled(const BackendServerName& server);
 
   /** Tells whether a peer says the store serves it; see OrderRole::NoteStoreServesOthers. */
   void NoteStoreServesOthers(bool serves) { m_role.NoteStoreServesOthers(serves); }
--- a/tests/forwarding/beliefs_test.cc
+++ b/tests/forwarding/beliefs_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/server_directory.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/server_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,9 +11,9 @@
 
 TEST_GROUP(Mirror) {
   VirtualTime time;
-  HeldStore store{time};
-  SilentLogger logger;
-  RecordedMirror recorded;
+  FakeStore store{time};
+  RecordingLogger logger;
+  RecordingMirrorListener recorded;
   StoreMirror mirror{store, time, time, logger, {}};
 
   void setup() override {
@@ -100,7 +100,7 @@
 TEST(Mirror, SubstitutesSpreadFirstCalls) {
   StoreMirrorSettings settings;
   settings.spread_position = 0.5;
-  HeldStore unwatched_store{time};
+  FakeStore unwatched_store{time};
   StoreMirror delayed_mirror{unwatched_store, time, time, logger, settings};
   delayed_mirror.SetWatchRole(StoreWatchRole::kNone, 200);
   delayed_mirror.Start();
@@ -139,7 +139,7 @@
   CHECK_FALSE(delta.complete);
   CHECK_EQUAL(2U, delta.records.size());
 
-  RecordedMirror other_recorded;
+  RecordingMirrorListener other_recorded;
   StoreMirror other{store, time, time, logger, {}};
   other.SetListener(&other_recorded);
   other.Merge(mirror.ChangesAfter(0));
@@ -172,7 +172,7 @@
 
 TEST_GROUP(Servers) {
   VirtualTime time;
-  SilentLogger logger;
+  RecordingLogger logger;
   ServerDirectory directory{time, logger};
   int changes = 0;
 
--- a/tests/forwarding/control_test.cc
+++ b/tests/forwarding/control_test.cc
@@ -55,11 +55,11 @@
   };
 
   VirtualTime time;
-  HeldStore store{time};
-  SilentLogger logger;
+  FakeStore store{time};
+  RecordingLogger logger;
   Reader reader;
   Transport transport;
-  RecordedOrders orders;
+  RecordingLayerOrders orders;
   Recorder recorder;
   Sink sink;
   std::shared_ptr<const ForwardingView> view;
--- a/tests/forwarding/forwarding_fakes.h
+++ b/tests/forwarding/forwarding_fakes.h
@@ -12,15 +12,15 @@
 
 #include "zinnia_base/logging/logger.h"
 #include "zinnia_base/time/virtual_time.h"
-#include "zinnia_decisions/forwarding/beliefs/forwarding_view.h"
-#include "zinnia_decisions/forwarding/beliefs/store_mirror.h"
+#include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
+#include "zinnia_decisions/forwarding/observed_state/store_mirror.h"
 #include "zinnia_decisions/forwarding/paths/idle_connections.h"
 #include "zinnia_decisions/ports/layer_orders.h"
 #include "zinnia_decisions/ports/platform_store.h"
 
 namespace zinnia {
 
-struct SilentLogger final : Logger {
+struct RecordingLogger final : Logger {
   void Log(LogLevel, std::string_view event, std::initializer_list<LogField>) override {
     events.emplace_back(event);
   }
@@ -79,9 +79,9 @@
 }
 
 /** A store with a working compare-and-swap. Tests answer its watches one by one. */
-class HeldStore final : public PlatformStore {
+class FakeStore final : public PlatformStore {
  public:
-  explicit HeldStore(VirtualTime& time) : m_time(time) {}
+  explicit FakeStore(VirtualTime& time) : m_time(time) {}
 
   std::map<std::string, StoreRecord> records;
   std::uint64_t version = 1;
@@ -189,13 +189,13 @@
 };
 
 /** Reports unused connections to the servers in `servers`. */
-struct NamedConnections final : IdleConnections {
+struct FakeIdleConnections final : IdleConnections {
   bool HasIdle(const BackendServerName& server) const override { return servers.contains(server); }
   std::set<BackendServerName> servers;
 };
 
 /** Records the latest value of each key. */
-struct RecordedMirror final : MirrorListener {
+struct RecordingMirrorListener final : MirrorListener {
   void OnMirrorAdvanced() override { ++advances; }
   void OnMirroredRecord(const MirroredRecord& record) override {
     values[record.key] = record.value;
@@ -205,7 +205,7 @@
 };
 
 /** Records the last order for each server and answers with `answer`. */
-struct RecordedOrders final : LayerOrders {
+struct RecordingLayerOrders final : LayerOrders {
   void Place(const ServerEntry& server,
              LayerRange layers,
              std::uint64_t,
--- a/tests/forwarding/load_spreading_test.cc
+++ b/tests/forwarding/load_spreading_test.cc
@@ -1,9 +1,9 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/first_server_sampler.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 
@@ -42,7 +42,7 @@
         : loads(time),
           health(time),
           limits(time, division, "self"),
-          pipe(time),
+          link_meter(time),
           random(number + 1) {
       loads.SetPeerCount(kInstances - 1);
     }
@@ -50,10 +50,10 @@
     ServerHealth health;
     RendezvousLimitDivision division;
     ServerLimits limits;
-    InterDomainLinkMeter pipe;
+    InterDomainLinkMeter link_meter;
     RandomSource random;
-    NamedConnections connections;
-    PathFinder finder{loads, health, limits, pipe, connections, random};
+    FakeIdleConnections connections;
+    PathFinder finder{loads, health, limits, link_meter, connections, random};
   };
   struct RunningRequest {
     TimePoint ends_at;
@@ -89,7 +89,7 @@
       for (const auto& [server, use] : chooser->loads.Own()) {
         sum[server].requests += use.requests;
         sum[server].token_layers += use.token_layers;
-        sum[server].begun += use.begun;
+        sum[server].first_stage_requests += use.first_stage_requests;
       }
     }
     for (const auto& chooser : choosers) {
@@ -97,7 +97,7 @@
       for (const auto& [server, use] : chooser->loads.Own()) {
         others[server].requests -= use.requests;
         others[server].token_layers -= use.token_layers;
-        others[server].begun -= use.begun;
+        others[server].first_stage_requests -= use.first_stage_requests;
       }
       chooser->loads.SetDomainUses("all", others);
     }
--- a/tests/forwarding/paths_test.cc
+++ b/tests/forwarding/paths_test.cc
@@ -1,11 +1,11 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/probe_round.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
-#include "zinnia_decisions/forwarding/beliefs/silence_detector.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/probe_round.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
+#include "zinnia_decisions/forwarding/observed_state/silence_detector.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/placement/layer_planner.h"
 
@@ -21,10 +21,10 @@
   ServerHealth health{time};
   RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
-  InterDomainLinkMeter pipe{time};
+  InterDomainLinkMeter link_meter{time};
   RandomSource random{1};
-  NamedConnections connections;
-  PathFinder finder{loads, health, limits, pipe, connections, random};
+  FakeIdleConnections connections;
+  PathFinder finder{loads, health, limits, link_meter, connections, random};
   GenerationSize size{774, 200};
   std::vector<ServerEntry> servers = {
       EngineServer("x1", "fast", "x", {0, 40}),    EngineServer("x2", "fast", "x", {40, 80}),
@@ -116,7 +116,7 @@
 }
 
 TEST(Paths, DoesNotCrossASaturatedLink) {
-  pipe.Add(700);
+  link_meter.Add(700);
   STRCMP_EQUAL("none", Find({"x2", "y1"}).c_str());
   time.AdvanceBy(seconds(2));
   STRCMP_EQUAL("x1 y3 y4 ", Find({"x2", "y1"}).c_str());
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -1,6 +1,6 @@
 #include "tests/forwarding/forwarding_fakes.h"
 #include "zinnia_base/decisions/decision_record.h"
-#include "zinnia_decisions/forwarding/beliefs/instance_directory.h"
+#include "zinnia_decisions/forwarding/observed_state/instance_directory.h"
 #include "zinnia_decisions/forwarding/placement/layer_placer.h"
 
 #include <algorithm>
@@ -18,11 +18,11 @@
   };
 
   VirtualTime time;
-  HeldStore store{time};
-  SilentLogger logger;
+  FakeStore store{time};
+  RecordingLogger logger;
   Recorder recorder;
   InstanceDirectory instances{time, Instance{"self", {}, "k", "r", 1}};
-  RecordedOrders orders;
+  RecordingLayerOrders orders;
   OrderSettings settings;
   std::unique_ptr<LayerPlacer> placer;
   std::vector<ServerEntry> servers;
@@ -412,7 +412,7 @@
   ApplyOrders();
   Run(milliseconds(100));
   orders.placed.clear();
-  placer->NoteStalled("middle0");
+  placer->OnEngineStalled("middle0");
   Run(seconds(1));
   CHECK_FALSE(orders.placed.empty());
   const int ordered = orders.count;
--- a/tests/forwarding/recovery_test.cc
+++ b/tests/forwarding/recovery_test.cc
@@ -1,10 +1,10 @@
 #include "tests/forwarding/forwarding_fakes.h"
-#include "zinnia_decisions/forwarding/beliefs/inter_domain_link_meter.h"
-#include "zinnia_decisions/forwarding/beliefs/load_tracker.h"
-#include "zinnia_decisions/forwarding/beliefs/prefill_backlog.h"
-#include "zinnia_decisions/forwarding/beliefs/server_health.h"
 #include "zinnia_decisions/forwarding/limits/rendezvous_limit_division.h"
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
+#include "zinnia_decisions/forwarding/observed_state/inter_domain_link_meter.h"
+#include "zinnia_decisions/forwarding/observed_state/load_tracker.h"
+#include "zinnia_decisions/forwarding/observed_state/prefill_backlog.h"
+#include "zinnia_decisions/forwarding/observed_state/server_health.h"
 #include "zinnia_decisions/forwarding/paths/path_finder.h"
 #include "zinnia_decisions/forwarding/paths/prefill_time.h"
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
@@ -24,10 +24,10 @@
   ServerHealth health{time};
   RendezvousLimitDivision division;
   ServerLimits limits{time, division, "self"};
-  InterDomainLinkMeter pipe{time};
+  InterDomainLinkMeter link_meter{time};
   RandomSource random{1};
-  NamedConnections connections;
-  PathFinder finder{loads, health, limits, pipe, connections, random};
+  FakeIdleConnections connections;
+  PathFinder finder{loads, health, limits, link_meter, connections, random};
   RecoveryChooser chooser{time, finder, loads, health};
   GenerationSize size{774, 200};
 
@@ -79,7 +79,7 @@
   for (int stream = 0; stream < kStreams; ++stream) {
     const auto recovery = Choose(true);
     CHECK_TRUE(recovery.has_value());
-    ++kept[recovery->keeps_first];
+    ++kept[recovery->keeps_first_server];
     pauses.push_back(recovery->expected_pause_ms);
   }
   CHECK_TRUE(kept[true] >= kStreams / 5);
@@ -101,7 +101,7 @@
   CHECK_FALSE(Choose(false).has_value());
   const auto recovery = Choose(true);
   CHECK_TRUE(recovery.has_value());
-  CHECK_FALSE(recovery->keeps_first);
+  CHECK_FALSE(recovery->keeps_first_server);
   STRCMP_EQUAL("y1", recovery->found.path.front().server.c_str());
   DOUBLES_EQUAL(0, recovery->found.link_ms, 1e-9);
 }
