--- a/packages/zinnia_decisions/admission/admission_controller.h
+++ b/packages/zinnia_decisions/admission/admission_controller.h
@@ -14,8 +14,8 @@
 
 namespace zinnia {
 
-/** Work that asks to be admitted. `cost` is in tokens for chats and in calls for services;
-    `expected_service_time` is how long it will take once admitted. */
+/** A request for admission. `cost` is in tokens for chats and in calls for services;
+    `expected_service_time` is the expected duration after admission. */
 struct AdmissionRequest {
   OrganisationName organisation;
   RequestClass request_class = RequestClass::kChat;
@@ -25,20 +25,19 @@
   std::optional<TimePoint> deadline;
 };
 
-/** The right to run. Destroying it gives the place back; keep it until the answer is out. */
+/** Permission to run. Keep it until the answer is complete; destroying it releases the capacity. */
 class AdmissionGrant {
  public:
   virtual ~AdmissionGrant() = default;
 };
 
-/** Decides who runs now, who waits and who is refused.
+/** Admits, queues or refuses requests.
 
-    Weighted fair shares between organisations, priorities, limits of the contracts, deadlines. The
-    callback runs once, either from inside Request (decided at once) or later; a refusal is final
-    and carries Retry-After, spread so that the refused do not return together. Nobody is kept
-    waiting who could have been refused at once.
+    Decisions follow weighted fair shares between organisations, priorities, contract limits and
+    deadlines. The callback runs exactly once, either inside Request or later. A refusal is final
+    and carries a Retry-After value, which is spread so that clients do not retry simultaneously.
 
-    Lives on one traffic thread.
+    Not thread-safe: use it on one traffic thread only.
 */
 class AdmissionController {
  public:
@@ -47,7 +46,7 @@
   virtual ~AdmissionController() = default;
   virtual void Request(AdmissionRequest request, Callback callback) = 0;
 
-  /** How much cost may run at once in a pool; told again whenever the snapshot changes. */
+  /** Sets the total cost that may run concurrently in a pool. Called on every snapshot change. */
   virtual void SetPoolCapacity(const std::string& pool, double concurrent_cost) = 0;
 
   virtual void SetContract(const Organisation& organisation) = 0;
