--- a/packages/zinnia_decisions/admission/budgeted_recovery_gate.cc
+++ b/packages/zinnia_decisions/admission/budgeted_recovery_gate.cc
@@ -8,7 +8,7 @@
 namespace zinnia {
 namespace {
 
-/** A third server is never risked on a request that crashed two. */
+/** Number of distinct crashed servers after which a request is not retried. */
 constexpr std::uint32_t kCrashesToQuarantine = 2;
 
 Error Quarantined(const ChatRequest& request, WasRun was_run) {
@@ -41,8 +41,9 @@
   }
   Error error = MakeError(
       ErrorKind::kRetryBudgetSpent,
-      fmt::format("backend server \"{}\" failed ({}) and organisation \"{}\" has no retry left",
-                  server, NameOf(cause), request.organisation));
+      fmt::format(
+          "backend server \"{}\" failed ({}) and organisation \"{}\" has no retry budget left",
+          server, NameOf(cause), request.organisation));
   error.was_run = WasRun::kUnknown;
   error.retry_after = m_budget.TimeToOneRetry();
   return error;
--- a/packages/zinnia_decisions/admission/budgeted_recovery_gate.h
+++ b/packages/zinnia_decisions/admission/budgeted_recovery_gate.h
@@ -7,10 +7,10 @@
 class QuarantineView;
 class RetryBudget;
 
-/** Lets a session try again if its request is not known to crash servers and its organisation has
-    retries left for the model.
+/** Allows a recovery if the request is not quarantined and its organisation has retry budget left
+    for the model.
 
-    A move off a server that is leaving is planned work and costs no retry.
+    Moving off a leaving server is planned and consumes no budget.
 
     @see RetryBudget, QuarantineView
 */
