--- a/packages/zinnia_decisions/admission/credit_ledger.h
+++ b/packages/zinnia_decisions/admission/credit_ledger.h
@@ -12,16 +12,16 @@
 
 namespace zinnia {
 
-/** What was answered for an organisation in one class. */
+/** Totals of the answered requests of one organisation and request class. */
 struct Credit {
   std::uint64_t requests = 0;
   double weight = 0.0;
 };
 
-/** Credits each answered request once, by organisation, kind and weight.
+/** Counts each answered request once, per organisation and request class.
 
-    A recovered or resumed answer may be reported more than once; the request id tells. Only the
-    latest ids are remembered, and organisations beyond the bound share the row "other".
+    Recovered and resumed answers may be reported several times, so duplicates are detected by
+    request id among the most recent ids. Organisations beyond the row limit share the row "other".
 */
 class CreditLedger {
  public:
@@ -30,7 +30,7 @@
   explicit CreditLedger(std::size_t remembered_requests = 65'536, std::size_t highest_rows = 2'048)
       : m_remembered_requests(remembered_requests), m_highest_rows(highest_rows) {}
 
-  /** Returns false, and credits nothing, if that request was credited before. */
+  /** Returns false without any effect if the request was already credited. */
   bool CreditOnce(const std::string& request_id,
                   const OrganisationName& organisation,
                   RequestClass request_class,
