--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -146,14 +146,14 @@
                                      const AdmissionRequest& request,
                                      const Callback& callback) {
   m_limits.Leave(request.organisation);
-  // While nothing runs at all there is no rate to go by; the one before is the best guess of what
-  // the pool can take when it is back.
+  // A pool without capacity has no drain rate; its last non-zero capacity serves as the estimate
+  // for the time after it is restored.
   const bool stopped = pool.capacity <= 0.0;
   const double rate =
       pool.meter.DrainRate(m_clock.Now(), stopped ? pool.last_capacity : pool.capacity);
   const Duration earliest = stopped ? Duration::zero() : PredictWait(pool, request);
   Error error = MakeError(
-      kind, fmt::format("pool \"{}\" cannot take the request in time: {} requests are waiting",
+      kind, fmt::format("pool \"{}\" cannot serve the request in time: {} requests are queued",
                         pool.name, pool.queue.Waiting()));
   error.retry_after = pool.returns.Book(m_clock.Now(), PredictWait(pool, request), request.cost,
                                         rate * m_settings.share_for_returning, m_random);
@@ -194,7 +194,7 @@
   }
 }
 
-// Runs from the scheduler, because a grant may be destroyed from inside any callback.
+// Dispatches asynchronously because a grant may be destroyed inside any callback.
 void FairAdmissionController::DispatchLater(Pool& pool, Duration delay) {
   const TimePoint at = m_clock.Now() + delay;
   if (pool.dispatch != nullptr && pool.dispatch_at <= at) {
--- a/packages/zinnia_decisions/admission/fair_admission_controller.h
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.h
@@ -15,15 +15,16 @@
 
 namespace zinnia {
 
-/** Admits by weighted fair shares and refuses at once whatever cannot be in time.
+/** Admits requests by weighted fair shares and refuses those that cannot meet their deadline.
 
-    Work enters a pool while its cost fits beside what runs. Otherwise it waits in a FairQueue, but
-    only if its predicted wait (cost ahead of it over the measured drain rate) and its service time
-    end before its deadline and within the longest wait. Work that turns out hopeless while it waits
-    is refused then, before it runs. A pool whose capacity was never set admits everything that the
-    contracts allow.
+    A request is admitted directly while its cost fits into the pool's free capacity. Otherwise it
+    is queued in a FairQueue if its predicted wait (queued cost ahead of it divided by the measured
+    drain rate) is within the limit and its service time still meets the deadline. Queued requests
+    that can no longer meet it are refused without running. A pool whose capacity was never set
+    admits everything that the contracts allow.
 
-    Grants may outlive the controller. Work that still waits when it is destroyed hears nothing.
+    Grants may outlive the controller. Callbacks of requests still queued at its destruction are
+    never called.
 
     @see FairQueue, ReturnPlanner, ServiceMeter, OrganisationLimits
 */
