--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kRememberedOrganisations = 4'096;
 
-/** How many requests of its share an organisation can save up by not sending. */
+/** Number of requests that an idle organisation can save up. */
 constexpr double kSavedRequests = 1.0;
 
 }  // namespace
@@ -29,12 +29,12 @@
 }
 
 const WaitingWork& FairQueue::Next() const {
-  assert(!Empty());  // the caller asks for work that is not there
+  assert(!Empty());
   return FindNext()->second.work.front();
 }
 
 WaitingWork FairQueue::PopNext() {
-  assert(!Empty());  // the caller asks for work that is not there
+  assert(!Empty());
   OrganisationQueue& queue = m_queues[FindNext()->first];
   WaitingWork work = std::move(queue.work.front());
   queue.work.pop_front();
--- a/packages/zinnia_decisions/admission/fair_queue.h
+++ b/packages/zinnia_decisions/admission/fair_queue.h
@@ -9,7 +9,7 @@
 
 namespace zinnia {
 
-/** Work that waits, with its place in virtual time. */
+/** A queued request with its start tag in virtual time. */
 struct WaitingWork {
   AdmissionRequest request;
   AdmissionController::Callback callback;
@@ -19,11 +19,10 @@
 
 /** Start-time fair queueing between organisations.
 
-    Each piece of work gets a start tag in virtual time: the end of the organisation's work before
-    it, or one request before the present virtual time if it sent less than its share. The lowest
-    tag is next. An organisation's tags advance by cost over weight, so that organisations that
-    always have work waiting get shares in proportion to their weights, whoever sends more, and one
-    that was idle gets credit for one request only.
+    The start tag of a request is the finish tag of the organisation's previous request, but not
+    earlier than one request before the current virtual time. The lowest start tag is served first.
+    Finish tags advance by cost / weight, so backlogged organisations get shares in proportion to
+    their weights regardless of their arrival rates, and an idle one saves up one request at most.
 
     @see FairAdmissionController
 */
@@ -35,18 +34,18 @@
 
   void Push(WaitingWork work, double weight);
 
-  /** The work with the lowest start tag; the queue must not be empty. */
+  /** Returns the request with the lowest start tag. The queue must not be empty. */
   const WaitingWork& Next() const;
   WaitingWork PopNext();
 
-  /** Tells of work that was admitted without waiting, which counts towards the share too. */
+  /** Charges a request that bypassed the queue to the share of its organisation. */
   void OnAdmittedDirectly(const OrganisationName& organisation, double cost, double weight);
 
-  /** Cost that is expected to be admitted before new work of this organisation would be, counting
-      what the others will still send to keep their queues filled. */
+  /** Predicts the cost served before a new request of this organisation. Assumes that the other
+      queued organisations stay backlogged. */
   double CostAhead(const OrganisationName& organisation, double cost, double weight) const;
 
-  /** Takes out all work for which `is_hopeless` holds. */
+  /** Removes and returns all requests for which `is_hopeless` returns true. */
   std::deque<WaitingWork> TakeOut(const std::function<bool(const WaitingWork&)>& is_hopeless);
 
  private:
@@ -58,9 +57,8 @@
   };
   using Queues = std::map<OrganisationName, OrganisationQueue>;
 
-  /** Work of an organisation that sent less than its share starts before the present virtual time.
-      Otherwise two requests that happen to come close together count as a flood; one notices
-      refusals of organisations that stay below their share while another one floods. */
+  /** The lowest start tag that a new request may get. It precedes the virtual time so that an
+      organisation below its share can send two requests in quick succession without delay. */
   double EarliestStart(double cost, double weight) const;
   double Enter(OrganisationQueue& queue, double cost, double weight);
   Queues::const_iterator FindNext() const;
