--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -8,20 +8,20 @@
 
 namespace zinnia {
 
-/** The contracts' limits on one instance: requests a second and requests at once, and the weight of
-    the organisation's share. Organisations without a contract have weight 1 and no limits. */
+/** Applies the contracts' request rate, concurrency limit and weight within one instance.
+    Organisations without a contract have weight 1 and no limits. */
 class OrganisationLimits {
  public:
   explicit OrganisationLimits(const AdmissionSettings& settings) : m_settings(settings) {}
 
   void SetContract(const Organisation& organisation);
 
-  /** Share between organisations: the weight, times four for each step of priority above 1. A low
-      priority gets less under load but never nothing. */
+  /** Returns the contract's weight, multiplied by 4 for each priority level above 1. It is always
+      positive, so low priorities are not starved. */
   double WeightOf(const OrganisationName& organisation) const;
 
-  /** Counts one more request; if a limit forbids it, counts nothing and returns when to come back.
-      Call Leave once for each that entered. */
+  /** Counts a request in, or returns the Retry-After delay if a limit is reached. Each request
+      that was counted in needs one call of Leave. */
   std::optional<std::chrono::milliseconds> TryEnter(const OrganisationName& organisation,
                                                     TimePoint now,
                                                     RandomSource& random);
