--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -12,24 +12,22 @@
 
 /** Limits of RetryBudget. */
 struct RetryBudgetSettings {
-  /** Retries allowed for each first try. */
+  /** Tokens added for each first attempt; a retry takes one token. */
   double share_of_first_tries = 0.1;
 
-  /** What an organisation that has sent nothing yet may spend, and the most that it can save up. */
+  /** Tokens in a new bucket, and the capacity of a bucket. */
   double initial = 3.0;
   double highest = 50.0;
 
-  /** Comes back even without first tries, so that a quiet organisation is not locked out. */
+  /** Refill rate without first attempts, so that organisations with little traffic can retry. */
   double per_second = 0.05;
 
   std::size_t highest_entries = 4096;
 };
 
-/** How many retries each organisation may still cause in each pool: a token bucket filled by first
-    tries.
+/** Limits retries per organisation and pool by a token bucket that first attempts refill.
 
-    Without it, a pool that fails most attempts gets several times its load in retries and cannot
-    recover; one notices retries per first try well above the share.
+    This prevents retries from multiplying the load of a failing pool.
 
     @see BudgetedRecoveryGate
 */
@@ -39,10 +37,10 @@
 
   void OnFirstTry(const OrganisationName& organisation, const std::string& pool);
 
-  /** Takes one retry from the budget; false if none is left. */
+  /** Takes one token; returns false if none is left. */
   [[nodiscard]] bool TrySpend(const OrganisationName& organisation, const std::string& pool);
 
-  /** How long until one retry has come back by time alone. */
+  /** Time in which the refill rate alone adds one token. */
   std::chrono::milliseconds TimeToOneRetry() const;
 
  private:
