--- a/packages/zinnia_decisions/admission/return_planner.h
+++ b/packages/zinnia_decisions/admission/return_planner.h
@@ -5,19 +5,18 @@
 
 namespace zinnia {
 
-/** Says to the refused when to come back, one after the other.
+/** Computes staggered Retry-After values for refused requests.
 
-    If all were told the same time, they would return together, be refused together, and the
-    overload would never end; one notices a sawtooth of refusals with the period of Retry-After.
-    So each refusal books the next free place at a rate that the pool can serve, and the answer is
-    jittered, as several instances book without knowing of each other.
+    A constant value would synchronise retries into repeated overload peaks. Each refusal instead
+    reserves the next time slot at a rate that the pool can serve. The result is jittered because
+    instances do not coordinate their reservations.
 */
 class ReturnPlanner {
  public:
   explicit ReturnPlanner(const AdmissionSettings& settings) : m_settings(settings) {}
 
-  /** `earliest` is how long the present queue takes; `cost` over `cost_per_second` is the room that
-      this one needs on return. */
+  /** Returns the delay until the reserved slot. `earliest` is the time to drain the current queue;
+      the slot lasts `cost` / `cost_per_second`. */
   std::chrono::milliseconds Book(TimePoint now,
                                  Duration earliest,
                                  double cost,
