--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -47,7 +47,7 @@
 double ServiceMeter::DrainRate(TimePoint now, double capacity) const {
   const double held_seconds = m_mean_cost > 0.0 ? m_mean_cost_seconds / m_mean_cost : 1.0;
   const double by_held_time = capacity / std::max(held_seconds, kLeastHeldSeconds);
-  // A stalled pool finishes nothing, so held times cannot tell of it; the finished cost can.
+  // Held times are updated on completion only, so a stall shows in the measured rate alone.
   const bool measured = m_busy && now - m_busy_since >= m_settings.drain_window;
   return measured ? std::min(by_held_time, MeasuredRate(now)) : by_held_time;
 }
--- a/packages/zinnia_decisions/admission/service_meter.h
+++ b/packages/zinnia_decisions/admission/service_meter.h
@@ -4,8 +4,8 @@
 
 namespace zinnia {
 
-/** Measures how fast a pool gets work done: cost finished a second, time a grant is held, and how
-    far that time goes beyond what was expected. */
+/** Measures a pool's drain rate, how long grants are held, and the ratio of observed to expected
+    service time. */
 class ServiceMeter {
  public:
   explicit ServiceMeter(const AdmissionSettings& settings) : m_settings(settings) {}
@@ -13,24 +13,21 @@
   void OnAdmitted(double cost, Duration expected);
   void OnFinished(TimePoint now, double cost, Duration held, Duration expected);
 
-  /** Tells whether work is waiting; the measured rate means something only while it is. */
+  /** Sets whether requests are queued. The measured rate is only meaningful under backlog. */
   void SetBusy(TimePoint now, bool busy);
 
-  /** Cost a second that the pool works off if `capacity` runs at once. */
+  /** Returns the cost per second that the pool completes with `capacity` running concurrently. */
   double DrainRate(TimePoint now, double capacity) const;
 
-  /** How long work that is expected to take `expected` may really take in a pool of which the part
-      `used` (0 to 1) is in use.
+  /** Predicts the service time of a request in a pool with utilisation `used` (0 to 1).
 
-      The observed stretch comes from load, so it counts only as far as the pool is used, and it
-      fades while nothing finishes. Without that, a failure that stretched the last answers beyond
-      every deadline would have all further requests refused, and as then nothing finishes, nothing
-      would ever correct it; one notices refusals for deadlines in an idle pool. */
+      The observed slowdown is scaled by the utilisation and decays while nothing finishes.
+      Otherwise slow answers during a failure could cause all later requests to be refused, and
+      no new measurement would correct the estimate. */
   Duration Stretched(TimePoint now, Duration expected, double used) const;
 
-  /** Part of the capacity that is worth using. Answers that take longer than expected say that
-      batches are full and further work only waits in engines, where it can no longer be refused;
-      one notices admitted requests that miss their deadlines. */
+  /** Returns the part of the capacity to use. It shrinks when answers take longer than expected,
+      since further requests would only queue inside the engines, where they cannot be refused. */
   double UsefulConcurrency() const;
 
  private:
