--- a/tests/routing/admission_test.cc
+++ b/tests/routing/admission_test.cc
@@ -68,9 +68,8 @@
   }
 };
 
-// Symptom: nine organisations starve while one sends without end. It fills the queue, and the queue
-// is served in order of arrival. Cause: no shares between organisations.
-TEST(Admission, AFloodDoesNotTakeTheSharesOfOthers) {
+// Guards against one organisation filling a FIFO queue and starving the others.
+TEST(Admission, AFloodingOrganisationGetsOnlyItsWeightedShare) {
   m_admission.SetContract({.name = "double", .weight = 2.0});
   for (int tick = 0; tick < 500; ++tick) {
     for (int request = 0; request < 10; ++request) {
@@ -87,9 +86,9 @@
   DOUBLES_EQUAL(0.25, m_admitted["single"] / all, 0.05);
 }
 
-// Symptom: an organisation below its share is refused while another one floods. Two of its requests
-// come close together. Cause: the second counts as if the organisation were ahead of its share.
-TEST(Admission, TwoRequestsCloseTogetherAreNotAFlood) {
+// Guards against delaying an organisation below its share because two of its requests arrive in
+// quick succession.
+TEST(Admission, TwoRequestsInQuickSuccessionPrecedeTheBacklogOfAnother) {
   FairQueue queue;
   const auto push = [&queue](const OrganisationName& organisation) {
     queue.Push({{.organisation = organisation}, {}, {}}, 1.0);
@@ -108,9 +107,8 @@
   CHECK_EQUAL(OrganisationName("modest"), second);
 }
 
-// Symptom: callers wait until their deadline and get nothing. Queues are long, everybody is taken
-// into them. Cause: nobody works out at arrival that the wait alone passes the deadline.
-TEST(Admission, RefusesAtOnceWhatCannotBeInTime) {
+// Guards against queueing a request whose predicted wait already exceeds its deadline.
+TEST(Admission, RefusesOnArrivalWhenTheDeadlineCannotBeMet) {
   for (int request = 0; request < 40; ++request) {
     Ask(Make("organisation"));
   }
@@ -123,7 +121,7 @@
   CHECK_TRUE(m_refused[0].retry_after.has_value());
 }
 
-TEST(Admission, NobodyAdmittedMissesADeadlineAtSteadyService) {
+TEST(Admission, AdmittedRequestsMeetTheirDeadlinesAtSteadyServiceTimes) {
   int missed = 0;
   for (int tick = 0; tick < 300; ++tick) {
     for (int request = 0; request < 4; ++request) {
@@ -145,9 +143,8 @@
   CHECK_TRUE(!m_refused.empty());
 }
 
-// Symptom: after an outage the load comes in waves. All the refused were told the same time and are
-// back at the same moment. Cause: Retry-After is a constant.
-TEST(Admission, SpreadsTheReturnOfTheRefused) {
+// Guards against a constant Retry-After, which would synchronise the retries of refused requests.
+TEST(Admission, SpreadsRetryAfterValues) {
   for (int request = 0; request < 1'000; ++request) {
     Ask(Make("organisation"));
   }
@@ -161,10 +158,9 @@
   }
 }
 
-// Symptom: an idle pool refuses everybody for their deadlines, for ever. A failure made the last
-// answers very slow; since then nothing was admitted. Cause: the stretch learned from those answers
-// is only ever corrected by new answers.
-TEST(Admission, RecoversFromAStretchThatWouldRefuseEverybody) {
+// Guards against an idle pool refusing all requests because of service times measured during a
+// past failure, which only new completions would correct.
+TEST(Admission, AdmitsAgainAfterSlowAnswersOnceThePoolIsIdle) {
   std::vector<std::unique_ptr<AdmissionGrant>> slow;
   for (int request = 0; request < 10; ++request) {
     m_admission.Request(Make("organisation"),
@@ -179,9 +175,8 @@
   LONGS_EQUAL(1, m_admitted["organisation"]);
 }
 
-// Symptom: everything is admitted and most of it late. Engines batch more and more sessions, each
-// answer takes longer, the pool's capacity still has room. Cause: capacity alone limits the work.
-TEST(Admission, RunsLessAtOnceWhenAnswersTakeLongerThanExpected) {
+// Guards against filling the nominal capacity when larger batches slow every answer down.
+TEST(Admission, ReducesConcurrencyWhenAnswersTakeLongerThanExpected) {
   std::vector<std::unique_ptr<AdmissionGrant>> grants;
   std::size_t most = 0;
   for (int round = 0; round < 20; ++round) {
@@ -199,7 +194,7 @@
   LONGS_EQUAL(6, most);
 }
 
-TEST(Admission, KeepsTheLimitsOfContracts) {
+TEST(Admission, EnforcesContractLimits) {
   m_admission.SetContract({.name = "narrow", .requests_per_second = 5.0});
   m_admission.SetContract({.name = "few", .concurrent_requests = 3});
   for (int request = 0; request < 8; ++request) {
@@ -242,8 +237,7 @@
   ChatRequest m_request{.organisation = "organisation", .model = "model"};
 };
 
-// Symptom: a pool that fails most attempts gets several times its load and stays down. Cause: every
-// failure causes a retry, without regard to how many there are already.
+// Guards against retries multiplying the load of a failing pool.
 TEST(RetryBudgets, RetriesNeverExceedTheirShareOfFirstTries) {
   int retries = 0;
   for (int first_try = 0; first_try < 1'000; ++first_try) {
@@ -268,9 +262,8 @@
   CHECK_TRUE(m_budget.TrySpend("organisation", "other-model"));
 }
 
-// Symptom: one request takes down server after server. It crashed two, and its session is allowed a
-// third. Cause: recovery looks at the budget only.
-TEST(RetryBudgets, ARequestThatCrashedTwoServersGetsNoThird) {
+// Guards against a request crashing one server after another while retry budget is left.
+TEST(RetryBudgets, ARequestThatCrashedTwoServersIsNotRetried) {
   CHECK_TRUE(m_gate.MayRecover(m_request, "server", StepStatus::kServerCrashed, 1).has_value());
   const auto third = m_gate.MayRecover(m_request, "server", StepStatus::kServerCrashed, 2);
   CHECK_TRUE(third.error().kind == ErrorKind::kQuarantined);
