--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -21,7 +21,7 @@
   double in_use = 0.0;
   FairQueue queue;
   ServiceMeter meter;
-  ReturnPlanner returns;
+  RetryAfterPlanner returns;
   std::unique_ptr<ScheduledCall> dispatch;
   TimePoint dispatch_at{};
 };
@@ -93,7 +93,7 @@
   std::unique_ptr<Pool>& pool = m_pools[name];
   if (pool == nullptr) {
     pool = std::make_unique<Pool>(Pool{
-        .name = name, .meter = ServiceMeter(m_settings), .returns = ReturnPlanner(m_settings)});
+        .name = name, .meter = ServiceMeter(m_settings), .returns = RetryAfterPlanner(m_settings)});
   }
   return *pool;
 }
--- a/packages/zinnia_decisions/admission/fair_admission_controller.h
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.h
@@ -10,7 +10,7 @@
 #include "zinnia_decisions/admission/admission_settings.h"
 #include "zinnia_decisions/admission/fair_queue.h"
 #include "zinnia_decisions/admission/organisation_limits.h"
-#include "zinnia_decisions/admission/return_planner.h"
+#include "zinnia_decisions/admission/retry_after_planner.h"
 #include "zinnia_decisions/admission/service_meter.h"
 
 namespace zinnia {
@@ -26,7 +26,7 @@
     Grants may outlive the controller. Callbacks of requests still queued at its destruction are
     never called.
 
-    @see FairQueue, ReturnPlanner, ServiceMeter, OrganisationLimits
+    @see FairQueue, RetryAfterPlanner, ServiceMeter, OrganisationLimits
 */
 class FairAdmissionController final : public AdmissionController {
  public:
--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -25,7 +25,7 @@
   }
   m_rows.emplace(organisation.name, Row{.contract = organisation,
                                         .tokens = Burst(organisation),
-                                        .returns = ReturnPlanner(m_settings)});
+                                        .returns = RetryAfterPlanner(m_settings)});
 }
 
 double OrganisationLimits::WeightOf(const OrganisationName& organisation) const {
--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -3,7 +3,7 @@
 #include <map>
 #include <optional>
 
-#include "zinnia_decisions/admission/return_planner.h"
+#include "zinnia_decisions/admission/retry_after_planner.h"
 #include "zinnia_world/contracts/organisation.h"
 
 namespace zinnia {
@@ -33,7 +33,7 @@
     double tokens = 0.0;
     TimePoint refilled_at{};
     std::uint32_t present = 0;
-    ReturnPlanner returns;
+    RetryAfterPlanner returns;
   };
 
   static void Refill(Row& row, TimePoint now);
--- a/packages/zinnia_decisions/admission/return_planner.h
+++ b/packages/zinnia_decisions/admission/retry_after_planner.h
@@ -11,9 +11,9 @@
     reserves the next time slot at a rate that the pool can serve. The result is jittered because
     instances do not coordinate their reservations.
 */
-class ReturnPlanner {
+class RetryAfterPlanner {
  public:
-  explicit ReturnPlanner(const AdmissionSettings& settings) : m_settings(settings) {}
+  explicit RetryAfterPlanner(const AdmissionSettings& settings) : m_settings(settings) {}
 
   /** Returns the delay until the reserved slot. `earliest` is the time to drain the current queue;
       the slot lasts `cost` / `cost_per_second`. */
