--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -155,8 +155,9 @@
   Error error = MakeError(
       kind, fmt::format("pool \"{}\" cannot serve the request in time: {} requests are queued",
                         pool.name, pool.queue.Waiting()));
-  error.retry_after = pool.returns.Book(m_clock.Now(), PredictWait(pool, request), request.cost,
-                                        rate * m_settings.share_for_returning, m_random);
+  error.retry_after =
+      pool.returns.ReserveSlot(m_clock.Now(), PredictWait(pool, request), request.cost,
+                               rate * m_settings.share_for_returning, m_random);
   callback(error);
 }
 
--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -55,7 +55,7 @@
   const bool too_fast = contract.requests_per_second > 0.0 && row.tokens < 1.0;
   if (too_many || too_fast) {
     const double rate = too_fast ? contract.requests_per_second : contract.concurrent_requests;
-    return row.returns.Book(now, kReturnWhenFull, 1.0, rate, random);
+    return row.returns.ReserveSlot(now, kReturnWhenFull, 1.0, rate, random);
   }
   row.tokens -= 1.0;
   ++row.present;
--- a/packages/zinnia_decisions/admission/retry_after_planner.cc
+++ b/packages/zinnia_decisions/admission/retry_after_planner.cc
@@ -4,11 +4,11 @@
 
 namespace zinnia {
 
-std::chrono::milliseconds RetryAfterPlanner::Book(TimePoint now,
-                                                  Duration earliest,
-                                                  double cost,
-                                                  double cost_per_second,
-                                                  RandomSource& random) {
+std::chrono::milliseconds RetryAfterPlanner::ReserveSlot(TimePoint now,
+                                                         Duration earliest,
+                                                         double cost,
+                                                         double cost_per_second,
+                                                         RandomSource& random) {
   const Duration shortest = std::max<Duration>(earliest, m_settings.shortest_retry_after);
   const Duration longest = m_settings.longest_retry_after;
   const std::chrono::duration<double> room(
--- a/packages/zinnia_decisions/admission/retry_after_planner.h
+++ b/packages/zinnia_decisions/admission/retry_after_planner.h
@@ -17,11 +17,11 @@
 
   /** Returns the delay until the reserved slot. `earliest` is the time to drain the current queue;
       the slot lasts `cost` / `cost_per_second`. */
-  std::chrono::milliseconds Book(TimePoint now,
-                                 Duration earliest,
-                                 double cost,
-                                 double cost_per_second,
-                                 RandomSource& random);
+  std::chrono::milliseconds ReserveSlot(TimePoint now,
+                                        Duration earliest,
+                                        double cost,
+                                        double cost_per_second,
+                                        RandomSource& random);
 
  private:
   AdmissionSettings m_settings;
