--- a/packages/zinnia_decisions/admission/retry_after_planner.cc
+++ b/packages/zinnia_decisions/admission/retry_after_planner.cc
@@ -13,11 +13,11 @@
   const Duration longest = m_settings.longest_retry_after;
   const std::chrono::duration<double> room(
       std::min(cost / std::max(cost_per_second, 1e-9), 3'600.0));
-  m_booked_until =
-      std::max(m_booked_until, now + shortest) + std::chrono::duration_cast<Duration>(room);
-  Duration wait = m_booked_until - now;
+  m_reserved_until =
+      std::max(m_reserved_until, now + shortest) + std::chrono::duration_cast<Duration>(room);
+  Duration wait = m_reserved_until - now;
   if (wait > longest) {
-    m_booked_until = now + longest;
+    m_reserved_until = now + longest;
     wait = longest - std::chrono::duration_cast<Duration>(longest * 0.5 * RandomUnit(random));
   }
   const double jitter = m_settings.retry_after_jitter * (2.0 * RandomUnit(random) - 1.0);
--- a/packages/zinnia_decisions/admission/retry_after_planner.h
+++ b/packages/zinnia_decisions/admission/retry_after_planner.h
@@ -25,7 +25,7 @@
 
  private:
   AdmissionSettings m_settings;
-  TimePoint m_booked_until{};
+  TimePoint m_reserved_until{};
 };
 
 }  // namespace zinnia
