--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -61,7 +61,7 @@
 FairAdmissionController::~FairAdmissionController() = default;
 
 void FairAdmissionController::Request(AdmissionRequest request, Callback callback) {
-  const auto come_back = m_limits.TryEnter(request.organisation, m_clock.Now(), m_random);
+  const auto come_back = m_limits.TryAcquire(request.organisation, m_clock.Now(), m_random);
   if (come_back) {
     Error error = MakeError(
         ErrorKind::kRateLimited,
--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -39,7 +39,7 @@
   return std::max(kLeastWeight, contract.weight) * std::pow(kWeightStepOfPriority, steps);
 }
 
-std::optional<std::chrono::milliseconds> OrganisationLimits::TryEnter(
+std::optional<std::chrono::milliseconds> OrganisationLimits::TryAcquire(
     const OrganisationName& organisation,
     TimePoint now,
     RandomSource& random) {
--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -22,9 +22,9 @@
 
   /** Counts a request in, or returns the Retry-After delay if a limit is reached. Each request
       that was counted in needs one call of Leave. */
-  std::optional<std::chrono::milliseconds> TryEnter(const OrganisationName& organisation,
-                                                    TimePoint now,
-                                                    RandomSource& random);
+  std::optional<std::chrono::milliseconds> TryAcquire(const OrganisationName& organisation,
+                                                      TimePoint now,
+                                                      RandomSource& random);
   void Leave(const OrganisationName& organisation);
 
  private:
