--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -145,7 +145,7 @@
                                      ErrorKind kind,
                                      const AdmissionRequest& request,
                                      const Callback& callback) {
-  m_limits.Leave(request.organisation);
+  m_limits.Release(request.organisation);
   // A pool without capacity has no drain rate; its last non-zero capacity serves as the estimate
   // for the time after it is restored.
   const bool stopped = pool.capacity <= 0.0;
@@ -186,7 +186,7 @@
 
 void FairAdmissionController::OnReleased(const AdmissionRequest& request, TimePoint admitted_at) {
   const TimePoint now = m_clock.Now();
-  m_limits.Leave(request.organisation);
+  m_limits.Release(request.organisation);
   Pool& pool = PoolOf(request.pool);
   pool.in_use = std::max(0.0, pool.in_use - request.cost);
   pool.meter.OnFinished(now, request.cost, now - admitted_at, request.expected_service_time);
--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -62,7 +62,7 @@
   return std::nullopt;
 }
 
-void OrganisationLimits::Leave(const OrganisationName& organisation) {
+void OrganisationLimits::Release(const OrganisationName& organisation) {
   const auto found = m_rows.find(organisation);
   if (found != m_rows.end() && found->second.present > 0) {
     --found->second.present;
--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -21,11 +21,11 @@
   double WeightOf(const OrganisationName& organisation) const;
 
   /** Counts a request in, or returns the Retry-After delay if a limit is reached. Each request
-      that was counted in needs one call of Leave. */
+      that was counted in needs one call of Release. */
   std::optional<std::chrono::milliseconds> TryAcquire(const OrganisationName& organisation,
                                                       TimePoint now,
                                                       RandomSource& random);
-  void Leave(const OrganisationName& organisation);
+  void Release(const OrganisationName& organisation);
 
  private:
   struct Row {
