--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -51,21 +51,21 @@
   Refill(row, now);
   const Organisation& contract = row.contract;
   const bool too_many =
-      contract.concurrent_requests > 0 && row.present >= contract.concurrent_requests;
+      contract.concurrent_requests > 0 && row.requests_in_flight >= contract.concurrent_requests;
   const bool too_fast = contract.requests_per_second > 0.0 && row.tokens < 1.0;
   if (too_many || too_fast) {
     const double rate = too_fast ? contract.requests_per_second : contract.concurrent_requests;
     return row.returns.ReserveSlot(now, kReturnWhenFull, 1.0, rate, random);
   }
   row.tokens -= 1.0;
-  ++row.present;
+  ++row.requests_in_flight;
   return std::nullopt;
 }
 
 void OrganisationLimits::Release(const OrganisationName& organisation) {
   const auto found = m_rows.find(organisation);
-  if (found != m_rows.end() && found->second.present > 0) {
-    --found->second.present;
+  if (found != m_rows.end() && found->second.requests_in_flight > 0) {
+    --found->second.requests_in_flight;
   }
 }
 
--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -32,7 +32,7 @@
     Organisation contract;
     double tokens = 0.0;
     TimePoint refilled_at{};
-    std::uint32_t present = 0;
+    std::uint32_t requests_in_flight = 0;
     RetryAfterPlanner returns;
   };
 
