--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -8,7 +8,7 @@
 
 constexpr double kWeightStepOfPriority = 4.0;
 constexpr double kHighestPriorityStep = 4.0;
-constexpr double kLeastWeight = 1e-3;
+constexpr double kMinWeight = 1e-3;
 constexpr Duration kReturnWhenFull = std::chrono::seconds(1);
 
 double Burst(const Organisation& contract) {
@@ -36,7 +36,7 @@
   const Organisation& contract = found->second.contract;
   const double steps =
       std::clamp(static_cast<double>(contract.priority) - 1.0, -1.0, kHighestPriorityStep);
-  return std::max(kLeastWeight, contract.weight) * std::pow(kWeightStepOfPriority, steps);
+  return std::max(kMinWeight, contract.weight) * std::pow(kWeightStepOfPriority, steps);
 }
 
 std::optional<std::chrono::milliseconds> OrganisationLimits::TryAcquire(
