--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -9,7 +9,7 @@
 constexpr double kWeightStepOfPriority = 4.0;
 constexpr double kHighestPriorityStep = 4.0;
 constexpr double kMinWeight = 1e-3;
-constexpr Duration kReturnWhenFull = std::chrono::seconds(1);
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 double Burst(const Organisation& contract) {
   return std::max(1.0, contract.requests_per_second);
@@ -55,7 +55,7 @@
   const bool too_fast = contract.requests_per_second > 0.0 && row.tokens < 1.0;
   if (too_many || too_fast) {
     const double rate = too_fast ? contract.requests_per_second : contract.concurrent_requests;
-    return row.returns.ReserveSlot(now, kReturnWhenFull, 1.0, rate, random);
+    return row.returns.ReserveSlot(now, kMinRetryAfter, 1.0, rate, random);
   }
   row.tokens -= 1.0;
   ++row.requests_in_flight;
