--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -219,7 +219,7 @@
 }
 
 void FairAdmissionController::RefuseHopeless(Pool& pool) {
-  const auto hopeless = pool.queue.TakeOut([&](const WaitingWork& work) {
+  const auto hopeless = pool.queue.RemoveIf([&](const WaitingWork& work) {
     return m_clock.Now() - work.queued_at > m_settings.longest_wait ||
            WouldMiss(pool, work.request, Duration::zero());
   });
--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -67,7 +67,7 @@
   return ahead;
 }
 
-std::deque<WaitingWork> FairQueue::TakeOut(
+std::deque<WaitingWork> FairQueue::RemoveIf(
     const std::function<bool(const WaitingWork&)>& is_hopeless) {
   std::deque<WaitingWork> taken;
   for (auto& [name, queue] : m_queues) {
--- a/packages/zinnia_decisions/admission/fair_queue.h
+++ b/packages/zinnia_decisions/admission/fair_queue.h
@@ -46,7 +46,7 @@
   double CostAhead(const OrganisationName& organisation, double cost, double weight) const;
 
   /** Removes and returns all requests for which `is_hopeless` returns true. */
-  std::deque<WaitingWork> TakeOut(const std::function<bool(const WaitingWork&)>& is_hopeless);
+  std::deque<WaitingWork> RemoveIf(const std::function<bool(const WaitingWork&)>& is_hopeless);
 
  private:
   struct OrganisationQueue {
