--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -68,11 +68,11 @@
 }
 
 std::deque<WaitingWork> FairQueue::RemoveIf(
-    const std::function<bool(const WaitingWork&)>& is_hopeless) {
+    const std::function<bool(const WaitingWork&)>& predicate) {
   std::deque<WaitingWork> taken;
   for (auto& [name, queue] : m_queues) {
     const auto first =
-        std::stable_partition(queue.work.begin(), queue.work.end(), std::not_fn(is_hopeless));
+        std::stable_partition(queue.work.begin(), queue.work.end(), std::not_fn(predicate));
     for (auto work = first; work != queue.work.end(); ++work) {
       queue.waiting_cost -= work->request.cost;
       taken.push_back(std::move(*work));
--- a/packages/zinnia_decisions/admission/fair_queue.h
+++ b/packages/zinnia_decisions/admission/fair_queue.h
@@ -45,8 +45,8 @@
       queued organisations stay backlogged. */
   double CostAhead(const OrganisationName& organisation, double cost, double weight) const;
 
-  /** Removes and returns all requests for which `is_hopeless` returns true. */
-  std::deque<WaitingWork> RemoveIf(const std::function<bool(const WaitingWork&)>& is_hopeless);
+  /** Removes and returns all requests for which `predicate` returns true. */
+  std::deque<WaitingWork> RemoveIf(const std::function<bool(const WaitingWork&)>& predicate);
 
  private:
   struct OrganisationQueue {
