--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -20,7 +20,7 @@
 }
 
 void FairQueue::Push(WaitingWork work, double weight) {
-  ForgetIdle();
+  EvictIdle();
   OrganisationQueue& queue = m_queues[work.request.organisation];
   work.start_tag = Enter(queue, work.request.cost, weight);
   queue.waiting_cost += work.request.cost;
@@ -47,7 +47,7 @@
 void FairQueue::OnAdmittedDirectly(const OrganisationName& organisation,
                                    double cost,
                                    double weight) {
-  ForgetIdle();
+  EvictIdle();
   m_virtual_time = std::max(m_virtual_time, Enter(m_queues[organisation], cost, weight));
 }
 
@@ -106,7 +106,7 @@
   return next;
 }
 
-void FairQueue::ForgetIdle() {
+void FairQueue::EvictIdle() {
   if (m_queues.size() < kRememberedOrganisations) {
     return;
   }
--- a/packages/zinnia_decisions/admission/fair_queue.h
+++ b/packages/zinnia_decisions/admission/fair_queue.h
@@ -62,7 +62,7 @@
   double EarliestStart(double cost, double weight) const;
   double Enter(OrganisationQueue& queue, double cost, double weight);
   Queues::const_iterator FindNext() const;
-  void ForgetIdle();
+  void EvictIdle();
 
   Queues m_queues;
   std::size_t m_waiting = 0;
