--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -22,7 +22,7 @@
 void FairQueue::Push(WaitingWork work, double weight) {
   EvictIdle();
   OrganisationQueue& queue = m_queues[work.request.organisation];
-  work.start_tag = Enter(queue, work.request.cost, weight);
+  work.start_tag = AssignStartTag(queue, work.request.cost, weight);
   queue.waiting_cost += work.request.cost;
   queue.work.push_back(std::move(work));
   ++m_waiting;
@@ -48,7 +48,7 @@
                                    double cost,
                                    double weight) {
   EvictIdle();
-  m_virtual_time = std::max(m_virtual_time, Enter(m_queues[organisation], cost, weight));
+  m_virtual_time = std::max(m_virtual_time, AssignStartTag(m_queues[organisation], cost, weight));
 }
 
 double FairQueue::CostAhead(const OrganisationName& organisation,
@@ -83,7 +83,7 @@
   return taken;
 }
 
-double FairQueue::Enter(OrganisationQueue& queue, double cost, double weight) {
+double FairQueue::AssignStartTag(OrganisationQueue& queue, double cost, double weight) {
   queue.weight = weight;
   const double start_tag = std::max(EarliestStart(cost, weight), queue.finish_tag);
   queue.finish_tag = start_tag + cost / weight;
