--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -56,7 +56,7 @@
                             double weight) const {
   const auto own = m_queues.find(organisation);
   const double own_finish = own == m_queues.end() ? 0.0 : own->second.finish_tag;
-  const double start = std::max(EarliestStart(cost, weight), own_finish);
+  const double start = std::max(EarliestStartTag(cost, weight), own_finish);
   double ahead = own == m_queues.end() ? 0.0 : own->second.waiting_cost;
   for (const auto& [name, queue] : m_queues) {
     if (name != organisation && !queue.work.empty()) {
@@ -85,12 +85,12 @@
 
 double FairQueue::AssignStartTag(OrganisationQueue& queue, double cost, double weight) {
   queue.weight = weight;
-  const double start_tag = std::max(EarliestStart(cost, weight), queue.finish_tag);
+  const double start_tag = std::max(EarliestStartTag(cost, weight), queue.finish_tag);
   queue.finish_tag = start_tag + cost / weight;
   return start_tag;
 }
 
-double FairQueue::EarliestStart(double cost, double weight) const {
+double FairQueue::EarliestStartTag(double cost, double weight) const {
   return m_virtual_time - kSavedRequests * cost / weight;
 }
 
--- a/packages/zinnia_decisions/admission/fair_queue.h
+++ b/packages/zinnia_decisions/admission/fair_queue.h
@@ -59,7 +59,7 @@
 
   /** The lowest start tag that a new request may get. It precedes the virtual time so that an
       organisation below its share can send two requests in quick succession without delay. */
-  double EarliestStart(double cost, double weight) const;
+  double EarliestStartTag(double cost, double weight) const;
   double AssignStartTag(OrganisationQueue& queue, double cost, double weight);
   Queues::const_iterator FindNext() const;
   void EvictIdle();
