--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -10,7 +10,7 @@
 constexpr std::size_t kRememberedOrganisations = 4'096;
 
 /** Number of requests that an idle organisation can save up. */
-constexpr double kSavedRequests = 1.0;
+constexpr double kMaxSavedRequests = 1.0;
 
 }  // namespace
 
@@ -91,7 +91,7 @@
 }
 
 double FairQueue::EarliestStartTag(double cost, double weight) const {
-  return m_virtual_time - kSavedRequests * cost / weight;
+  return m_virtual_time - kMaxSavedRequests * cost / weight;
 }
 
 FairQueue::Queues::const_iterator FairQueue::FindNext() const {
