--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -7,7 +7,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kRememberedOrganisations = 4'096;
+constexpr std::size_t kMaxTrackedOrganisations = 4'096;
 
 /** Number of requests that an idle organisation can save up. */
 constexpr double kMaxSavedRequests = 1.0;
@@ -107,7 +107,7 @@
 }
 
 void FairQueue::EvictIdle() {
-  if (m_queues.size() < kRememberedOrganisations) {
+  if (m_queues.size() < kMaxTrackedOrganisations) {
     return;
   }
   std::erase_if(m_queues, [this](const auto& entry) {
