--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -207,7 +207,7 @@
 
 void FairAdmissionController::Dispatch(Pool& pool) {
   const auto this_call = std::move(pool.dispatch);
-  RefuseHopeless(pool);
+  RefuseOverdue(pool);
   while (!pool.queue.Empty() && Fits(pool, pool.queue.Next().request.cost)) {
     const WaitingWork work = pool.queue.PopNext();
     Admit(pool, work.request, work.callback);
@@ -218,7 +218,7 @@
   }
 }
 
-void FairAdmissionController::RefuseHopeless(Pool& pool) {
+void FairAdmissionController::RefuseOverdue(Pool& pool) {
   const auto hopeless = pool.queue.RemoveIf([&](const WaitingWork& work) {
     return m_clock.Now() - work.queued_at > m_settings.longest_wait ||
            WouldMiss(pool, work.request, Duration::zero());
--- a/packages/zinnia_decisions/admission/fair_admission_controller.h
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.h
@@ -57,7 +57,7 @@
   void OnReleased(const AdmissionRequest& request, TimePoint admitted_at);
   void DispatchLater(Pool& pool, Duration delay);
   void Dispatch(Pool& pool);
-  void RefuseHopeless(Pool& pool);
+  void RefuseOverdue(Pool& pool);
 
   const Clock& m_clock;
   Scheduler& m_scheduler;
