--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -219,11 +219,11 @@
 }
 
 void FairAdmissionController::RefuseOverdue(Pool& pool) {
-  const auto hopeless = pool.queue.RemoveIf([&](const WaitingWork& work) {
+  const auto overdue = pool.queue.RemoveIf([&](const WaitingWork& work) {
     return m_clock.Now() - work.queued_at > m_settings.longest_wait ||
            WouldMiss(pool, work.request, Duration::zero());
   });
-  for (const WaitingWork& work : hopeless) {
+  for (const WaitingWork& work : overdue) {
     const bool missed = WouldMiss(pool, work.request, Duration::zero());
     const ErrorKind kind = missed ? ErrorKind::kDeadlineUnmeetable : ErrorKind::kOverloaded;
     Refuse(pool, kind, work.request, work.callback);
