--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -61,12 +61,12 @@
 FairAdmissionController::~FairAdmissionController() = default;
 
 void FairAdmissionController::Request(AdmissionRequest request, Callback callback) {
-  const auto come_back = m_limits.TryAcquire(request.organisation, m_clock.Now(), m_random);
-  if (come_back) {
+  const auto retry_delay = m_limits.TryAcquire(request.organisation, m_clock.Now(), m_random);
+  if (retry_delay) {
     Error error = MakeError(
         ErrorKind::kRateLimited,
         fmt::format("organisation \"{}\" is at the limit of its contract", request.organisation));
-    error.retry_after = *come_back;
+    error.retry_after = *retry_delay;
     callback(error);
     return;
   }
