--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -163,10 +163,10 @@
 
 Duration FairAdmissionController::PredictWait(const Pool& pool,
                                               const AdmissionRequest& request) const {
-  const double overhang = std::max(0.0, pool.in_use + request.cost - pool.capacity);
+  const double excess_cost = std::max(0.0, pool.in_use + request.cost - pool.capacity);
   const double ahead = pool.queue.CostAhead(request.organisation, request.cost,
                                             m_limits.WeightOf(request.organisation)) +
-                       overhang;
+                       excess_cost;
   const double rate = pool.meter.DrainRate(m_clock.Now(), pool.capacity);
   const double seconds = std::min(3'600.0, ahead / std::max(rate, 1e-9));
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
