--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -180,7 +180,7 @@
   }
   const TimePoint now = m_clock.Now();
   const double used = pool.capacity > 0.0 ? (pool.in_use + request.cost) / pool.capacity : 1.0;
-  const Duration service = pool.meter.Stretched(now, request.expected_service_time, used);
+  const Duration service = pool.meter.PredictServiceTime(now, request.expected_service_time, used);
   return now + wait + service > *request.deadline;
 }
 
--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -52,7 +52,7 @@
   return measured ? std::min(by_held_time, MeasuredRate(now)) : by_held_time;
 }
 
-Duration ServiceMeter::Stretched(TimePoint now, Duration expected, double used) const {
+Duration ServiceMeter::PredictServiceTime(TimePoint now, Duration expected, double used) const {
   const double factor = m_stretch + m_settings.deviations_of_service_time * m_stretch_deviation;
   const double excess = std::max(0.0, factor - 1.0) * std::clamp(used, 0.0, 1.0) * Fading(now);
   return std::chrono::duration_cast<Duration>(expected * (1.0 + excess));
--- a/packages/zinnia_decisions/admission/service_meter.h
+++ b/packages/zinnia_decisions/admission/service_meter.h
@@ -24,7 +24,7 @@
       The observed slowdown is scaled by the utilisation and decays while nothing finishes.
       Otherwise slow answers during a failure could cause all later requests to be refused, and
       no new measurement would correct the estimate. */
-  Duration Stretched(TimePoint now, Duration expected, double used) const;
+  Duration PredictServiceTime(TimePoint now, Duration expected, double used) const;
 
   /** Returns the part of the capacity to use. It shrinks when answers take longer than expected,
       since further requests would only queue inside the engines, where they cannot be refused. */
