--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -100,7 +100,7 @@
 
 bool FairAdmissionController::Fits(const Pool& pool, double cost) const {
   const bool alone = pool.in_use <= 0.0 && pool.capacity > 0.0;
-  return alone || pool.in_use + cost <= pool.capacity * pool.meter.UsefulConcurrency();
+  return alone || pool.in_use + cost <= pool.capacity * pool.meter.UsableCapacityShare();
 }
 
 void FairAdmissionController::RequestInPool(Pool& pool,
--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -58,7 +58,7 @@
   return std::chrono::duration_cast<Duration>(expected * (1.0 + excess));
 }
 
-double ServiceMeter::UsefulConcurrency() const {
+double ServiceMeter::UsableCapacityShare() const {
   return std::clamp(kToleratedStretch / m_stretch, kLeastUsefulConcurrency, 1.0);
 }
 
--- a/packages/zinnia_decisions/admission/service_meter.h
+++ b/packages/zinnia_decisions/admission/service_meter.h
@@ -28,7 +28,7 @@
 
   /** Returns the part of the capacity to use. It shrinks when answers take longer than expected,
       since further requests would only queue inside the engines, where they cannot be refused. */
-  double UsefulConcurrency() const;
+  double UsableCapacityShare() const;
 
  private:
   double MeasuredRate(TimePoint now) const;
