--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -54,7 +54,7 @@
 
 Duration ServiceMeter::PredictServiceTime(TimePoint now, Duration expected, double used) const {
   const double factor = m_stretch + m_settings.deviations_of_service_time * m_stretch_deviation;
-  const double excess = std::max(0.0, factor - 1.0) * std::clamp(used, 0.0, 1.0) * Fading(now);
+  const double excess = std::max(0.0, factor - 1.0) * std::clamp(used, 0.0, 1.0) * DecayFactor(now);
   return std::chrono::duration_cast<Duration>(expected * (1.0 + excess));
 }
 
@@ -62,12 +62,12 @@
   return std::clamp(kToleratedStretch / m_stretch, kLeastUsefulConcurrency, 1.0);
 }
 
-double ServiceMeter::Fading(TimePoint now) const {
+double ServiceMeter::DecayFactor(TimePoint now) const {
   return std::exp(-Seconds(now - m_rate_at) / Seconds(m_settings.drain_window));
 }
 
 double ServiceMeter::MeasuredRate(TimePoint now) const {
-  return m_rate * Fading(now);
+  return m_rate * DecayFactor(now);
 }
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/admission/service_meter.h
+++ b/packages/zinnia_decisions/admission/service_meter.h
@@ -32,7 +32,7 @@
 
  private:
   double MeasuredRate(TimePoint now) const;
-  double Fading(TimePoint now) const;
+  double DecayFactor(TimePoint now) const;
 
   AdmissionSettings m_settings;
   double m_mean_cost = 0.0;
