--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -31,8 +31,8 @@
   m_mean_cost += kLearningShare * (cost - m_mean_cost);
   m_mean_cost_seconds += kLearningShare * (cost * held_seconds - m_mean_cost_seconds);
   if (expected > Duration::zero()) {
-    const double error = held_seconds / Seconds(expected) - m_stretch;
-    m_stretch += kLearningShare * error;
+    const double error = held_seconds / Seconds(expected) - m_service_time_ratio;
+    m_service_time_ratio += kLearningShare * error;
     m_stretch_deviation += kLearningShare * (std::abs(error) - m_stretch_deviation);
   }
 }
@@ -53,13 +53,14 @@
 }
 
 Duration ServiceMeter::PredictServiceTime(TimePoint now, Duration expected, double used) const {
-  const double factor = m_stretch + m_settings.deviations_of_service_time * m_stretch_deviation;
+  const double factor =
+      m_service_time_ratio + m_settings.deviations_of_service_time * m_stretch_deviation;
   const double excess = std::max(0.0, factor - 1.0) * std::clamp(used, 0.0, 1.0) * DecayFactor(now);
   return std::chrono::duration_cast<Duration>(expected * (1.0 + excess));
 }
 
 double ServiceMeter::UsableCapacityShare() const {
-  return std::clamp(kToleratedStretch / m_stretch, kLeastUsefulConcurrency, 1.0);
+  return std::clamp(kToleratedStretch / m_service_time_ratio, kLeastUsefulConcurrency, 1.0);
 }
 
 double ServiceMeter::DecayFactor(TimePoint now) const {
--- a/packages/zinnia_decisions/admission/service_meter.h
+++ b/packages/zinnia_decisions/admission/service_meter.h
@@ -41,7 +41,7 @@
   TimePoint m_rate_at{};
   bool m_busy = false;
   TimePoint m_busy_since{};
-  double m_stretch = 1.0;
+  double m_service_time_ratio = 1.0;
   double m_stretch_deviation = 0.0;
 };
 
