--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -33,7 +33,8 @@
   if (expected > Duration::zero()) {
     const double error = held_seconds / Seconds(expected) - m_service_time_ratio;
     m_service_time_ratio += kLearningShare * error;
-    m_stretch_deviation += kLearningShare * (std::abs(error) - m_stretch_deviation);
+    m_service_time_ratio_deviation +=
+        kLearningShare * (std::abs(error) - m_service_time_ratio_deviation);
   }
 }
 
@@ -54,7 +55,7 @@
 
 Duration ServiceMeter::PredictServiceTime(TimePoint now, Duration expected, double used) const {
   const double factor =
-      m_service_time_ratio + m_settings.deviations_of_service_time * m_stretch_deviation;
+      m_service_time_ratio + m_settings.deviations_of_service_time * m_service_time_ratio_deviation;
   const double excess = std::max(0.0, factor - 1.0) * std::clamp(used, 0.0, 1.0) * DecayFactor(now);
   return std::chrono::duration_cast<Duration>(expected * (1.0 + excess));
 }
--- a/packages/zinnia_decisions/admission/service_meter.h
+++ b/packages/zinnia_decisions/admission/service_meter.h
@@ -42,7 +42,7 @@
   bool m_busy = false;
   TimePoint m_busy_since{};
   double m_service_time_ratio = 1.0;
-  double m_stretch_deviation = 0.0;
+  double m_service_time_ratio_deviation = 0.0;
 };
 
 }  // namespace zinnia
