--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -6,7 +6,7 @@
 namespace zinnia {
 namespace {
 
-constexpr double kLearningShare = 0.05;
+constexpr double kSmoothingFactor = 0.05;
 constexpr double kToleratedStretch = 1.1;
 constexpr double kLeastUsefulConcurrency = 0.6;
 constexpr double kLeastHeldSeconds = 0.001;
@@ -28,13 +28,13 @@
   m_rate = MeasuredRate(now) + cost / Seconds(m_settings.drain_window);
   m_rate_at = now;
   const double held_seconds = std::max(Seconds(held), kLeastHeldSeconds);
-  m_mean_cost += kLearningShare * (cost - m_mean_cost);
-  m_mean_cost_seconds += kLearningShare * (cost * held_seconds - m_mean_cost_seconds);
+  m_mean_cost += kSmoothingFactor * (cost - m_mean_cost);
+  m_mean_cost_seconds += kSmoothingFactor * (cost * held_seconds - m_mean_cost_seconds);
   if (expected > Duration::zero()) {
     const double error = held_seconds / Seconds(expected) - m_service_time_ratio;
-    m_service_time_ratio += kLearningShare * error;
+    m_service_time_ratio += kSmoothingFactor * error;
     m_service_time_ratio_deviation +=
-        kLearningShare * (std::abs(error) - m_service_time_ratio_deviation);
+        kSmoothingFactor * (std::abs(error) - m_service_time_ratio_deviation);
   }
 }
 
