--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kSmoothingFactor = 0.05;
-constexpr double kToleratedStretch = 1.1;
+constexpr double kToleratedServiceTimeRatio = 1.1;
 constexpr double kLeastUsefulConcurrency = 0.6;
 constexpr double kLeastHeldSeconds = 0.001;
 
@@ -61,7 +61,8 @@
 }
 
 double ServiceMeter::UsableCapacityShare() const {
-  return std::clamp(kToleratedStretch / m_service_time_ratio, kLeastUsefulConcurrency, 1.0);
+  return std::clamp(kToleratedServiceTimeRatio / m_service_time_ratio, kLeastUsefulConcurrency,
+                    1.0);
 }
 
 double ServiceMeter::DecayFactor(TimePoint now) const {
