--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -8,7 +8,7 @@
 
 constexpr double kSmoothingFactor = 0.05;
 constexpr double kToleratedServiceTimeRatio = 1.1;
-constexpr double kLeastUsefulConcurrency = 0.6;
+constexpr double kMinUsableCapacityShare = 0.6;
 constexpr double kLeastHeldSeconds = 0.001;
 
 double Seconds(Duration duration) {
@@ -61,7 +61,7 @@
 }
 
 double ServiceMeter::UsableCapacityShare() const {
-  return std::clamp(kToleratedServiceTimeRatio / m_service_time_ratio, kLeastUsefulConcurrency,
+  return std::clamp(kToleratedServiceTimeRatio / m_service_time_ratio, kMinUsableCapacityShare,
                     1.0);
 }
 
