--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -9,7 +9,7 @@
 constexpr double kSmoothingFactor = 0.05;
 constexpr double kToleratedServiceTimeRatio = 1.1;
 constexpr double kMinUsableCapacityShare = 0.6;
-constexpr double kLeastHeldSeconds = 0.001;
+constexpr double kMinHeldSeconds = 0.001;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -20,14 +20,14 @@
 void ServiceMeter::OnAdmitted(double cost, Duration expected) {
   if (m_mean_cost == 0.0) {
     m_mean_cost = cost;
-    m_mean_cost_seconds = cost * std::max(Seconds(expected), kLeastHeldSeconds);
+    m_mean_cost_seconds = cost * std::max(Seconds(expected), kMinHeldSeconds);
   }
 }
 
 void ServiceMeter::OnFinished(TimePoint now, double cost, Duration held, Duration expected) {
   m_rate = MeasuredRate(now) + cost / Seconds(m_settings.drain_window);
   m_rate_at = now;
-  const double held_seconds = std::max(Seconds(held), kLeastHeldSeconds);
+  const double held_seconds = std::max(Seconds(held), kMinHeldSeconds);
   m_mean_cost += kSmoothingFactor * (cost - m_mean_cost);
   m_mean_cost_seconds += kSmoothingFactor * (cost * held_seconds - m_mean_cost_seconds);
   if (expected > Duration::zero()) {
@@ -47,7 +47,7 @@
 
 double ServiceMeter::DrainRate(TimePoint now, double capacity) const {
   const double held_seconds = m_mean_cost > 0.0 ? m_mean_cost_seconds / m_mean_cost : 1.0;
-  const double by_held_time = capacity / std::max(held_seconds, kLeastHeldSeconds);
+  const double by_held_time = capacity / std::max(held_seconds, kMinHeldSeconds);
   // Held times are updated on completion only, so a stall shows in the measured rate alone.
   const bool measured = m_busy && now - m_busy_since >= m_settings.drain_window;
   return measured ? std::min(by_held_time, MeasuredRate(now)) : by_held_time;
