--- a/packages/zinnia_decisions/admission/admission_settings.h
+++ b/packages/zinnia_decisions/admission/admission_settings.h
@@ -10,7 +10,7 @@
 /** Limits and time constants of FairAdmissionController. */
 struct AdmissionSettings {
   /** Upper bound of the queueing time. A request predicted to exceed it is refused on arrival. */
-  Duration longest_wait = std::chrono::milliseconds(800);
+  Duration max_wait = std::chrono::milliseconds(800);
 
   std::size_t highest_waiting_per_organisation = 256;
   std::size_t highest_waiting_per_pool = 2'048;
--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -120,7 +120,7 @@
   const bool full =
       pool.queue.Waiting() >= m_settings.highest_waiting_per_pool ||
       pool.queue.WaitingOf(request.organisation) >= m_settings.highest_waiting_per_organisation;
-  if (full || wait > m_settings.longest_wait) {
+  if (full || wait > m_settings.max_wait) {
     Refuse(pool, ErrorKind::kOverloaded, request, callback);
   } else if (WouldMiss(pool, request, wait)) {
     Refuse(pool, ErrorKind::kDeadlineUnmeetable, request, callback);
@@ -220,7 +220,7 @@
 
 void FairAdmissionController::RefuseOverdue(Pool& pool) {
   const auto overdue = pool.queue.RemoveIf([&](const WaitingWork& work) {
-    return m_clock.Now() - work.queued_at > m_settings.longest_wait ||
+    return m_clock.Now() - work.queued_at > m_settings.max_wait ||
            WouldMiss(pool, work.request, Duration::zero());
   });
   for (const WaitingWork& work : overdue) {
--- a/tests/routing/admission_test.cc
+++ b/tests/routing/admission_test.cc
@@ -211,7 +211,7 @@
 
 TEST(Admission, TheQueueIsBoundedForEachOrganisation) {
   AdmissionSettings settings;
-  settings.longest_wait = seconds(3'600);
+  settings.max_wait = seconds(3'600);
   settings.highest_waiting_per_organisation = 7;
   FairAdmissionController admission(m_time, m_time, RandomSource(1), settings);
   admission.SetPoolCapacity("pool", 1.0);
