--- a/tests/routing/admission_test.cc
+++ b/tests/routing/admission_test.cc
@@ -212,7 +212,7 @@
 TEST(Admission, TheQueueIsBoundedForEachOrganisation) {
   AdmissionSettings settings;
   settings.max_wait = seconds(3'600);
-  settings.highest_waiting_per_organisation = 7;
+  settings.max_waiting_per_organisation = 7;
   FairAdmissionController admission(m_time, m_time, RandomSource(1), settings);
   admission.SetPoolCapacity("pool", 1.0);
   std::vector<std::unique_ptr<AdmissionGrant>> grants;
