--- a/packages/zinnia_decisions/admission/admission_settings.h
+++ b/packages/zinnia_decisions/admission/admission_settings.h
@@ -13,7 +13,7 @@
   Duration max_wait = std::chrono::milliseconds(800);
 
   std::size_t max_waiting_per_organisation = 256;
-  std::size_t highest_waiting_per_pool = 2'048;
+  std::size_t max_waiting_per_pool = 2'048;
 
   /** Number of mean deviations added to the mean ratio of observed to expected service time when
       a deadline is checked. */
--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -118,7 +118,7 @@
   }
   const Duration wait = PredictWait(pool, request);
   const bool full =
-      pool.queue.Waiting() >= m_settings.highest_waiting_per_pool ||
+      pool.queue.Waiting() >= m_settings.max_waiting_per_pool ||
       pool.queue.WaitingOf(request.organisation) >= m_settings.max_waiting_per_organisation;
   if (full || wait > m_settings.max_wait) {
     Refuse(pool, ErrorKind::kOverloaded, request, callback);
