--- a/packages/zinnia_decisions/admission/admission_settings.h
+++ b/packages/zinnia_decisions/admission/admission_settings.h
@@ -17,7 +17,7 @@
 
   /** Number of mean deviations added to the mean ratio of observed to expected service time when
       a deadline is checked. */
-  double deviations_of_service_time = 2.0;
+  double service_time_deviations = 2.0;
 
   /** Time constant of the exponential average of the drain rate. */
   Duration drain_window = std::chrono::seconds(3);
--- a/packages/zinnia_decisions/admission/service_meter.cc
+++ b/packages/zinnia_decisions/admission/service_meter.cc
@@ -55,7 +55,7 @@
 
 Duration ServiceMeter::PredictServiceTime(TimePoint now, Duration expected, double used) const {
   const double factor =
-      m_service_time_ratio + m_settings.deviations_of_service_time * m_service_time_ratio_deviation;
+      m_service_time_ratio + m_settings.service_time_deviations * m_service_time_ratio_deviation;
   const double excess = std::max(0.0, factor - 1.0) * std::clamp(used, 0.0, 1.0) * DecayFactor(now);
   return std::chrono::duration_cast<Duration>(expected * (1.0 + excess));
 }
