--- a/packages/zinnia_decisions/admission/admission_settings.h
+++ b/packages/zinnia_decisions/admission/admission_settings.h
@@ -22,7 +22,7 @@
   /** Time constant of the exponential average of the drain rate. */
   Duration drain_window = std::chrono::seconds(3);
 
-  std::chrono::milliseconds shortest_retry_after{1'000};
+  std::chrono::milliseconds min_retry_after{1'000};
   std::chrono::milliseconds longest_retry_after{60'000};
 
   /** Part of the drain rate that Retry-After values may assign to retries. */
