--- a/packages/zinnia_decisions/admission/admission_settings.h
+++ b/packages/zinnia_decisions/admission/admission_settings.h
@@ -23,7 +23,7 @@
   Duration drain_window = std::chrono::seconds(3);
 
   std::chrono::milliseconds min_retry_after{1'000};
-  std::chrono::milliseconds longest_retry_after{60'000};
+  std::chrono::milliseconds max_retry_after{60'000};
 
   /** Part of the drain rate that Retry-After values may assign to retries. */
   double share_for_returning = 0.5;
--- a/packages/zinnia_decisions/admission/retry_after_planner.cc
+++ b/packages/zinnia_decisions/admission/retry_after_planner.cc
@@ -10,7 +10,7 @@
                                                          double cost_per_second,
                                                          RandomSource& random) {
   const Duration shortest = std::max<Duration>(earliest, m_settings.min_retry_after);
-  const Duration longest = m_settings.longest_retry_after;
+  const Duration longest = m_settings.max_retry_after;
   const std::chrono::duration<double> room(
       std::min(cost / std::max(cost_per_second, 1e-9), 3'600.0));
   m_reserved_until =
