--- a/packages/zinnia_decisions/admission/admission_settings.h
+++ b/packages/zinnia_decisions/admission/admission_settings.h
@@ -26,7 +26,7 @@
   std::chrono::milliseconds max_retry_after{60'000};
 
   /** Part of the drain rate that Retry-After values may assign to retries. */
-  double share_for_returning = 0.5;
+  double retry_share_of_drain_rate = 0.5;
 
   /** Retry-After is multiplied by a random factor between 1 - jitter and 1 + jitter. */
   double retry_after_jitter = 0.25;
--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -157,7 +157,7 @@
                         pool.name, pool.queue.Waiting()));
   error.retry_after =
       pool.returns.ReserveSlot(m_clock.Now(), PredictWait(pool, request), request.cost,
-                               rate * m_settings.share_for_returning, m_random);
+                               rate * m_settings.retry_share_of_drain_rate, m_random);
   callback(error);
 }
 
