--- a/packages/zinnia_apps/daemon/traffic_side.cc
+++ b/packages/zinnia_apps/daemon/traffic_side.cc
@@ -40,7 +40,7 @@
  */
 RetryBudgetSettings RecoveryBudget() {
   RetryBudgetSettings settings;
-  settings.share_of_first_tries = 1.0;
+  settings.tokens_per_first_attempt = 1.0;
   settings.initial = 32.0;
   settings.highest = 2'000.0;
   return settings;
--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -9,7 +9,7 @@
 
 void RetryBudget::OnFirstTry(const OrganisationName& organisation, const std::string& pool) {
   Bucket& bucket = BucketOf(organisation, pool);
-  bucket.tokens = std::min(m_settings.highest, bucket.tokens + m_settings.share_of_first_tries);
+  bucket.tokens = std::min(m_settings.highest, bucket.tokens + m_settings.tokens_per_first_attempt);
 }
 
 bool RetryBudget::TrySpend(const OrganisationName& organisation, const std::string& pool) {
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -13,7 +13,7 @@
 /** Limits of RetryBudget. */
 struct RetryBudgetSettings {
   /** Tokens added for each first attempt; a retry takes one token. */
-  double share_of_first_tries = 0.1;
+  double tokens_per_first_attempt = 0.1;
 
   /** Tokens in a new bucket, and the capacity of a bucket. */
   double initial = 3.0;
