--- a/packages/zinnia_apps/daemon/traffic_side.cc
+++ b/packages/zinnia_apps/daemon/traffic_side.cc
@@ -41,7 +41,7 @@
 RetryBudgetSettings RecoveryBudget() {
   RetryBudgetSettings settings;
   settings.tokens_per_first_attempt = 1.0;
-  settings.initial = 32.0;
+  settings.initial_tokens = 32.0;
   settings.highest = 2'000.0;
   return settings;
 }
--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -33,7 +33,7 @@
     if (m_buckets.size() >= m_settings.highest_entries) {
       DropOldest();
     }
-    return m_buckets[{organisation, pool}] = {m_settings.initial, now};
+    return m_buckets[{organisation, pool}] = {m_settings.initial_tokens, now};
   }
   Bucket& bucket = found->second;
   const double seconds = std::chrono::duration<double>(now - bucket.refilled_at).count();
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -16,7 +16,7 @@
   double tokens_per_first_attempt = 0.1;
 
   /** Tokens in a new bucket, and the capacity of a bucket. */
-  double initial = 3.0;
+  double initial_tokens = 3.0;
   double highest = 50.0;
 
   /** Refill rate without first attempts, so that organisations with little traffic can retry. */
