--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -30,7 +30,7 @@
   const TimePoint now = m_clock.Now();
   const auto found = m_buckets.find({organisation, pool});
   if (found == m_buckets.end()) {
-    if (m_buckets.size() >= m_settings.highest_entries) {
+    if (m_buckets.size() >= m_settings.max_entries) {
       DropOldest();
     }
     return m_buckets[{organisation, pool}] = {m_settings.initial_tokens, now};
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -22,7 +22,7 @@
   /** Refill rate without first attempts, so that organisations with little traffic can retry. */
   double per_second = 0.05;
 
-  std::size_t highest_entries = 4096;
+  std::size_t max_entries = 4096;
 };
 
 /** Limits retries per organisation and pool by a token bucket that first attempts refill.
