--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -22,7 +22,8 @@
 }
 
 std::chrono::milliseconds RetryBudget::TimeToOneRetry() const {
-  return std::chrono::milliseconds(static_cast<std::int64_t>(1'000.0 / m_settings.per_second));
+  return std::chrono::milliseconds(
+      static_cast<std::int64_t>(1'000.0 / m_settings.tokens_per_second));
 }
 
 RetryBudget::Bucket& RetryBudget::BucketOf(const OrganisationName& organisation,
@@ -37,7 +38,8 @@
   }
   Bucket& bucket = found->second;
   const double seconds = std::chrono::duration<double>(now - bucket.refilled_at).count();
-  bucket.tokens = std::min(m_settings.highest, bucket.tokens + seconds * m_settings.per_second);
+  bucket.tokens =
+      std::min(m_settings.highest, bucket.tokens + seconds * m_settings.tokens_per_second);
   bucket.refilled_at = now;
   return bucket;
 }
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -20,7 +20,7 @@
   double highest = 50.0;
 
   /** Refill rate without first attempts, so that organisations with little traffic can retry. */
-  double per_second = 0.05;
+  double tokens_per_second = 0.05;
 
   std::size_t max_entries = 4096;
 };
