--- a/packages/zinnia_adapters/services/service_forwarder.cc
+++ b/packages/zinnia_adapters/services/service_forwarder.cc
@@ -57,7 +57,7 @@
   attempt->give_up_at = m_clock.Now() + call.contract.timeout;
   attempt->call = std::move(call);
   attempt->callback = std::move(callback);
-  m_retry_budget.OnFirstTry(attempt->call.organisation, attempt->call.contract.name);
+  m_retry_budget.OnFirstAttempt(attempt->call.organisation, attempt->call.contract.name);
   Try(attempt);
 }
 
--- a/packages/zinnia_decisions/admission/budgeted_recovery_gate.cc
+++ b/packages/zinnia_decisions/admission/budgeted_recovery_gate.cc
@@ -25,7 +25,7 @@
   if (m_quarantine.IsQuarantined(request.fingerprint)) {
     return Quarantined(request, WasRun::kNo);
   }
-  m_budget.OnFirstTry(request.organisation, request.model);
+  m_budget.OnFirstAttempt(request.organisation, request.model);
   return {};
 }
 
--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -7,7 +7,7 @@
 RetryBudget::RetryBudget(const Clock& clock, RetryBudgetSettings settings)
     : m_clock(clock), m_settings(settings) {}
 
-void RetryBudget::OnFirstTry(const OrganisationName& organisation, const std::string& pool) {
+void RetryBudget::OnFirstAttempt(const OrganisationName& organisation, const std::string& pool) {
   Bucket& bucket = BucketOf(organisation, pool);
   bucket.tokens = std::min(m_settings.highest, bucket.tokens + m_settings.tokens_per_first_attempt);
 }
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -35,7 +35,7 @@
  public:
   explicit RetryBudget(const Clock& clock, RetryBudgetSettings settings = {});
 
-  void OnFirstTry(const OrganisationName& organisation, const std::string& pool);
+  void OnFirstAttempt(const OrganisationName& organisation, const std::string& pool);
 
   /** Takes one token; returns false if none is left. */
   [[nodiscard]] bool TrySpend(const OrganisationName& organisation, const std::string& pool);
