--- a/packages/zinnia_decisions/admission/budgeted_recovery_gate.cc
+++ b/packages/zinnia_decisions/admission/budgeted_recovery_gate.cc
@@ -45,7 +45,7 @@
           "backend server \"{}\" failed ({}) and organisation \"{}\" has no retry budget left",
           server, NameOf(cause), request.organisation));
   error.was_run = WasRun::kUnknown;
-  error.retry_after = m_budget.TimeToOneRetry();
+  error.retry_after = m_budget.TimeToNextToken();
   return error;
 }
 
--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -21,7 +21,7 @@
   return true;
 }
 
-std::chrono::milliseconds RetryBudget::TimeToOneRetry() const {
+std::chrono::milliseconds RetryBudget::TimeToNextToken() const {
   return std::chrono::milliseconds(
       static_cast<std::int64_t>(1'000.0 / m_settings.tokens_per_second));
 }
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -41,7 +41,7 @@
   [[nodiscard]] bool TrySpend(const OrganisationName& organisation, const std::string& pool);
 
   /** Time in which the refill rate alone adds one token. */
-  std::chrono::milliseconds TimeToOneRetry() const;
+  std::chrono::milliseconds TimeToNextToken() const;
 
  private:
   struct Bucket {
