--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -32,7 +32,7 @@
   const auto found = m_buckets.find({organisation, pool});
   if (found == m_buckets.end()) {
     if (m_buckets.size() >= m_settings.max_entries) {
-      DropOldest();
+      EvictOldest();
     }
     return m_buckets[{organisation, pool}] = {m_settings.initial_tokens, now};
   }
@@ -44,7 +44,7 @@
   return bucket;
 }
 
-void RetryBudget::DropOldest() {
+void RetryBudget::EvictOldest() {
   m_buckets.erase(std::ranges::min_element(
       m_buckets, {}, [](const auto& entry) { return entry.second.refilled_at; }));
 }
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -50,7 +50,7 @@
   };
 
   Bucket& BucketOf(const OrganisationName& organisation, const std::string& pool);
-  void DropOldest();
+  void EvictOldest();
 
   const Clock& m_clock;
   const RetryBudgetSettings m_settings;
