--- a/packages/zinnia_decisions/admission/credit_ledger.cc
+++ b/packages/zinnia_decisions/admission/credit_ledger.cc
@@ -16,7 +16,7 @@
   }
   auto row = m_rows.find({organisation, request_class});
   if (row == m_rows.end()) {
-    const bool full = m_rows.size() >= m_highest_rows;
+    const bool full = m_rows.size() >= m_max_rows;
     row = m_rows.try_emplace({full ? kOtherOrganisations : organisation, request_class}).first;
   }
   ++row->second.requests;
--- a/packages/zinnia_decisions/admission/credit_ledger.h
+++ b/packages/zinnia_decisions/admission/credit_ledger.h
@@ -28,7 +28,7 @@
   using Rows = std::map<std::pair<OrganisationName, RequestClass>, Credit>;
 
   explicit CreditLedger(std::size_t remembered_requests = 65'536, std::size_t highest_rows = 2'048)
-      : m_remembered_requests(remembered_requests), m_highest_rows(highest_rows) {}
+      : m_remembered_requests(remembered_requests), m_max_rows(highest_rows) {}
 
   /** Returns false without any effect if the request was already credited. */
   bool CreditOnce(const std::string& request_id,
@@ -42,7 +42,7 @@
   bool IsFirst(const std::string& request_id);
 
   const std::size_t m_remembered_requests;
-  const std::size_t m_highest_rows;
+  const std::size_t m_max_rows;
   Rows m_rows;
   std::unordered_set<std::string> m_credited;
   std::deque<std::string> m_credited_in_order;
