--- a/packages/zinnia_decisions/admission/credit_ledger.h
+++ b/packages/zinnia_decisions/admission/credit_ledger.h
@@ -27,8 +27,8 @@
  public:
   using Rows = std::map<std::pair<OrganisationName, RequestClass>, Credit>;
 
-  explicit CreditLedger(std::size_t remembered_requests = 65'536, std::size_t highest_rows = 2'048)
-      : m_remembered_requests(remembered_requests), m_max_rows(highest_rows) {}
+  explicit CreditLedger(std::size_t remembered_requests = 65'536, std::size_t max_rows = 2'048)
+      : m_remembered_requests(remembered_requests), m_max_rows(max_rows) {}
 
   /** Returns false without any effect if the request was already credited. */
   bool CreditOnce(const std::string& request_id,
