--- a/packages/zinnia_decisions/admission/credit_ledger.cc
+++ b/packages/zinnia_decisions/admission/credit_ledger.cc
@@ -29,7 +29,7 @@
     return false;
   }
   m_credited_in_order.push_back(request_id);
-  if (m_credited_in_order.size() > m_remembered_requests) {
+  if (m_credited_in_order.size() > m_max_remembered_requests) {
     m_credited.erase(m_credited_in_order.front());
     m_credited_in_order.pop_front();
   }
--- a/packages/zinnia_decisions/admission/credit_ledger.h
+++ b/packages/zinnia_decisions/admission/credit_ledger.h
@@ -28,7 +28,7 @@
   using Rows = std::map<std::pair<OrganisationName, RequestClass>, Credit>;
 
   explicit CreditLedger(std::size_t remembered_requests = 65'536, std::size_t max_rows = 2'048)
-      : m_remembered_requests(remembered_requests), m_max_rows(max_rows) {}
+      : m_max_remembered_requests(remembered_requests), m_max_rows(max_rows) {}
 
   /** Returns false without any effect if the request was already credited. */
   bool CreditOnce(const std::string& request_id,
@@ -41,7 +41,7 @@
  private:
   bool IsFirst(const std::string& request_id);
 
-  const std::size_t m_remembered_requests;
+  const std::size_t m_max_remembered_requests;
   const std::size_t m_max_rows;
   Rows m_rows;
   std::unordered_set<std::string> m_credited;
