--- a/packages/zinnia_apps/daemon/traffic_side.cc
+++ b/packages/zinnia_apps/daemon/traffic_side.cc
@@ -36,13 +36,14 @@
 /** What sessions may spend on recoveries. Each session that was started pays for one: the loss of a
     failure domain fails every session that crosses it at the same moment, and with the usual share
     of a tenth nine in ten of them would be dropped. Recoveries still never outnumber the sessions
-    started by more than `highest`, so a pool that fails every attempt sees at most twice its load.
+    started by more than `max_tokens`, so a pool that fails every attempt sees at most twice its
+   load.
  */
 RetryBudgetSettings RecoveryBudget() {
   RetryBudgetSettings settings;
   settings.tokens_per_first_attempt = 1.0;
   settings.initial_tokens = 32.0;
-  settings.highest = 2'000.0;
+  settings.max_tokens = 2'000.0;
   return settings;
 }
 
--- a/packages/zinnia_decisions/admission/retry_budget.cc
+++ b/packages/zinnia_decisions/admission/retry_budget.cc
@@ -9,7 +9,8 @@
 
 void RetryBudget::OnFirstAttempt(const OrganisationName& organisation, const std::string& pool) {
   Bucket& bucket = BucketOf(organisation, pool);
-  bucket.tokens = std::min(m_settings.highest, bucket.tokens + m_settings.tokens_per_first_attempt);
+  bucket.tokens =
+      std::min(m_settings.max_tokens, bucket.tokens + m_settings.tokens_per_first_attempt);
 }
 
 bool RetryBudget::TrySpend(const OrganisationName& organisation, const std::string& pool) {
@@ -39,7 +40,7 @@
   Bucket& bucket = found->second;
   const double seconds = std::chrono::duration<double>(now - bucket.refilled_at).count();
   bucket.tokens =
-      std::min(m_settings.highest, bucket.tokens + seconds * m_settings.tokens_per_second);
+      std::min(m_settings.max_tokens, bucket.tokens + seconds * m_settings.tokens_per_second);
   bucket.refilled_at = now;
   return bucket;
 }
--- a/packages/zinnia_decisions/admission/retry_budget.h
+++ b/packages/zinnia_decisions/admission/retry_budget.h
@@ -17,7 +17,7 @@
 
   /** Tokens in a new bucket, and the capacity of a bucket. */
   double initial_tokens = 3.0;
-  double highest = 50.0;
+  double max_tokens = 50.0;
 
   /** Refill rate without first attempts, so that organisations with little traffic can retry. */
   double tokens_per_second = 0.05;
