--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -21,7 +21,7 @@
   double in_use = 0.0;
   FairQueue queue;
   ServiceMeter meter;
-  RetryAfterPlanner returns;
+  RetryAfterPlanner retry_after_slots;
   std::unique_ptr<ScheduledCall> dispatch;
   TimePoint dispatch_at{};
 };
@@ -92,8 +92,9 @@
 FairAdmissionController::Pool& FairAdmissionController::PoolOf(const std::string& name) {
   std::unique_ptr<Pool>& pool = m_pools[name];
   if (pool == nullptr) {
-    pool = std::make_unique<Pool>(Pool{
-        .name = name, .meter = ServiceMeter(m_settings), .returns = RetryAfterPlanner(m_settings)});
+    pool = std::make_unique<Pool>(Pool{.name = name,
+                                       .meter = ServiceMeter(m_settings),
+                                       .retry_after_slots = RetryAfterPlanner(m_settings)});
   }
   return *pool;
 }
@@ -156,8 +157,8 @@
       kind, fmt::format("pool \"{}\" cannot serve the request in time: {} requests are queued",
                         pool.name, pool.queue.Waiting()));
   error.retry_after =
-      pool.returns.ReserveSlot(m_clock.Now(), PredictWait(pool, request), request.cost,
-                               rate * m_settings.retry_share_of_drain_rate, m_random);
+      pool.retry_after_slots.ReserveSlot(m_clock.Now(), PredictWait(pool, request), request.cost,
+                                         rate * m_settings.retry_share_of_drain_rate, m_random);
   callback(error);
 }
 
--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -25,7 +25,7 @@
   }
   m_rows.emplace(organisation.name, Row{.contract = organisation,
                                         .tokens = Burst(organisation),
-                                        .returns = RetryAfterPlanner(m_settings)});
+                                        .retry_after_slots = RetryAfterPlanner(m_settings)});
 }
 
 double OrganisationLimits::WeightOf(const OrganisationName& organisation) const {
@@ -55,7 +55,7 @@
   const bool too_fast = contract.requests_per_second > 0.0 && row.tokens < 1.0;
   if (too_many || too_fast) {
     const double rate = too_fast ? contract.requests_per_second : contract.concurrent_requests;
-    return row.returns.ReserveSlot(now, kMinRetryAfter, 1.0, rate, random);
+    return row.retry_after_slots.ReserveSlot(now, kMinRetryAfter, 1.0, rate, random);
   }
   row.tokens -= 1.0;
   ++row.requests_in_flight;
--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -33,7 +33,7 @@
     double tokens = 0.0;
     TimePoint refilled_at{};
     std::uint32_t requests_in_flight = 0;
-    RetryAfterPlanner returns;
+    RetryAfterPlanner retry_after_slots;
   };
 
   static void Refill(Row& row, TimePoint now);
