--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -210,7 +210,7 @@
   const auto this_call = std::move(pool.dispatch);
   RefuseOverdue(pool);
   while (!pool.queue.Empty() && Fits(pool, pool.queue.Next().request.cost)) {
-    const WaitingWork work = pool.queue.PopNext();
+    const QueuedRequest work = pool.queue.PopNext();
     Admit(pool, work.request, work.callback);
   }
   pool.meter.SetBusy(m_clock.Now(), !pool.queue.Empty());
@@ -220,11 +220,11 @@
 }
 
 void FairAdmissionController::RefuseOverdue(Pool& pool) {
-  const auto overdue = pool.queue.RemoveIf([&](const WaitingWork& work) {
+  const auto overdue = pool.queue.RemoveIf([&](const QueuedRequest& work) {
     return m_clock.Now() - work.queued_at > m_settings.max_wait ||
            WouldMiss(pool, work.request, Duration::zero());
   });
-  for (const WaitingWork& work : overdue) {
+  for (const QueuedRequest& work : overdue) {
     const bool missed = WouldMiss(pool, work.request, Duration::zero());
     const ErrorKind kind = missed ? ErrorKind::kDeadlineUnmeetable : ErrorKind::kOverloaded;
     Refuse(pool, kind, work.request, work.callback);
--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -19,7 +19,7 @@
   return found == m_queues.end() ? 0 : found->second.work.size();
 }
 
-void FairQueue::Push(WaitingWork work, double weight) {
+void FairQueue::Push(QueuedRequest work, double weight) {
   EvictIdle();
   OrganisationQueue& queue = m_queues[work.request.organisation];
   work.start_tag = AssignStartTag(queue, work.request.cost, weight);
@@ -28,15 +28,15 @@
   ++m_waiting;
 }
 
-const WaitingWork& FairQueue::Next() const {
+const QueuedRequest& FairQueue::Next() const {
   assert(!Empty());
   return FindNext()->second.work.front();
 }
 
-WaitingWork FairQueue::PopNext() {
+QueuedRequest FairQueue::PopNext() {
   assert(!Empty());
   OrganisationQueue& queue = m_queues[FindNext()->first];
-  WaitingWork work = std::move(queue.work.front());
+  QueuedRequest work = std::move(queue.work.front());
   queue.work.pop_front();
   queue.waiting_cost -= work.request.cost;
   --m_waiting;
@@ -67,9 +67,9 @@
   return ahead;
 }
 
-std::deque<WaitingWork> FairQueue::RemoveIf(
-    const std::function<bool(const WaitingWork&)>& predicate) {
-  std::deque<WaitingWork> taken;
+std::deque<QueuedRequest> FairQueue::RemoveIf(
+    const std::function<bool(const QueuedRequest&)>& predicate) {
+  std::deque<QueuedRequest> taken;
   for (auto& [name, queue] : m_queues) {
     const auto first =
         std::stable_partition(queue.work.begin(), queue.work.end(), std::not_fn(predicate));
--- a/packages/zinnia_decisions/admission/fair_queue.h
+++ b/packages/zinnia_decisions/admission/fair_queue.h
@@ -10,7 +10,7 @@
 namespace zinnia {
 
 /** A queued request with its start tag in virtual time. */
-struct WaitingWork {
+struct QueuedRequest {
   AdmissionRequest request;
   AdmissionController::Callback callback;
   TimePoint queued_at{};
@@ -32,11 +32,11 @@
   std::size_t Waiting() const { return m_waiting; }
   std::size_t WaitingOf(const OrganisationName& organisation) const;
 
-  void Push(WaitingWork work, double weight);
+  void Push(QueuedRequest work, double weight);
 
   /** Returns the request with the lowest start tag. The queue must not be empty. */
-  const WaitingWork& Next() const;
-  WaitingWork PopNext();
+  const QueuedRequest& Next() const;
+  QueuedRequest PopNext();
 
   /** Charges a request that bypassed the queue to the share of its organisation. */
   void OnAdmittedDirectly(const OrganisationName& organisation, double cost, double weight);
@@ -46,11 +46,11 @@
   double CostAhead(const OrganisationName& organisation, double cost, double weight) const;
 
   /** Removes and returns all requests for which `predicate` returns true. */
-  std::deque<WaitingWork> RemoveIf(const std::function<bool(const WaitingWork&)>& predicate);
+  std::deque<QueuedRequest> RemoveIf(const std::function<bool(const QueuedRequest&)>& predicate);
 
  private:
   struct OrganisationQueue {
-    std::deque<WaitingWork> work;
+    std::deque<QueuedRequest> work;
     double waiting_cost = 0.0;
     double finish_tag = 0.0;
     double weight = 1.0;
