--- a/packages/zinnia_decisions/sessions/answer_listener.h
+++ b/packages/zinnia_decisions/sessions/answer_listener.h
@@ -15,8 +15,8 @@
   std::uint32_t recoveries = 0;
 };
 
-/** Receives a session's answer: tokens in order, each once, then exactly one of OnAnswerDone and
-    OnAnswerFailed. `event_id` is what the caller sends back as Last-Event-ID to resume. */
+/** Receives a session's answer: each token exactly once and in order, then either OnAnswerDone or
+    OnAnswerFailed. A caller resumes by sending `event_id` as Last-Event-ID. */
 class AnswerListener {
  public:
   virtual ~AnswerListener() = default;
