--- a/packages/zinnia_decisions/sessions/attempt_numbers.h
+++ b/packages/zinnia_decisions/sessions/attempt_numbers.h
@@ -7,20 +7,21 @@
 
 namespace zinnia {
 
-/** Numbers the attempts of a session so that a higher one always fences the lower ones.
+/** Assigns attempt numbers, which serve as fencing tokens: a higher one invalidates all lower
+    ones.
 
-    From the top: 8 bits count the resumes, 14 bits come from the id of the resuming request, 10
-   bits count the attempts of one driver. A resumed stream is therefore above everything that the
-    instance before it can still start, also when that instance lives on. Two instances that resume
-    from one event id take different numbers but for one case in 16,384, and then the stages answer
-    the second one with kWrongLength, so that it takes the next number.
+    From the most significant bit: 8 bits count resumes, 14 bits hash the id of the resuming
+    request, 10 bits count the attempts of one driver. A resumed session therefore outranks every
+    attempt that the previous instance can still start. If two instances resume from the same event
+    id and their hashes collide, the stages answer the second one with kWrongLength and it
+    continues with its next number.
 */
 class AttemptNumbers {
  public:
   static constexpr AttemptNumber kFirst = 1;
 
-  /** The first number of a driver that takes over from `older`. Fails with kResumeRefused once an
-      answer has been resumed too often for a higher number. */
+  /** Returns the first number of a driver that resumes after `older`. Fails with kResumeRefused
+      when the resume counter is exhausted. */
   static Result<AttemptNumber> ForResume(AttemptNumber older, std::string_view request_id);
 };
 
