--- a/packages/zinnia_decisions/sessions/cache_moves.h
+++ b/packages/zinnia_decisions/sessions/cache_moves.h
@@ -11,11 +11,10 @@
 
 namespace zinnia {
 
-/** Moves a session's caches from servers that are leaving to those that take their place, all at
-    once, and tells when the last one has arrived or failed.
+/** Transfers a session's caches from leaving servers to their replacements, in parallel.
 
-    Bounded in time: a transfer that does not end counts as failed, and its stage is replayed.
-    Destroying it drops whatever has not been answered.
+    A transfer that exceeds the time limit counts as failed, and its stage is replayed. Destroying
+    the object cancels the callback.
 */
 class CacheMoves {
  public:
@@ -26,7 +25,7 @@
     AttemptNumber attempt = 0;
   };
 
-  /** How many positions arrived; nothing if the transfer failed. */
+  /** `length` is the number of positions imported, 0 if the transfer failed. */
   struct Outcome {
     Order order;
     std::uint32_t length = 0;
@@ -34,7 +33,7 @@
   };
   using Callback = std::function<void(std::vector<Outcome>)>;
 
-  /** Imports as `new_attempt`. The callback runs once, later. */
+  /** Starts importing as `new_attempt`. The callback runs once, asynchronously. */
   static std::shared_ptr<CacheMoves> Start(const SessionParts& parts,
                                            const SessionName& session,
                                            const std::vector<Order>& orders,
