--- a/packages/zinnia_decisions/sessions/known_answer.h
+++ b/packages/zinnia_decisions/sessions/known_answer.h
@@ -12,18 +12,18 @@
 
 struct ResumePoint;
 
-/** The hash of a delivered text, extended by one more token. Costs the same for any length of the
-    text before it. Start from a default Fingerprint. */
+/** Extends the rolling hash of the delivered text by one token, in constant time. The hash of the
+    empty text is a default Fingerprint. */
 Fingerprint ExtendDeliveredHash(const Fingerprint& before, std::string_view token_text);
 
-/** What is known of one answer: the ids of its tokens and how many of them the caller has.
+/** The tokens generated so far for one answer, and how many of them were delivered.
 
-    For a resumed stream the first tokens are withheld, because the caller has them already, and
-    compared with the hash of what was delivered.
+    On resume, tokens that the caller already has are withheld and checked against the hash of the
+    delivered text.
 */
 class KnownAnswer {
  public:
-  /** What to do with a token that was just added. */
+  /** How to treat a token that was just added. */
   enum class Verdict { kDeliver, kWithhold, kDiverged };
 
   /** `resume` may be null. */
@@ -31,15 +31,15 @@
 
   Verdict Add(const SampledToken& token);
 
-  /** The engine's count of the prompt's tokens, known after the first prefill. */
+  /** The engine's token count of the prompt, available after the first prefill. */
   std::optional<std::uint32_t> PromptTokens() const { return m_prompt_tokens; }
   void SetPromptTokens(std::uint32_t count) { m_prompt_tokens = count; }
 
-  /** Until the first token the answer may still move to another version with another tokeniser. */
+  /** Called before the first token, when a new route may use a version with another tokeniser. */
   void ForgetPromptTokens() { m_prompt_tokens.reset(); }
 
-  /** The positions that every stage holds between two tokens. The last known token is not among
-      them: it is the input of the next step. Zero before the first token. */
+  /** Number of positions in every stage's cache between two tokens: all but the last token, which
+      is the input of the next step. Zero before the first token. */
   std::uint32_t CachedPositions() const;
 
   bool IsComplete() const;
