--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -40,7 +40,7 @@
 }
 
 void PipelineSession::Start() {
-  assert(m_state == SessionState::kWaiting);  // Started twice, the session would run two chains.
+  assert(m_state == SessionState::kWaiting);
   m_started_at = m_parts.clock.Now();
   if (m_resume) {
     m_was_run = WasRun::kYes;
@@ -215,8 +215,8 @@
 }
 
 void PipelineSession::WatchForSilence() {
-  // The links promise an answer for each step. If one is lost all the same, the session would hang
-  // for ever without a sign; one slow timer for each session turns that into an ordinary failure.
+  // StageLinks answers every step. This watchdog turns a step that is never answered because of a
+  // defect into a timeout, so that the session does not hang.
   m_silence_watch = m_parts.scheduler.ScheduleAfter(kLongestSilence, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || self->IsOver()) {
@@ -244,7 +244,7 @@
 }
 
 void PipelineSession::Fail(Error error) {
-  // A step without answer may have been run.
+  // An unanswered step may have been executed.
   const bool maybe_run = m_relay.IsInFlight() && m_was_run == WasRun::kNo;
   error.was_run = maybe_run ? WasRun::kUnknown : m_was_run;
   m_records.Write("fail_session", error.message,
@@ -259,7 +259,7 @@
 }
 
 RouteQuery PipelineSession::MakeQuery() const {
-  // Engines tokenise, so before the first prefill the count can only be guessed.
+  // The engines tokenise, so the token count is an estimate until the first prefill.
   constexpr std::size_t kUsualBytesPerToken = 4;
   constexpr std::size_t kPrefixBytes = 512;
   const auto guess = static_cast<std::uint32_t>(m_request.prompt.size() / kUsualBytesPerToken + 1);
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -21,10 +21,9 @@
 
 class AnswerListener;
 
-/** The driver behind SessionDriver::Create: decides when an attempt starts, ends and is recovered.
+/** Implements SessionDriver: starts attempts, delivers tokens and recovers from failures.
 
-    StepRelay carries the steps of an attempt, KnownAnswer keeps the tokens, RecoveryRoutes finds
-    other servers, CacheMoves and ResumeLookup do what their names say.
+    @see StepRelay, KnownAnswer, RecoveryRoutes, CacheMoves, ResumeLookup
 */
 class PipelineSession final : public SessionDriver,
                               public std::enable_shared_from_this<PipelineSession> {
@@ -44,7 +43,7 @@
  private:
   bool IsOver() const;
 
-  // The healthy path.
+  // Normal operation.
   void StartOn(RouteChoice choice);
   void StartAttempt(const Route& route);
   void StartPass();
@@ -54,7 +53,7 @@
   void Finish();
   void WatchForSilence();
 
-  // Failures.
+  // Recovery from failures.
   void TakeFailure(const StepAnswer& answer);
   void RecordFailure(const StepAnswer& answer);
   void Recover(StepStatus cause, std::uint32_t hop);
@@ -65,7 +64,7 @@
   void EndRecovery();
   void Fail(Error error);
 
-  // Servers that leave.
+  // Moving off leaving servers.
   std::vector<std::size_t> LeavingHops() const;
   void LeaveNow();
   Route RouteWithoutLeaving() const;
@@ -74,7 +73,7 @@
                  AttemptNumber imported_as,
                  const std::vector<CacheMoves::Outcome>& outcomes);
 
-  // Streams that another instance began.
+  // Resuming a stream of another instance.
   void StartResume();
   void TakeFound(const std::optional<FoundSession>& found);
   void ContinueFound(const FoundSession& found);
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -8,7 +8,7 @@
 namespace zinnia {
 namespace {
 
-/** Bounds the attempt numbers that planned leaves use up. */
+/** Limits the attempt numbers consumed by planned moves. */
 constexpr std::uint32_t kMostMoves = 200;
 
 }  // namespace
@@ -17,7 +17,7 @@
   if (IsOver() || m_route.hops.empty() || LeavingHops().empty()) {
     return;
   }
-  // A token is on its way through the stages now; the caches have one length only between tokens.
+  // Deferred until the current token is complete, since only then all caches have equal length.
   m_leave_wanted = true;
 }
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -7,7 +7,7 @@
 namespace zinnia {
 namespace {
 
-/** Enough for a bad day of one answer; a session that needs more does harm where it goes. */
+/** Limits the load that one failing session puts on the servers. */
 constexpr std::uint32_t kMostRecoveries = 8;
 
 constexpr std::chrono::seconds kLongestRouteWait{3};
@@ -36,8 +36,8 @@
     Fail(MakeError(ErrorKind::kBackendRejected, "backend server " + server + " refused a step"));
     return;
   }
-  // A server that was dead before the step came counts for nothing against the request. Otherwise
-  // an answer whose two servers die together is refused as one that crashes servers.
+  // Crashes before the step was sent are not attributed to the request. Otherwise a request whose
+  // servers fail together would be quarantined.
   if (answer.status == StepStatus::kServerCrashed && !answer.never_sent) {
     m_crashed_servers.insert(server);
     m_isolated_until_tokens = m_answer.Tokens().size() + 1;
@@ -60,7 +60,7 @@
   const TimePoint now = m_parts.clock.Now();
   m_failure_noticed_at = now;
   if (m_recovery_times) {
-    // A failure during a recovery: what was rebuilt so far counts too.
+    // Failed during a recovery: the time of the partial rebuild is added.
     m_recovery_times->rebuild += m_step_sent_at - m_rebuild_started_at;
   } else {
     m_recovery_times.emplace();
@@ -87,7 +87,7 @@
   m_routes.Exclude(server);
   const TimePoint now = m_parts.clock.Now();
   m_route_wait_ends = now + kLongestRouteWait;
-  // Grows with each recovery, so that the bounded number of them outlasts a freeze of seconds.
+  // Exponential backoff, so that the limited number of recoveries spans a freeze of seconds.
   m_same_server_at = now + kRouteWaitStep * (1U << (m_recoveries - 1));
   FindOtherRoute(cause, hop);
 }
@@ -95,7 +95,7 @@
 bool PipelineSession::MayStayOn(StepStatus cause, const BackendServerName& server) {
   switch (cause) {
     case StepStatus::kConnectionLost:
-      // A cut connection says nothing of the server; a second one within an answer says enough.
+      // One lost connection per server and answer is tolerated.
       return m_tried_again.insert(server).second;
     case StepStatus::kWrongLength:
     case StepStatus::kUnknownSession:
--- a/packages/zinnia_decisions/sessions/pipeline_session_resume.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_resume.cc
@@ -15,7 +15,7 @@
   }
   m_lookup = ResumeLookup::Start(
       m_parts, *m_resume, [weak = weak_from_this()](const std::optional<FoundSession>& found) {
-        // The listener may drop the session while it takes the tokens found.
+        // The listener may release the session during delivery of the found tokens.
         if (const auto self = weak.lock()) {
           self->TakeFound(found);
         }
