--- a/packages/zinnia_decisions/sessions/recovery_gate.h
+++ b/packages/zinnia_decisions/sessions/recovery_gate.h
@@ -6,16 +6,16 @@
 
 namespace zinnia {
 
-/** Says whether a session may try again after a failure: the retry budgets and the quarantine.
+/** Decides whether a session may start, or recover after a failure.
 
-    An error is the caller's final answer (kRetryBudgetSpent, kQuarantined). Called on the traffic
-    thread, so it must not wait.
+    An error is final for the caller (kRetryBudgetSpent, kQuarantined). Called on the traffic
+    thread, so implementations must not block.
 */
 class RecoveryGate {
  public:
   virtual ~RecoveryGate() = default;
 
-  /** Whether the request may be started at all, before any step was sent. */
+  /** Called before the first step is sent. */
   virtual Result<void> MayStart(const ChatRequest& request) = 0;
 
   /** `cause` is the status that ended the attempt, `server` the one that gave it, `crashes` how
