--- a/packages/zinnia_decisions/sessions/recovery_routes.cc
+++ b/packages/zinnia_decisions/sessions/recovery_routes.cc
@@ -7,14 +7,14 @@
 namespace zinnia {
 namespace {
 
-/** A chooser may offer a server that reloaded since the snapshot, or a pipeline of the next
-    version during a rollout. Taking it would splice two versions into one answer. */
+/** Rejects routes with another version, which a chooser may return during a rollout or after a
+    reload. */
 Result<RouteChoice> RequireVersion(Result<RouteChoice> choice, const std::string& version) {
   if (!choice || version.empty() || choice->route.version == version) {
     return choice;
   }
   return MakeError(ErrorKind::kNoPipeline,
-                   "no pipeline has version " + version + ", which began the answer");
+                   "no pipeline has version " + version + ", which generated the first tokens");
 }
 
 bool IsUsable(const Route& before,
