--- a/packages/zinnia_decisions/sessions/resume_check.cc
+++ b/packages/zinnia_decisions/sessions/resume_check.cc
@@ -10,7 +10,7 @@
   if (!point) {
     return point;
   }
-  // The same words for all, or the answer would tell whether another organisation's id is real.
+  // One message for both cases, so that callers cannot probe for other organisations' ids.
   if (point->organisation != request.organisation || point->request != request.fingerprint) {
     return MakeError(ErrorKind::kResumeRefused, "the event id belongs to another request");
   }
--- a/packages/zinnia_decisions/sessions/resume_check.h
+++ b/packages/zinnia_decisions/sessions/resume_check.h
@@ -8,9 +8,8 @@
 
 namespace zinnia {
 
-/** Opens an event id that came back as Last-Event-ID and checks that it may resume `request`: same
-    organisation, same request, not expired. Fails with kResumeRefused. Give the result to
-    SessionDriver::Create. */
+/** Decodes a Last-Event-ID and checks that its organisation and request match `request` and that
+    it has not expired. Fails with kResumeRefused. */
 Result<ResumePoint> OpenResumePoint(const ResumeTokenCodec& codec,
                                     const std::string& event_id,
                                     const ChatRequest& request,
