--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -12,8 +12,7 @@
 constexpr std::chrono::milliseconds kLongestAnswer{300};
 constexpr std::size_t kMostServersAsked = 4;
 
-/** The tokens must be a continuation of what the caller has, and the cache must reach up to the
-    last of them; anything else is another answer or a damaged one. */
+/** Whether the held tokens start with the delivered text and the cache covers all but the last. */
 bool Continues(const ResumePoint& point, const HeldSession& held) {
   const bool has_cache = held.length + 1 >= held.prompt_tokens + held.tokens.size();
   if (held.tokens.empty() || held.tokens.size() < point.delivered_tokens || !has_cache) {
@@ -41,8 +40,7 @@
     : m_parts(parts), m_point(point), m_callback(std::move(callback)) {}
 
 void ResumeLookup::ListCandidates() {
-  // The old instance may have replaced the last stage after it sealed this event id; then another
-  // replica of that stage holds the newest tokens.
+  // The previous instance may have replaced the last stage after it issued this event id.
   const Route::Hop& last = m_point.route.hops.back();
   m_candidates.push_back(last.server);
   for (const Pipeline& pipeline : m_parts.snapshots.Current()->pipelines) {
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -11,20 +11,20 @@
 
 namespace zinnia {
 
-/** A session that a stage still holds and whose tokens begin with what the caller has. */
+/** A session held by a stage, whose tokens begin with the text already delivered. */
 struct FoundSession {
   BackendServerName server;
   HeldSession held;
 };
 
-/** Asks the servers that may know a session's tokens, one after the other, until one's tokens match
-    what the caller was sent. Only a stage that samples knows the texts, so only last stages are
-    worth asking. Destroying it drops the search. */
+/** Queries the replicas of the last stage in turn for a session whose tokens match the delivered
+    text. Other stages do not sample and hold no tokens. Destroying the object cancels the lookup.
+ */
 class ResumeLookup : public std::enable_shared_from_this<ResumeLookup> {
  public:
   using Callback = std::function<void(std::optional<FoundSession>)>;
 
-  /** The callback runs once, later. `point` is copied. */
+  /** The callback runs once, asynchronously. `point` is copied. */
   static std::shared_ptr<ResumeLookup> Start(const SessionParts& parts,
                                              const ResumePoint& point,
                                              Callback callback);
