--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -10,7 +10,7 @@
 constexpr unsigned kMostBits = 64;
 constexpr std::size_t kMostHops = 1'024;
 
-/** Changes with the layout, so that instances of two releases refuse each other's tokens. */
+/** Incremented when the encoding changes; tokens with another version are refused. */
 constexpr std::uint64_t kLayout = 1;
 
 void AppendNumber(std::uint64_t number, std::string& bytes) {
@@ -31,7 +31,7 @@
   bytes.append(reinterpret_cast<const char*>(&fingerprint.low), sizeof(fingerprint.low));
 }
 
-/** Reads from the front of some bytes. After one failed read all later ones give empty values. */
+/** Sequential decoder. After a failed read, all later reads return empty values. */
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : m_bytes(bytes) {}
--- a/packages/zinnia_decisions/sessions/resume_point_bytes.h
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.h
@@ -8,11 +8,11 @@
 
 namespace zinnia {
 
-/** The compact binary form of a resume point: numbers as variable-length integers, texts with
-    their length in front. Appended to `bytes`. */
+/** Appends the binary encoding of a resume point to `bytes`: variable-length integers and
+    length-prefixed strings. */
 void AppendResumePoint(const ResumePoint& point, std::string& bytes);
 
-/** Reads exactly that form, with nothing behind it. Fails with kResumeRefused. */
+/** Decodes a resume point. Fails with kResumeRefused on malformed input or trailing bytes. */
 Result<ResumePoint> ParseResumePoint(std::string_view bytes);
 
 }  // namespace zinnia
