--- a/packages/zinnia_decisions/sessions/resume_token.h
+++ b/packages/zinnia_decisions/sessions/resume_token.h
@@ -29,7 +29,7 @@
   bool operator==(const ResumePoint&) const = default;
 };
 
-/** Seals resume points into event ids and opens them again.
+/** Encodes resume points as tamper-proof event ids, and decodes them.
 
     @see SignedResumeTokenCodec
 */
@@ -38,8 +38,7 @@
   virtual ~ResumeTokenCodec() = default;
   virtual std::string Seal(const ResumePoint& point) const = 0;
 
-  /** Fails with kResumeRefused if the token is altered, cut, or not ours. Expiry and ownership are
-      the caller's to check. */
+  /** Fails with kResumeRefused if the token is invalid. Does not check expiry and ownership. */
   virtual Result<ResumePoint> Open(const std::string& token) const = 0;
 };
 
