--- a/packages/zinnia_decisions/sessions/session_driver.cc
+++ b/packages/zinnia_decisions/sessions/session_driver.cc
@@ -31,7 +31,7 @@
                                                      ChatRequest request,
                                                      std::optional<ResumePoint> resume,
                                                      std::weak_ptr<AnswerListener> listener) {
-  // Stages key their caches by the session's name, so a resumed stream goes on under its old one.
+  // Stages key their caches by session name, so a resumed stream keeps its original name.
   SessionName name = resume ? resume->session : std::move(session);
   if (resume) {
     request.seed = resume->seed;
--- a/packages/zinnia_decisions/sessions/session_driver.h
+++ b/packages/zinnia_decisions/sessions/session_driver.h
@@ -21,7 +21,7 @@
 class Scheduler;
 class SnapshotSource;
 
-/** The objects that a session works with. All must outlive the driver. */
+/** Dependencies of a session. All must outlive the driver. */
 struct SessionParts {
   Clock& clock;
   Scheduler& scheduler;
@@ -45,7 +45,7 @@
 
 std::string_view NameOf(SessionState state);
 
-/** What operators see of a session. */
+/** Session state reported to operators. */
 struct SessionStatus {
   SessionName session;
   std::string request_id;
@@ -60,34 +60,32 @@
   TimePoint started_at{};
 };
 
-/** Drives one answer through the stages of a pipeline, token by token, and through failures.
+/** Generates one answer on the stages of a pipeline and recovers from stage failures.
 
-    Sends each step to the next stage with the state that the stage before gave, delivers each token
-    once to the listener, and after a failure starts a new attempt: replaces the failed stage,
-    rebuilds its cache, never sends or changes a delivered token again. Answers of older attempts
-   are dropped by their number. Lives on one traffic thread.
+    Each step is sent to the next stage with the hidden states of the previous one. After a failure,
+    a new attempt replaces the failed stage and rebuilds its cache; tokens are delivered exactly
+    once. Answers to older attempts are ignored. Not thread-safe: use it on one traffic thread.
 
-    Create it, keep the shared pointer, call Start. Cancel when the caller is gone: the caches at
-   all stages are released and the listener hears nothing more.
+    Keep the shared pointer and call Start. Call Cancel when the caller disconnects: the caches at
+    all stages are released and the listener is not called any more.
 
     @see AnswerListener, StageLinks, ResumePoint
 */
 class SessionDriver : public StepListener {
  public:
-  /** For a resumed stream, `resume` is the opened and checked token: tokens up to its count are
-      regenerated or fetched, compared by hash, and not delivered again. */
+  /** `resume` is the validated resume point of a resumed stream. Tokens delivered before it are
+      fetched or regenerated, verified by hash and not delivered again. */
   static std::shared_ptr<SessionDriver> Create(SessionParts parts,
                                                SessionName session,
                                                ChatRequest request,
                                                std::optional<ResumePoint> resume,
                                                std::weak_ptr<AnswerListener> listener);
 
-  /** A refusal may reach the listener from inside this call; everything else comes later. */
+  /** May report a refusal to the listener synchronously; all other calls are asynchronous. */
   virtual void Start() = 0;
   virtual void Cancel() = 0;
 
-  /** Moves the session off servers that are leaving, between two tokens. Does nothing if its route
-      has none. */
+  /** Moves the session off the leaving servers of its route, if any, after the current token. */
   virtual void LeaveDrainingServers() = 0;
 
   virtual SessionStatus Status() const = 0;
