--- a/packages/zinnia_decisions/sessions/session_records.h
+++ b/packages/zinnia_decisions/sessions/session_records.h
@@ -13,16 +13,15 @@
 
 class DecisionRecorder;
 
-/** How long the parts of one recovery took: from the failed step to the failure's notice, from
-    there to the first step of the new attempt, from there to the next token. Failures that meet a
-    recovery under way add to its parts. */
+/** Durations of the phases of one recovery: until the failure is detected, until the new attempt
+    sends its first step, until the next token. Failures during a recovery add to its phases. */
 struct RecoveryTimes {
   Duration detection{};
   Duration choice{};
   Duration rebuild{};
 };
 
-/** Writes a session's decisions to the recorder, always with the session as subject. */
+/** Records decisions with the session as their subject. */
 class SessionRecords {
  public:
   using Facts = std::vector<std::pair<std::string, std::string>>;
@@ -38,7 +37,7 @@
   const std::string m_subject;
 };
 
-/** "[0,8)@a [8,16)@b", for decision records. */
+/** Formats a route for decision records, such as "[0,8)@a [8,16)@b". */
 std::string Describe(const Route& route);
 
 }  // namespace zinnia
