--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
@@ -68,7 +68,7 @@
   }
   const std::string_view signed_part(bytes->data(), bytes->size() - sizeof(Mac));
   const Mac mac = Sign(signed_part);
-  // Compared in constant time: otherwise the time taken tells a forger how many bytes are right.
+  // Constant-time comparison prevents timing attacks.
   if (CRYPTO_memcmp(mac.data(), bytes->data() + signed_part.size(), mac.size()) != 0) {
     return Refused("the event id was altered or sealed with another key");
   }
--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
@@ -12,10 +12,10 @@
 
 namespace zinnia {
 
-/** Seals resume points with HMAC-SHA256 into URL-safe text without padding.
+/** Encodes resume points as unpadded URL-safe Base64, signed with HMAC-SHA256.
 
-    All instances share the key, so that each can open what another sealed. The text is signed, not
-    encrypted: it names servers of the route, and nothing secret. Safe to use from any thread.
+    All instances share the key. The content is not encrypted; it includes the route's server names
+    but no secrets. Thread-safe.
 
     @see OpenResumePoint, which also checks expiry and ownership
 */
@@ -38,11 +38,10 @@
   explicit SignedResumeTokenCodec(Context keyed);
   Mac Sign(std::string_view bytes) const;
 
-  /** Holds the hashed key, never used itself: other contexts are copied from it. */
+  /** Initialised with the key; duplicated for signing and never used directly. */
   const Context m_keyed;
 
-  /** A copy that is free to be used, or null. A copy costs more than the signing itself, so the
-      last one is kept; a second thread that signs at the same time makes its own. */
+  /** Cached duplicate of `m_keyed`, or null while in use: duplicating costs more than signing. */
   mutable std::atomic<evp_mac_ctx_st*> m_spare = nullptr;
 };
 
