--- a/packages/zinnia_decisions/sessions/stage_caches.h
+++ b/packages/zinnia_decisions/sessions/stage_caches.h
@@ -9,26 +9,27 @@
 
 namespace zinnia {
 
-/** What a driver believes that each stage of its route holds for the session.
+/** Last known cache state of the session at each stage of its route.
 
-    A belief may be wrong, since answers get lost; a stage refuses an adoption that it cannot make,
-    and then the driver forgets the belief. So a wrong one costs a replay, never a wrong answer.
+    It may be out of date because answers can be lost. A stage rejects an adoption that it cannot
+    perform and is then replayed, so stale state never leads to a wrong answer.
 
     @see CacheAdoption
 */
 class StageCaches {
  public:
-  /** Takes a new route, keeping what is believed of stages that stay. */
+  /** Sets a new route, keeping the state of hops that are on both routes. */
   void SetRoute(const Route& route);
 
   void Set(std::size_t hop, AttemptNumber attempt, std::uint32_t length);
   void Forget(std::size_t hop);
 
-  /** The adoption that lets a new attempt start at `length`, if the stage should have it. */
+  /** Returns the adoption for starting an attempt at `length`, if the cache is known to reach it.
+   */
   std::optional<CacheAdoption> AdoptionAt(std::size_t hop, std::uint32_t length) const;
 
-  /** How many hops from the first on must be replayed so that all others can adopt at `length`:
-      hidden states are not kept, so every hop before one without cache has to run again. */
+  /** Returns the number of leading hops to replay so that the others can adopt at `length`. Hidden
+      states are not stored, so all hops before one without a cache are replayed. */
   std::size_t HopsToReplay(std::uint32_t length) const;
 
  private:
