--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -15,7 +15,7 @@
     : m_links(links), m_session(session), m_request(request), m_answer(answer) {}
 
 void StepRelay::StartAttempt(AttemptNumber attempt, const Route& route) {
-  assert(attempt > m_attempt);  // A lower number would not fence the answers of the one before.
+  assert(attempt > m_attempt);
   m_attempt = attempt;
   m_route = route;
   m_caches.SetRoute(route);
@@ -41,8 +41,8 @@
   if (!m_in_flight || answer.attempt != m_attempt || hop != m_hop) {
     return Progress::kStale;
   }
-  // A repeated answer of a step that this hop answered before: the cache is just as the step in
-  // flight needs it, so a refusal cannot be meant for that step.
+  // A duplicate answer to an earlier step: the reported length is what the step in flight requires,
+  // so the refusal cannot refer to that step.
   const bool adopts = m_starting_caches && !IsReplayed(hop);
   if (answer.status == StepStatus::kWrongLength && answer.length == m_position && !adopts) {
     return Progress::kStale;
@@ -56,7 +56,7 @@
     return Progress::kFailed;
   }
   if (!IsWellFormed(answer)) {
-    // The server runs something else than the route says, so it must not be asked again.
+    // The server does not run what the route specifies; kNotLoaded excludes it from the session.
     answer.status = StepStatus::kNotLoaded;
     return Progress::kFailed;
   }
@@ -102,13 +102,13 @@
       break;
     case StepStatus::kTimedOut:
     case StepStatus::kConnectionLost:
-      // The stage probably ran the step. If it didn't, it refuses the adoption, and is replayed.
+      // The stage probably ran the step. Otherwise it rejects the adoption and is replayed.
       if (m_starting_caches) {
         m_caches.Set(m_hop, m_attempt, m_answer.CachedPositions());
       }
       break;
     default:
-      break;  // Refused before it was run: the cache is as it was.
+      break;  // Refused before execution: the cache is unchanged.
   }
 }
 
--- a/packages/zinnia_decisions/sessions/step_relay.h
+++ b/packages/zinnia_decisions/sessions/step_relay.h
@@ -13,17 +13,17 @@
 
 class KnownAnswer;
 
-/** Carries one attempt's hidden states from hop to hop, one step in flight at a time.
+/** Runs the steps of one attempt hop by hop, with one step in flight at a time.
 
-    The first pass of an attempt starts the stages' caches: the first hops replay everything that is
-    known, the others adopt the cache of an older attempt. Each later pass adds one position.
+    In the first pass of an attempt, leading hops replay all tokens and the others adopt the cache
+    of an older attempt. Each later pass adds one position.
 
-    Answers of other attempts, of other hops and of earlier positions are recognised here and
-    dropped, so that a frozen stage that wakes after its replacement took over changes nothing.
+    Answers for other attempts, other hops or earlier positions are dropped as stale, such as those
+    of a replaced stage that resumes after a freeze.
 */
 class StepRelay {
  public:
-  /** What an answer means for the pass that is running. */
+  /** Effect of an answer on the current pass. */
   enum class Progress { kStale, kNextHop, kToken, kFailed };
 
   StepRelay(StageLinks& links,
@@ -31,21 +31,21 @@
             const ChatRequest& request,
             const KnownAnswer& answer);
 
-  /** A new attempt, whose next pass starts the caches. The route's former caches are adopted. */
+  /** Begins a new attempt. Its first pass adopts usable caches and replays the other hops. */
   void StartAttempt(AttemptNumber attempt, const Route& route);
 
   /** Starts the next pass at the first hop. */
   void StartPass(std::weak_ptr<StepListener> listener);
 
-  /** Takes an answer. After kNextHop, call SendToNextHop; after kToken the pass is complete and
+  /** Processes an answer. After kNextHop, call SendToNextHop; after kToken the pass is complete and
       `answer` holds the token; after kFailed, call NoteFailure. */
   Progress Take(std::uint32_t hop, StepAnswer& answer);
   void SendToNextHop(StepAnswer answer, std::weak_ptr<StepListener> listener);
 
-  /** Gives up the step in flight; its answer will be dropped. */
+  /** Abandons the step in flight; its answer will be ignored. */
   void Abandon() { m_in_flight = false; }
 
-  /** Corrects what is believed of the cache of the hop whose step failed. */
+  /** Updates the cache state of the hop whose step failed. */
   void NoteFailure(const StepAnswer& answer);
 
   bool IsInFlight() const { return m_in_flight; }
@@ -60,7 +60,7 @@
 
   StageCaches& Caches() { return m_caches; }
 
-  /** Drops the caches of this and all lower attempts at every stage of the route. */
+  /** Releases the caches of this and all lower attempts at every stage of the route. */
   void ReleaseAll();
 
   /** @see StepRequest::isolated */
