--- a/packages/zinnia_decisions/sessions/url_safe_base64.cc
+++ b/packages/zinnia_decisions/sessions/url_safe_base64.cc
@@ -30,7 +30,7 @@
   return static_cast<unsigned char>(bytes[at]);
 }
 
-/** Writes three bytes as four digits and gives the place behind them. */
+/** Encodes three bytes as four digits and returns the end of the output. */
 char* WriteGroup(std::uint32_t first, std::uint32_t second, std::uint32_t third, char* out) {
   const std::uint32_t bits = (first << (2 * kByteBits)) | (second << kByteBits) | third;
   out[0] = kAlphabet[bits >> (3 * kDigitBits)];
@@ -43,7 +43,7 @@
 }  // namespace
 
 std::string EncodeUrlSafeBase64(std::string_view bytes) {
-  // Sized for whole groups and filled in place: this runs for every delivered token.
+  // Preallocated because this runs for every delivered token.
   const std::size_t groups = (bytes.size() + kGroupBytes - 1) / kGroupBytes;
   std::string text(groups * kGroupDigits, '\0');
   char* out = text.data();
--- a/packages/zinnia_decisions/sessions/url_safe_base64.h
+++ b/packages/zinnia_decisions/sessions/url_safe_base64.h
@@ -6,12 +6,10 @@
 
 namespace zinnia {
 
-/** Base64 with the URL-safe alphabet and without padding (RFC 4648, section 5), so that a token can
-    stand in a header, a query or an event id. */
+/** Encodes as unpadded URL-safe Base64 (RFC 4648, section 5). */
 std::string EncodeUrlSafeBase64(std::string_view bytes);
 
-/** Nothing if the text is not the exact encoding of some bytes: two texts never decode to the same
-    bytes. */
+/** Returns nothing unless the text is a canonical encoding. */
 std::optional<std::string> DecodeUrlSafeBase64(std::string_view text);
 
 }  // namespace zinnia
