--- a/packages/zinnia_decisions/sessions/recovery_gate.h
+++ b/packages/zinnia_decisions/sessions/recovery_gate.h
@@ -18,8 +18,8 @@
   /** Called before the first step is sent. */
   virtual Result<void> MayStart(const ChatRequest& request) = 0;
 
-  /** `cause` is the status that ended the attempt, `server` the one that gave it, `crashes` how
-     many distinct servers have crashed under this session. */
+  /** `cause` is the status that ended the attempt, `server` its origin, `crashes` the number of
+      distinct servers that crashed during this session. */
   virtual Result<void> MayRecover(const ChatRequest& request,
                                   const BackendServerName& server,
                                   StepStatus cause,
