--- a/packages/zinnia_decisions/sessions/resume_token.h
+++ b/packages/zinnia_decisions/sessions/resume_token.h
@@ -12,9 +12,8 @@
 
 namespace zinnia {
 
-/** What any instance needs to take up a stream where another one left it. The caller holds it as
-   the id of each event. `delivered_hash` covers all text delivered so far, `request` the request
-   that it answers. */
+/** State from which any instance can resume a stream. It is sent to the caller as the id of each
+    event. `delivered_hash` covers the delivered text, `request` is the request's fingerprint. */
 struct ResumePoint {
   SessionName session;
   OrganisationName organisation;
