--- a/tests/sessions/golden_sessions_test.cc
+++ b/tests/sessions/golden_sessions_test.cc
@@ -49,7 +49,7 @@
 }
 
 TEST(GoldenSessions, StageCrashesInPrefill) {
-  // Symptom: no first token. The middle stage dies while it reads the prompt.
+  // The middle stage crashes during the prefill.
   StartAndRunTo(milliseconds(12));
   log.Write("b1 crashes");
   world.stages.Crash("b1");
@@ -57,7 +57,7 @@
 }
 
 TEST(GoldenSessions, StageCrashesMidAnswer) {
-  // Symptom: the answer stops. The middle stage dies with its cache between two tokens.
+  // The middle stage crashes between two tokens and its cache is lost.
   StartAndRunTo(kMidAnswer);
   log.Write("b1 crashes");
   world.stages.Crash("b1");
@@ -65,7 +65,7 @@
 }
 
 TEST(GoldenSessions, StageFreezesAndWakes) {
-  // Symptom: tokens doubled by a late answer. A stage freezes mid step, is replaced, and wakes.
+  // Guards against duplicate tokens when a replaced stage answers late.
   StartAndRunTo(kMidAnswer);
   log.Write("b1 freezes");
   world.stages.Freeze("b1");
@@ -75,8 +75,8 @@
   CheckAgainst("freeze_and_wake");
 }
 
-TEST(GoldenSessions, AnswerOfLivingStageIsLost) {
-  // Symptom: a replay for nothing. The connection is cut after the step was run.
+TEST(GoldenSessions, AnswerIsLostWithItsConnection) {
+  // Guards against an unnecessary replay when the connection fails after the step was run.
   StartAndRunTo(kMidAnswer);
   log.Write("the next answer of b1 is cut off");
   world.stages.AddFault("b1", StepFault::kCutBeforeAnswer);
@@ -84,7 +84,7 @@
 }
 
 TEST(GoldenSessions, ServerLeaves) {
-  // Symptom: a planned stop costs a replay. The cache of the leaving server is moved.
+  // The cache of a leaving server is transferred instead of replayed.
   StartAndRunTo(kMidAnswer);
   log.Write("b1 leaves");
   world.SetState("b1", BackendServerState::kLeaving);
@@ -92,8 +92,8 @@
   CheckAgainst("planned_leave");
 }
 
-TEST(GoldenSessions, MoveIsCutHalfWay) {
-  // Symptom: an error at a planned stop. The import is cut half way; the stage is replayed.
+TEST(GoldenSessions, TransferIsInterrupted) {
+  // An interrupted transfer falls back to a replay.
   StartAndRunTo(kMidAnswer);
   log.Write("b1 leaves; the transfer will be cut");
   world.stages.CutNextMove();
@@ -103,7 +103,7 @@
 }
 
 TEST(GoldenSessions, OnlySpareHasOlderVersion) {
-  // Symptom: two versions in one answer. The only spare of the crashed stage holds an older one.
+  // Guards against an answer from two versions: the only spare holds an older one.
   world.stages.At("b2").Load("0");
   StartAndRunTo(kMidAnswer);
   log.Write("b1 crashes");
@@ -112,14 +112,14 @@
 }
 
 TEST(GoldenSessions, InstanceDies) {
-  // Symptom: the stream ends in the middle. The instance dies; the stages still hold the session.
+  // The stages still hold the session when another instance resumes it.
   StartAndRunTo(kMidAnswer);
   ResumeElsewhere();
   CheckAgainst("instance_dies");
 }
 
 TEST(GoldenSessions, InstanceAndLastStageDieTogether) {
-  // Symptom: as above, but the stage that knew the texts is gone as well.
+  // The tokens are lost with the last stage and must be regenerated.
   StartAndRunTo(kMidAnswer);
   log.Write("c1 crashes");
   world.stages.Crash("c1");
