--- a/tests/sessions/healthy_session_test.cc
+++ b/tests/sessions/healthy_session_test.cc
@@ -8,7 +8,7 @@
 
 TEST_GROUP(HealthySession){};
 
-TEST(HealthySession, DeliversEachTokenOnceAndLeavesNothingBehind) {
+TEST(HealthySession, DeliversEachTokenOnceAndReleasesAllCaches) {
   SessionWorld world;
   const auto caller = std::make_shared<FakeCaller>();
   const auto driver = world.Start(caller);
@@ -26,8 +26,7 @@
 }
 
 TEST(HealthySession, ReplacesStageThatCrashesBetweenTokens) {
-  // Symptom: the answer stops in the middle. A stage's process dies, its cache with it; the next
-  // step gets no answer but a refused reconnection.
+  // Guards against an answer that stops when a stage crashes with its cache.
   SessionWorld world;
   const auto caller = std::make_shared<FakeCaller>();
   const auto driver = world.Start(caller);
