--- a/tests/sessions/planned_leave_test.cc
+++ b/tests/sessions/planned_leave_test.cc
@@ -38,9 +38,8 @@
   }
 };
 
-TEST(PlannedLeave, MovesTheCacheWithoutReplay) {
-  // Symptom: a planned stop costs every session a replay. The leaving server still lives, so its
-  // cache is exported to another replica between two tokens.
+TEST(PlannedLeave, TransfersTheCacheWithoutReplay) {
+  // Guards against a replay when the leaving server can still export its cache.
   LeaveMidAnswer("b1");
   CheckWhole();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
@@ -48,9 +47,8 @@
   CHECK_EQUAL(0U, world.stages.At("b1").HeldCaches());
 }
 
-TEST(PlannedLeave, CutTransferFallsBackToReplay) {
-  // Symptom: a session ends with an error at a planned stop. The import is cut half way and leaves
-  // nothing behind.
+TEST(PlannedLeave, InterruptedTransferFallsBackToReplay) {
+  // Guards against failing the session when a transfer is interrupted.
   world.stages.CutNextMove();
   LeaveMidAnswer("b1");
   CheckWhole();
@@ -66,9 +64,9 @@
   CHECK_TRUE(world.recorder.Has("stay_on_leaving_servers"));
 }
 
-TEST(PlannedLeave, StageThatRefusesAsLeavingGivesItsCacheAway) {
-  // Symptom: a replay of a long conversation although its cache still exists. The stage refuses new
-  // steps as leaving before the instance heard that it leaves.
+TEST(PlannedLeave, CacheIsTransferredFromAStageThatRefusesAsLeaving) {
+  // Guards against a replay when the stage refuses a step before the instance learns that it
+  // leaves.
   driver = world.Start(caller);
   world.time.AdvanceBy(milliseconds(90));
   world.stages.At("b1").refuses_as_leaving = true;
