--- a/tests/sessions/session_property_test.cc
+++ b/tests/sessions/session_property_test.cc
@@ -47,9 +47,9 @@
 
 TEST_GROUP(SessionProperty){};
 
-TEST(SessionProperty, KeepsItsPromisesUnderAnyScheduleOfFailures) {
-  // Symptom: a cut, doubled or spliced answer, or a caller who waits for ever. Failures come in any
-  // order, together and during recoveries; one of the orders was not thought of.
+TEST(SessionProperty, DeliversTokensExactlyOnceUnderAnyScheduleOfFailures) {
+  // Guards against truncated, duplicated or mixed answers and hanging callers under random
+  // sequences of failures, including failures during recoveries.
   const auto result = CheckSchedules(2'000);
   std::ostringstream message;
   rc::detail::printResultMessage(result, message);
