--- a/tests/sessions/resume_test.cc
+++ b/tests/sessions/resume_test.cc
@@ -37,9 +37,8 @@
   }
 };
 
-TEST(Resume, GoesOnFromWhatTheStagesHold) {
-  // Symptom: the stream ends in the middle. The instance dies; another gets the last event id. All
-  // stages still hold the session.
+TEST(Resume, ContinuesFromTheStagesCaches) {
+  // The instance fails while all stages still hold the session.
   KillInstanceMidAnswer();
   driver = world.Resume(after, before->last_event_id);
   CheckRestIsDelivered();
@@ -48,8 +47,8 @@
 }
 
 TEST(Resume, TokensSampledButNotDeliveredAreDelivered) {
-  // Symptom: a token is missing at the seam. The caller comes back with an older event id than the
-  // last one sent; the stages know more tokens than he has.
+  // Guards against a missing token when the caller resumes from an older event id than the last one
+  // sent.
   std::string older_id;
   std::string older_text;
   before->on_token = [&](const SampledToken&) {
@@ -65,7 +64,7 @@
 }
 
 TEST(Resume, RegeneratesWhenTheSamplingStageIsGoneToo) {
-  // Symptom: as above, but instance and last stage die together, and with them all texts.
+  // The instance and the last stage, which holds the tokens, fail together.
   KillInstanceMidAnswer();
   world.stages.Crash("c1");
   world.SetState("c1", BackendServerState::kGone);
@@ -74,9 +73,8 @@
   CHECK_TRUE(world.recorder.Has("regenerate_answer"));
 }
 
-TEST(Resume, MiddleStageDiesWithTheInstance) {
-  // Symptom: as above, but the sampling stage lives: what it knows is used, and the dead stage is
-  // replayed elsewhere.
+TEST(Resume, MiddleStageFailsWithTheInstance) {
+  // The last stage still holds the tokens, so only the failed stage is replaced and replayed.
   KillInstanceMidAnswer();
   world.stages.Crash("b1");
   driver = world.Resume(after, before->last_event_id);
@@ -84,9 +82,9 @@
   CHECK_FALSE(world.recorder.Has("regenerate_answer"));
 }
 
-TEST(Resume, DivergedAnswerIsNeverSpliced) {
-  // Symptom: an answer whose end does not fit its beginning. The delivered text cannot be
-  // generated again: here the seed in the id is another than the one that was used.
+TEST(Resume, DivergedAnswerIsRefused) {
+  // Guards against continuing with a regenerated answer that differs from the delivered text. A
+  // changed seed causes the difference.
   KillInstanceMidAnswer();
   world.stages.Crash("c1");
   world.SetState("c1", BackendServerState::kGone);
@@ -109,9 +107,9 @@
   CheckFailed(ErrorKind::kRecoveryFailed);
 }
 
-TEST(Resume, OldInstanceThatLivesOnDoesNotDisturb) {
-  // Symptom: tokens of two drivers mix. The caller lost his connection, not the instance, and the
-  // old driver goes on while another instance resumes; a third one resumes from the same id.
+TEST(Resume, ConcurrentDriversOfOneSessionDoNotInterfere) {
+  // Guards against mixed tokens when the previous driver still runs and two other instances resume
+  // from the same event id.
   old_driver = world.Start(before);
   world.time.AdvanceBy(milliseconds(100));
   const std::string text = before->text;
@@ -129,8 +127,8 @@
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), (text + third->text).c_str());
 }
 
-TEST(Resume, FinishedAnswerIsOnlyEndedAgain) {
-  // Symptom: a caller who has all tokens but lost the end gets them twice or an error.
+TEST(Resume, ResumingACompleteAnswerDeliversOnlyItsEnd) {
+  // Guards against duplicate tokens or an error when only the end event was lost.
   before->on_token = [this](const SampledToken&) {
     if (before->tokens == SessionWorld::MakeRequest().max_tokens) {
       old_driver.reset();
