--- a/tests/sessions/resume_token_test.cc
+++ b/tests/sessions/resume_token_test.cc
@@ -54,9 +54,8 @@
   CHECK_TRUE(codec->Open(codec->Seal(MakePoint())).value() == MakePoint());
 }
 
-TEST(ResumeToken, AnyInstanceWithTheKeyOpensAnyOfManySeals) {
-  // Symptom: only the first event id of an instance can be resumed elsewhere. The signing context
-  // is kept and used again, and would carry something over from the token before.
+TEST(ResumeToken, ReusedSigningContextGivesTheSameTokens) {
+  // Guards against state that carries over between tokens in the reused signing context.
   const auto other = SignedResumeTokenCodec::Create(kKey).value();
   ResumePoint point = MakePoint();
   for (point.delivered_tokens = 0; point.delivered_tokens < 20; ++point.delivered_tokens) {
@@ -65,9 +64,8 @@
   }
 }
 
-TEST(ResumeToken, RefusesAnyAlteredCharacterAndAnyCut) {
-  // Symptom: a caller resumes at a position or in an organisation of his choice. He changed one
-  // character of his event id, or cut it.
+TEST(ResumeToken, RefusesAlteredAndTruncatedTokens) {
+  // Guards against forged event ids.
   ResumePoint point = MakePoint();
   // Three lengths, since the last character of the text carries a different share of the last byte.
   for (int length = 0; length < 3; ++length) {
@@ -99,7 +97,7 @@
 }
 
 TEST(ResumeToken, OpensOnlyForItsOrganisationRequestAndTime) {
-  // Symptom: one organisation reads the answer of another, or an id from last week still opens.
+  // Guards against access by another organisation and against expired ids.
   const std::string token = codec->Seal(MakePoint());
   const WallTimePoint in_time = AtMilliseconds(MakePoint().expires_at_unix_ms);
   CHECK_TRUE(OpenResumePoint(*codec, token, MakeRequest(), in_time).has_value());
@@ -113,8 +111,8 @@
   CheckRefused(OpenResumePoint(*codec, token, changed, in_time));
 }
 
-TEST(ResumeToken, ResumedAttemptIsAboveAllOfTheOlderDriver) {
-  // Symptom: the old instance lives on, and its next attempt has the number of the resumed one.
+TEST(ResumeToken, ResumedAttemptExceedsAllOfThePreviousDriver) {
+  // Guards against equal attempt numbers of the previous and the resuming driver.
   const AttemptNumber resumed = AttemptNumbers::ForResume(AttemptNumbers::kFirst, "r-2").value();
   constexpr AttemptNumber kMostAttemptsOfOneDriver = 600;
   CHECK_TRUE(resumed > AttemptNumbers::kFirst + kMostAttemptsOfOneDriver);
