--- a/tests/sessions/recovery_test.cc
+++ b/tests/sessions/recovery_test.cc
@@ -50,17 +50,16 @@
   }
 };
 
-TEST(Recovery, CrashDuringPrefillStartsAgainElsewhere) {
-  // Symptom: no first token. The second stage dies while it reads the prompt.
+TEST(Recovery, CrashDuringPrefillRestartsOnAnotherServer) {
+  // The second stage crashes during the prefill.
   driver = world.Start(caller);
   world.time.AdvanceBy(milliseconds(12));
   world.stages.Crash("b1");
   CheckWhole();
 }
 
-TEST(Recovery, LastStageCrashReplaysAndFirstStageCrashAdoptsTheRest) {
-  // Symptom: the answer stops. The first stage dies between two tokens; the caches of the stages
-  // behind it are still good, so only the first stage needs the known tokens again.
+TEST(Recovery, FirstStageCrashReplaysThatStageOnly) {
+  // Guards against replaying the later stages, whose caches are still valid.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("a1");
@@ -68,9 +67,8 @@
   STRCMP_EQUAL("1", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
 }
 
-TEST(Recovery, FrozenStageThatWakesChangesNothing) {
-  // Symptom: a token twice, or two interleaved answers. A stage freezes, is replaced at the
-  // deadline, wakes, runs the step that reached it before and answers late.
+TEST(Recovery, LateAnswerOfAReplacedStageIsIgnored) {
+  // Guards against duplicate tokens when a replaced stage resumes after a freeze.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Freeze("c1");
@@ -80,9 +78,9 @@
   CheckWhole();
 }
 
-TEST(Recovery, LostAnswerOfLivingStageCostsNoReplay) {
-  // Symptom: a long pause after a cut connection. The stage ran the step, its answer was lost; its
-  // cache is one position ahead and is cut back by the adoption.
+TEST(Recovery, LostAnswerNeedsNoReplay) {
+  // Guards against a replay when only the answer was lost: the adoption truncates the cache, which
+  // is one position ahead.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kCutBeforeAnswer);
@@ -91,9 +89,8 @@
   STRCMP_EQUAL("b1", driver->Status().route.hops[1].server.c_str());
 }
 
-TEST(Recovery, StageThatLostItsCacheIsReplayedWhereItIs) {
-  // Symptom: the answer ends with an error though all servers live. A stage evicted the session's
-  // cache, and refuses the next step as unknown.
+TEST(Recovery, StageThatEvictedItsCacheIsReplayedInPlace) {
+  // Guards against failing the session when a stage evicted its cache.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.At("b1").Release("s-1", 1);
@@ -101,9 +98,8 @@
   STRCMP_EQUAL("2", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
 }
 
-TEST(Recovery, LostDoubledAndLateMessagesDoNotShow) {
-  // Symptom: a doubled or missing token. A step or its answer is lost, comes twice, or comes after
-  // the deadline and so after the answers of the next attempt.
+TEST(Recovery, LostDuplicatedAndLateMessagesDoNotChangeTheAnswer) {
+  // Guards against duplicate or missing tokens.
   constexpr StepFault kFaults[] = {StepFault::kLoseStep,     StepFault::kLoseAnswer,
                                    StepFault::kDelayAnswer,  StepFault::kCutBeforeStep,
                                    StepFault::kDoubleAnswer, StepFault::kDoubleStep};
@@ -121,9 +117,9 @@
   }
 }
 
-TEST(Recovery, DoubledMessagesOfSinglePipelineStageAreRecognised) {
-  // Symptom: a needless recovery, or a token taken for the next one. With one stage, a repeated
-  // answer has the attempt and hop of the step in flight, and differs in its length only.
+TEST(Recovery, DuplicatesOfASingleStageAreRecognised) {
+  // With one stage, a duplicate answer has the attempt and hop of the step in flight and differs
+  // only in its length.
   for (const StepFault fault : {StepFault::kDoubleAnswer, StepFault::kDoubleStep}) {
     SessionWorld single;
     single.snapshots.current->pipelines.clear();
@@ -141,8 +137,8 @@
 }
 
 TEST(Recovery, SecondFailureDuringRecoveryIsRecoveredToo) {
-  // Symptom: the session hangs after two failures. The replacement crashes while it replays, and a
-  // stage behind it, whose cache was to be adopted, is gone as well.
+  // Guards against a hang when the replacement crashes during its replay and a later stage, whose
+  // cache was to be adopted, has failed too.
   world.AddPipeline("reserve", "1", 2, "x");
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -153,8 +149,8 @@
   CheckWhole();
 }
 
-TEST(Recovery, DegradedLinkIsLeft) {
-  // Symptom: tokens trickle. The link to one stage becomes a hundred times slower than usual.
+TEST(Recovery, ServerBehindADegradedLinkIsReplaced) {
+  // The link to one stage becomes a hundred times slower.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.SlowLink("b1", 100);
@@ -162,9 +158,8 @@
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
 }
 
-TEST(Recovery, NeverGoesOnWithAnotherVersion) {
-  // Symptom: an answer whose end does not fit its beginning. The only spare, listed in the same
-  // pipeline, was loaded with an older version; so is the only other pipeline.
+TEST(Recovery, NeverContinuesWithAnotherVersion) {
+  // Guards against an answer from two versions: the spare and the other pipeline hold an older one.
   world.stages.At("b2").Load("0");
   world.snapshots.current->servers.at("b2").server.loaded->version = "0";
   world.AddPipeline("old", "0", 1, "old");
@@ -177,9 +172,8 @@
   CHECK_TRUE(caller->error->retry_after.has_value());
 }
 
-TEST(Recovery, FindsOtherPipelineOfSameVersionBehindOneOfAnother) {
-  // Symptom: an answer fails during a rollout though a fitting pipeline exists. The chooser would
-  // take the new version's pipeline first.
+TEST(Recovery, FindsAnotherPipelineOfTheSameVersion) {
+  // Guards against a failure during a rollout, when the chooser prefers the new version.
   SessionWorld rollout(1);
   rollout.AddPipeline("next", "2", 1, "n");
   rollout.AddPipeline("reserve", "1", 1, "r");
@@ -191,8 +185,7 @@
 }
 
 TEST(Recovery, PipelineThatChangedVersionSinceTheSnapshotIsRefused) {
-  // Symptom: two versions in one answer. The configuration already names the next version of the
-  // other pipeline, and its servers are still listed with the present one.
+  // Guards against an answer from two versions when the configuration is ahead of the servers.
   SessionWorld rollout(1);
   rollout.AddPipeline("next", "2", 1, "n");
   for (const char* server : {"a1n", "b1n", "c1n"}) {
@@ -207,8 +200,7 @@
 }
 
 TEST(Recovery, BeforeTheFirstTokenAnotherVersionMayAnswer) {
-  // Symptom: an error though a whole pipeline stands ready. A stage dies during the prefill and the
-  // only other pipeline has another version; nothing was generated that it could contradict.
+  // Guards against an error when another version could still answer because no token was generated.
   SessionWorld single(1);
   single.AddPipeline("next", "2", 1, "n");
   driver = single.Start(caller);
@@ -219,9 +211,8 @@
   STRCMP_EQUAL("2", driver->Status().route.version.c_str());
 }
 
-TEST(Recovery, WaitsBoundedTimeForSpareThatAppears) {
-  // Symptom: answers fail although a spare comes up a second later. No replica is left when the
-  // stage dies; then the membership shows one.
+TEST(Recovery, WaitsForASpareThatAppearsInTime) {
+  // Guards against failing at once when no replica is left.
   world.SetState("b2", BackendServerState::kGone);
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -231,9 +222,8 @@
   CheckWhole();
 }
 
-TEST(Recovery, OnlyServerThatFreezesForSecondsIsWaitedFor) {
-  // Symptom: all sessions of a pipeline without spares fail at a short freeze. Tries in quick
-  // succession used up the session's recoveries before the server woke.
+TEST(Recovery, WaitsForTheOnlyServerDuringAFreeze) {
+  // Guards against using up all recoveries in quick succession during a short freeze.
   world.SetState("b2", BackendServerState::kGone);
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -244,8 +234,7 @@
 }
 
 TEST(Recovery, RestartedServerMayServeAgain) {
-  // Symptom: an answer fails though its server is back. It is the only one with these layers, it
-  // failed the session, and it comes up again under the same name with a new incarnation.
+  // Guards against excluding a server beyond its restart with a new incarnation.
   world.SetState("b2", BackendServerState::kGone);
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -257,9 +246,8 @@
   CheckWhole();
 }
 
-TEST(Recovery, ServerWhoseConnectionsKeepBreakingIsLeft) {
-  // Symptom: a session recovers again and again at one server until it is given up. The first cut
-  // says little of the server, the second one is enough.
+TEST(Recovery, ServerWithRepeatedConnectionLossIsReplaced) {
+  // Guards against using up all recoveries on one server.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   for (int cut = 0; cut < 20; ++cut) {
@@ -269,9 +257,8 @@
   CHECK_EQUAL(2U, driver->Status().recoveries);
 }
 
-TEST(Recovery, StageThatGivesMalformedAnswersIsLeft) {
-  // Symptom: the instance crashes. A stage of another release calls a step done, but gives fewer
-  // states than positions, or no token.
+TEST(Recovery, StageWithMalformedAnswersIsReplaced) {
+  // Guards against a crash when an answer has too few states or no token.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kMalformedAnswer);
@@ -283,7 +270,7 @@
 }
 
 TEST(Recovery, StepThatIsNeverAnsweredDoesNotHangTheSession) {
-  // Symptom: a caller waits for ever and no metric moves. The links lost a step without telling.
+  // Guards against a hang when StageLinks never answers a step.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kSilence);
@@ -292,9 +279,8 @@
   CheckWhole();
 }
 
-TEST(Recovery, UnansweredPrefillIsUnknownNotUnrun) {
-  // Symptom: a caller is told "not run" and doubles work that ran. Every stage that gets the prompt
-  // freezes; nobody can say whether it was run.
+TEST(Recovery, UnansweredPrefillMayHaveRun) {
+  // Guards against reporting "not run" when every stage that received the prompt froze.
   world.stages.Freeze("a1");
   world.stages.Freeze("a2");
   driver = world.Start(caller);
@@ -302,8 +288,8 @@
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kUnknown);
 }
 
-TEST(Recovery, RefusedByAllIsNotRun) {
-  // Symptom: "unknown" where "not run" can be proved. All first stages refuse as overloaded.
+TEST(Recovery, RefusalByAllStagesIsReportedAsNotRun) {
+  // Guards against reporting "unknown" when all first stages refused the step.
   world.stages.At("a1").refuses_as_overloaded = true;
   world.stages.At("a2").refuses_as_overloaded = true;
   driver = world.Start(caller);
@@ -313,8 +299,7 @@
 }
 
 TEST(Recovery, GateIsAskedBeforeStartAndBeforeEachRecovery) {
-  // Symptom: a poison request crashes one server after the other. The gate sees two distinct
-  // crashed servers and says no; the third server must never get the request.
+  // Guards against sending a request that crashed two servers to a third one.
   world.gate.second_crash_error = MakeError(ErrorKind::kQuarantined, "crashed two servers");
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -335,7 +320,7 @@
 }
 
 TEST(Recovery, StepsAreIsolatedFromCrashUntilProgress) {
-  // Symptom: a healthy request is blamed for the crash that its neighbour in the batch caused.
+  // Guards against attributing a crash to another request of the same batch.
   std::string isolated;
   world.stages.on_send = [&isolated](const auto&, const StepRequest& step) {
     isolated.push_back(step.isolated ? 'i' : '-');
@@ -350,8 +335,7 @@
 }
 
 TEST(Recovery, RecoveriesAreBounded) {
-  // Symptom: one session keeps a broken stage pair busy for ever. The first stage drops the cache
-  // before each step.
+  // Guards against endless recoveries when a stage drops its cache before each step.
   driver = world.Start(caller);
   world.stages.on_step = [this](const auto& server, const auto&, const auto&) {
     if (server == "c1") {
@@ -363,7 +347,7 @@
   CHECK_EQUAL(8U, driver->Status().recoveries);
 }
 
-TEST(Recovery, CancelledSessionIsSilentAndReleased) {
+TEST(Recovery, CancelledSessionReleasesItsCachesAndDeliversNothing) {
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   driver->Cancel();
