--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-/** What may go wrong in a random schedule. */
+/** The kinds of failure in a random schedule. */
 enum class FailureKind {
   kCrash,
   kFreeze,
@@ -26,8 +26,8 @@
   kCount
 };
 
-/** One failure: how long after the one before, what, to which server. `server` and `detail` are any
-    numbers; they are taken modulo what there is to choose from. */
+/** One failure and its delay after the previous one. `server` and `detail` are arbitrary numbers,
+    reduced modulo the number of choices. */
 struct PlannedFailure {
   std::uint32_t after_ms = 0;
   FailureKind kind = FailureKind::kCrash;
@@ -35,8 +35,8 @@
   std::uint32_t detail = 0;
 };
 
-/** One session under a schedule of failures, and the judgement whether it kept its promises. The
-    same schedule gives the same run on every machine. */
+/** Runs one session under a schedule of failures and checks its guarantees. Deterministic for a
+    given schedule. */
 class FailureSchedule {
  public:
   /** `expected` is the text of the same answer without failures. */
@@ -48,7 +48,7 @@
     RandomSource random(seed);
     std::vector<PlannedFailure> failures(1 + RandomBelow(random, kMostFailures));
     for (PlannedFailure& failure : failures) {
-      // Half of them come close after the one before, to meet a recovery under way.
+      // Half of the failures follow closely, to occur during a recovery.
       const std::uint64_t longest_ms = RandomBelow(random, 2) == 0 ? 30 : 250;
       failure.after_ms = static_cast<std::uint32_t>(RandomBelow(random, longest_ms));
       failure.kind = static_cast<FailureKind>(
@@ -59,7 +59,7 @@
     return failures;
   }
 
-  /** Runs to the end; empty if nothing was violated. */
+  /** Runs the schedule and returns a description of the violation, or an empty string. */
   std::string Run() {
     m_caller = std::make_shared<FakeCaller>();
     m_driver = m_world.Start(m_caller);
@@ -79,7 +79,7 @@
   static constexpr std::uint32_t kMaxTokens = 12;
 
   BackendServerName Choose(std::uint32_t number) const {
-    // Mostly servers that the session uses, since others tell little.
+    // Prefers servers on the route, since failures of others have little effect.
     const auto route = m_driver->Status().route;
     const std::uint32_t hop = number % 3;
     const std::uint32_t rest = number / 3;
@@ -137,7 +137,7 @@
         m_world.time.ScheduleAfter(delay, [this, server] { m_world.stages.Wake(server); }));
   }
 
-  /** The caller loses its instance and goes to another with the last event id. */
+  /** Resumes at another instance from the last event id. */
   void Resume(bool old_instance_lives_on) {
     if (m_cancelled || m_caller->final_events > 0 || m_caller->last_event_id.empty()) {
       return;
