--- a/tests/sessions/fake_model.h
+++ b/tests/sessions/fake_model.h
@@ -10,12 +10,12 @@
 
 namespace zinnia {
 
-/** A model small enough for tests whose every value depends on all layers and positions before it,
-    as with attention: a layer that is left out, doubled, or run on a wrong cache changes the text.
-    The text does not depend on how layers are split into stages. */
+/** A deterministic model whose every value depends on all previous layers and positions. A layer
+    that is skipped, repeated or run on a wrong cache changes the text; the split of layers into
+    stages does not. */
 class FakeModel {
  public:
-  /** What one layer keeps of the positions that it has seen. */
+  /** The cache of one layer: a value for each position. */
   using LayerCache = std::vector<std::uint64_t>;
 
   static std::vector<std::string> Words(const std::string& prompt) {
@@ -33,7 +33,7 @@
   static std::string Embed(const std::string& word) { return ToState(Hash64(word)); }
   static std::string Embed(TokenId token) { return ToState(Mix(token, kTokenSalt)); }
 
-  /** Runs one layer on one position and appends the position to the layer's cache. */
+  /** Runs one layer on one position and appends the position to its cache. */
   static std::string RunLayer(std::uint32_t layer, const std::string& state, LayerCache& cache) {
     const std::uint64_t input = FromState(state);
     const std::uint64_t seen = cache.empty() ? 0 : cache.back();
