--- a/tests/sessions/fake_stage.h
+++ b/tests/sessions/fake_stage.h
@@ -14,8 +14,8 @@
 
 namespace zinnia {
 
-/** One model engine in memory: takes a step only at exactly the cached length, as docs/PROTOCOLS.md
-    says. An adopted cache is moved, not copied: the stricter of the two readings. */
+/** An in-memory model engine that accepts a step only at the cached length, as specified in
+    docs/PROTOCOLS.md. Adoption moves the cache instead of copying it, the stricter behaviour. */
 class FakeStage {
  public:
   FakeStage(LoadedRange loaded, StepLedger& ledger)
@@ -74,7 +74,7 @@
 
   std::size_t HeldCaches() const { return m_caches.size(); }
 
-  /** Copies one cache to another stage, as KV export and import do. */
+  /** Copies one cache to another stage, like KV export and import. */
   std::optional<std::uint32_t> ExportTo(FakeStage& to,
                                         const SessionName& session,
                                         AttemptNumber attempt,
