--- a/tests/sessions/fake_stages.h
+++ b/tests/sessions/fake_stages.h
@@ -14,7 +14,7 @@
 
 namespace zinnia {
 
-/** What happens to one step on its way. Losses are noticed by the deadline, cuts at once. */
+/** Fault injected into one step. Losses are detected at the deadline, lost connections at once. */
 enum class StepFault {
   kNone,
   kLoseStep,
@@ -25,18 +25,18 @@
   kDoubleAnswer,
   kDoubleStep,
 
-  /** The stage calls the step done without states or token. */
+  /** The stage answers kDone without states or token. */
   kMalformedAnswer,
 
-  /** Breaks the promise of StageLinks: nothing is ever answered. */
+  /** Violates the contract of StageLinks: the step is never answered. */
   kSilence,
 };
 
 /** The servers of a test and the network to them, in virtual time.
 
-    Plays the channel as well: it gives a step up at a deadline of a few usual step times (as one
-    learned from a latency histogram would be), and reports crashes. Beyond what StageLinks allows,
-    late and doubled answers are handed on to the listener, since the driver must drop them.
+    Also acts as the channel: steps time out after a multiple of the usual step time, and crashes
+   are reported. Unlike StageLinks, it passes on late and duplicate answers, which the driver must
+    drop.
 */
 class FakeStages final : public StageLinks {
  public:
@@ -54,7 +54,7 @@
   FakeStage& At(const BackendServerName& name) { return m_servers.at(name).stage; }
   const StepLedger& Ledger() const { return m_ledger; }
 
-  /** Steps in flight and all later ones fail as crashed; what the server held is lost. */
+  /** Fails the steps in flight and all later ones as crashed, and clears the caches. */
   void Crash(const BackendServerName& name) {
     Server& server = m_servers.at(name);
     server.is_dead = true;
@@ -64,12 +64,12 @@
     }
   }
 
-  /** A crashed server comes up again, empty. */
+  /** Restarts a crashed server with empty caches. */
   void Restart(const BackendServerName& name) { m_servers.at(name).is_dead = false; }
 
   void Freeze(const BackendServerName& name) { m_servers.at(name).is_frozen = true; }
 
-  /** The server goes on with all that reached it while it was frozen. */
+  /** Resumes the server, which then processes everything received while frozen. */
   void Wake(const BackendServerName& name) {
     Server& server = m_servers.at(name);
     server.is_frozen = false;
@@ -86,10 +86,10 @@
   }
   void CutNextMove() { m_cut_next_move = true; }
 
-  /** Called for each step that reaches a stage, with the stage's answer. */
+  /** Called for each step that a stage processed, with its answer. */
   std::function<void(const BackendServerName&, const StepRequest&, const StepAnswer&)> on_step;
 
-  /** Called for each step as it is sent, before anything happens to it. */
+  /** Called for each step when it is sent, before faults apply. */
   std::function<void(const BackendServerName&, const StepRequest&)> on_send;
 
   void SendStep(const BackendServerName& name,
