--- a/tests/sessions/session_log.h
+++ b/tests/sessions/session_log.h
@@ -12,8 +12,8 @@
 
 namespace zinnia {
 
-/** Writes down a whole session, one line an event, with the virtual time in milliseconds: what the
-    caller gets, each step at each stage, each decision with its reason. */
+/** Logs the events of a session, one per line with the virtual time in milliseconds: caller events,
+    steps at each stage, and decisions with their reasons. */
 class SessionLog {
  public:
   explicit SessionLog(SessionWorld& world) : m_world(world) {
@@ -38,9 +38,8 @@
 
   const std::string& Text() const { return m_text; }
 
-  /** Empty if the golden file has exactly this text; otherwise the first line that differs. Then
-      the text is left as NAME.actual.txt in the current folder: read it, and copy it over the
-      golden file only if the change is wanted. */
+  /** Compares a text with a golden file. Returns an empty string or the first difference, and
+     writes the text to NAME.actual.txt in the current folder on a mismatch. */
   static std::string Compare(const std::string& text, const std::string& name) {
     std::ifstream golden(std::string(ZINNIA_GOLDEN_FOLDER) + "/sessions/" + name + ".txt");
     std::istringstream actual(text);
