--- a/tests/sessions/session_world.h
+++ b/tests/sessions/session_world.h
@@ -20,7 +20,7 @@
 
 namespace zinnia {
 
-/** Takes the first usable replica of each stage, in the order in which pipelines list them. */
+/** Chooses the first usable replica of each stage, in pipeline order. */
 class FakeChooser final : public PipelineChooser {
  public:
   Result<RouteChoice> Choose(const FleetSnapshot& fleet, const RouteQuery& query) override {
@@ -72,7 +72,7 @@
   }
 };
 
-/** Allows everything but what a test forbids, and remembers what it was asked. */
+/** Allows everything unless a test sets an error, and records the highest crash count. */
 class FakeGate final : public RecoveryGate {
  public:
   Result<void> MayStart(const ChatRequest&) override { return Answer(start_error); }
@@ -117,7 +117,7 @@
   std::function<void(const DecisionRecord&)> on_record;
 };
 
-/** A caller: keeps the text, the last event id and how the answer ended. */
+/** Collects the text, the last event id and the end of an answer. */
 class FakeCaller final : public AnswerListener {
  public:
   void OnAnswerToken(const SampledToken& token, const std::string& event_id) override {
@@ -156,8 +156,8 @@
   }
 };
 
-/** A pipeline of three stages with two replicas each ("a1", "a2", "b1", ... "c2"), version 1, and
-    all that a session needs around it. */
+/** A session's environment: a pipeline of three stages with two replicas each by default ("a1",
+    "a2", "b1", ... "c2"), version 1. */
 class SessionWorld {
  public:
   static constexpr std::uint32_t kLayers = 6;
@@ -168,7 +168,7 @@
     AddPipeline("main", "1", replicas, "");
   }
 
-  /** `suffix` makes the servers' names different from those of other pipelines. */
+  /** `suffix` distinguishes the server names of several pipelines. */
   void AddPipeline(const std::string& name,
                    const std::string& version,
                    std::uint32_t replicas,
@@ -223,7 +223,7 @@
     return driver;
   }
 
-  /** What another instance does with the caller's last event id. */
+  /** Resumes from the last event id as another instance does. */
   std::shared_ptr<SessionDriver> Resume(const std::shared_ptr<FakeCaller>& caller,
                                         const std::string& event_id,
                                         ChatRequest request = MakeRequest()) {
@@ -234,10 +234,10 @@
     return driver;
   }
 
-  /** Runs until nothing but the silence watch is left or a minute has gone by. */
+  /** Advances the time by one minute, enough for any session to end. */
   void RunOut() { time.AdvanceBy(std::chrono::minutes(1)); }
 
-  /** The answer of a world in which nothing fails. */
+  /** The text of the answer without failures. */
   static std::string ExpectedText(const ChatRequest& request = MakeRequest()) {
     SessionWorld world;
     const auto caller = std::make_shared<FakeCaller>();
