--- a/tests/sessions/step_ledger.h
+++ b/tests/sessions/step_ledger.h
@@ -12,9 +12,8 @@
 
 namespace zinnia {
 
-/** What all stages together ran for each session: the positions of each (attempt, layer), with
-    those that an attempt adopted from an older one. Judges "every layer once for each token, in
-    order" without looking into the driver. */
+/** Records the positions that each session ran per attempt and layer, including adopted ones, to
+    verify independently of the driver that each layer ran every position once and in order. */
 class StepLedger {
  public:
   void Run(const SessionName& session, AttemptNumber attempt, LayerRange layers, std::uint32_t at) {
@@ -24,7 +23,7 @@
     }
   }
 
-  /** The new attempt starts with the first `length` positions of the older one. */
+  /** Copies the first `length` positions of the older attempt to the new one. */
   void Inherit(const SessionName& session,
                AttemptNumber older,
                AttemptNumber attempt,
@@ -39,7 +38,8 @@
 
   bool WasRun(const SessionName& session) const { return m_sessions_run.contains(session); }
 
-  /** Empty if the attempt's chain ran positions 0 to `length` - 1 of each layer once, in order. */
+  /** Returns an empty string if the attempt ran positions 0 to `length` - 1 of each layer once and
+     in order, else the first violation. */
   std::string FindViolation(const SessionName& session,
                             AttemptNumber attempt,
                             std::uint32_t layers,
