--- a/packages/zinnia_decisions/sessions/known_answer.cc
+++ b/packages/zinnia_decisions/sessions/generated_answer.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 
 #include <array>
 #include <cstring>
@@ -23,7 +23,7 @@
   return Fingerprint::Of(bytes);
 }
 
-KnownAnswer::KnownAnswer(std::uint32_t max_tokens, const ResumePoint* resume)
+GeneratedAnswer::GeneratedAnswer(std::uint32_t max_tokens, const ResumePoint* resume)
     : m_max_tokens(max_tokens) {
   if (resume != nullptr) {
     m_withheld = resume->delivered_tokens;
@@ -32,7 +32,7 @@
   }
 }
 
-KnownAnswer::Verdict KnownAnswer::Add(const SampledToken& token) {
+GeneratedAnswer::Verdict GeneratedAnswer::Add(const SampledToken& token) {
   m_tokens.push_back(token.id);
   m_hash = ExtendDeliveredHash(m_hash, token.text);
   m_ended = token.end_of_answer;
@@ -45,14 +45,14 @@
   return diverged ? Verdict::kDiverged : Verdict::kWithhold;
 }
 
-std::uint32_t KnownAnswer::CachedPositions() const {
+std::uint32_t GeneratedAnswer::CachedPositions() const {
   if (m_tokens.empty()) {
     return 0;
   }
   return m_prompt_tokens.value_or(0) + static_cast<std::uint32_t>(m_tokens.size()) - 1;
 }
 
-bool KnownAnswer::IsComplete() const {
+bool GeneratedAnswer::IsComplete() const {
   return m_ended || (!m_tokens.empty() && m_tokens.size() >= m_max_tokens);
 }
 
--- a/packages/zinnia_decisions/sessions/known_answer.h
+++ b/packages/zinnia_decisions/sessions/generated_answer.h
@@ -21,13 +21,13 @@
     On resume, tokens that the caller already has are withheld and checked against the hash of the
     delivered text.
 */
-class KnownAnswer {
+class GeneratedAnswer {
  public:
   /** How to treat a token that was just added. */
   enum class Verdict { kDeliver, kWithhold, kDiverged };
 
   /** `resume` may be null. */
-  KnownAnswer(std::uint32_t max_tokens, const ResumePoint* resume);
+  GeneratedAnswer(std::uint32_t max_tokens, const ResumePoint* resume);
 
   Verdict Add(const SampledToken& token);
 
--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -177,12 +177,12 @@
 
 bool PipelineSession::AddToken(const SampledToken& token) {
   switch (m_answer.Add(token)) {
-    case KnownAnswer::Verdict::kDeliver:
+    case GeneratedAnswer::Verdict::kDeliver:
       Deliver(token);
       break;
-    case KnownAnswer::Verdict::kWithhold:
+    case GeneratedAnswer::Verdict::kWithhold:
       break;
-    case KnownAnswer::Verdict::kDiverged:
+    case GeneratedAnswer::Verdict::kDiverged:
       Fail(MakeError(ErrorKind::kResumeDiverged,
                      "the regenerated answer differs from what was delivered"));
       break;
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -10,7 +10,7 @@
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/routing/pipeline_chooser.h"
 #include "zinnia_decisions/sessions/cache_moves.h"
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 #include "zinnia_decisions/sessions/recovery_routes.h"
 #include "zinnia_decisions/sessions/resume_lookup.h"
 #include "zinnia_decisions/sessions/session_driver.h"
@@ -23,7 +23,7 @@
 
 /** Implements SessionDriver: starts attempts, delivers tokens and recovers from failures.
 
-    @see StepRelay, KnownAnswer, RecoveryRoutes, CacheMoves, ResumeLookup
+    @see StepRelay, GeneratedAnswer, RecoveryRoutes, CacheMoves, ResumeLookup
 */
 class PipelineSession final : public SessionDriver,
                               public std::enable_shared_from_this<PipelineSession> {
@@ -91,7 +91,7 @@
   const std::weak_ptr<AnswerListener> m_listener;
   SessionRecords m_records;
   RecoveryRoutes m_routes;
-  KnownAnswer m_answer;
+  GeneratedAnswer m_answer;
   StepRelay m_relay;
   ResumePoint m_point;
   SessionState m_state = SessionState::kWaiting;
--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "zinnia_decisions/ports/snapshot_source.h"
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 
 namespace zinnia {
 namespace {
--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -4,14 +4,14 @@
 #include <utility>
 
 #include "zinnia_decisions/sessions/attempt_numbers.h"
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 
 namespace zinnia {
 
 StepRelay::StepRelay(StageLinks& links,
                      const SessionName& session,
                      const ChatRequest& request,
-                     const KnownAnswer& answer)
+                     const GeneratedAnswer& answer)
     : m_links(links), m_session(session), m_request(request), m_answer(answer) {}
 
 void StepRelay::StartAttempt(AttemptNumber attempt, const Route& route) {
--- a/packages/zinnia_decisions/sessions/step_relay.h
+++ b/packages/zinnia_decisions/sessions/step_relay.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-class KnownAnswer;
+class GeneratedAnswer;
 
 /** Runs the steps of one attempt hop by hop, with one step in flight at a time.
 
@@ -29,7 +29,7 @@
   StepRelay(StageLinks& links,
             const SessionName& session,
             const ChatRequest& request,
-            const KnownAnswer& answer);
+            const GeneratedAnswer& answer);
 
   /** Begins a new attempt. Its first pass adopts usable caches and replays the other hops. */
   void StartAttempt(AttemptNumber attempt, const Route& route);
@@ -77,7 +77,7 @@
   StageLinks& m_links;
   const SessionName& m_session;
   const ChatRequest& m_request;
-  const KnownAnswer& m_answer;
+  const GeneratedAnswer& m_answer;
   Route m_route;
   StageCaches m_caches;
   AttemptNumber m_attempt = 0;
