--- a/packages/zinnia_decisions/sessions/cache_moves.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/sessions/cache_moves.h"
+#include "zinnia_decisions/sessions/cache_transfers.h"
 
 #include <utility>
 
@@ -9,13 +9,13 @@
 
 }  // namespace
 
-std::shared_ptr<CacheMoves> CacheMoves::Start(const SessionParts& parts,
-                                              const SessionName& session,
-                                              const std::vector<Order>& orders,
-                                              AttemptNumber new_attempt,
-                                              Callback callback) {
-  std::shared_ptr<CacheMoves> moves(new CacheMoves(orders, std::move(callback)));
-  const std::weak_ptr<CacheMoves> weak = moves;
+std::shared_ptr<CacheTransfers> CacheTransfers::Start(const SessionParts& parts,
+                                                      const SessionName& session,
+                                                      const std::vector<Order>& orders,
+                                                      AttemptNumber new_attempt,
+                                                      Callback callback) {
+  std::shared_ptr<CacheTransfers> moves(new CacheTransfers(orders, std::move(callback)));
+  const std::weak_ptr<CacheTransfers> weak = moves;
   moves->m_time_limit = parts.scheduler.ScheduleAfter(kLongestMove, [weak] {
     if (const auto self = weak.lock()) {
       self->End();
@@ -33,14 +33,14 @@
   return moves;
 }
 
-CacheMoves::CacheMoves(const std::vector<Order>& orders, Callback callback)
+CacheTransfers::CacheTransfers(const std::vector<Order>& orders, Callback callback)
     : m_missing(orders.size()), m_callback(std::move(callback)) {
   for (const Order& order : orders) {
     m_outcomes.push_back({order, 0, "no answer in time"});
   }
 }
 
-void CacheMoves::Finish(std::size_t index, const Result<std::uint32_t>& result) {
+void CacheTransfers::Finish(std::size_t index, const Result<std::uint32_t>& result) {
   Outcome& outcome = m_outcomes[index];
   if (result) {
     outcome.length = *result;
@@ -53,7 +53,7 @@
   }
 }
 
-void CacheMoves::End() {
+void CacheTransfers::End() {
   m_time_limit.reset();
   if (const Callback callback = std::exchange(m_callback, nullptr)) {
     callback(std::move(m_outcomes));
--- a/packages/zinnia_decisions/sessions/cache_moves.h
+++ b/packages/zinnia_decisions/sessions/cache_transfers.h
@@ -16,7 +16,7 @@
     A transfer that exceeds the time limit counts as failed, and its stage is replayed. Destroying
     the object cancels the callback.
 */
-class CacheMoves {
+class CacheTransfers {
  public:
   struct Order {
     std::size_t hop = 0;
@@ -34,14 +34,14 @@
   using Callback = std::function<void(std::vector<Outcome>)>;
 
   /** Starts importing as `new_attempt`. The callback runs once, asynchronously. */
-  static std::shared_ptr<CacheMoves> Start(const SessionParts& parts,
-                                           const SessionName& session,
-                                           const std::vector<Order>& orders,
-                                           AttemptNumber new_attempt,
-                                           Callback callback);
+  static std::shared_ptr<CacheTransfers> Start(const SessionParts& parts,
+                                               const SessionName& session,
+                                               const std::vector<Order>& orders,
+                                               AttemptNumber new_attempt,
+                                               Callback callback);
 
  private:
-  CacheMoves(const std::vector<Order>& orders, Callback callback);
+  CacheTransfers(const std::vector<Order>& orders, Callback callback);
   void Finish(std::size_t index, const Result<std::uint32_t>& result);
   void End();
 
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -9,7 +9,7 @@
 
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/routing/pipeline_chooser.h"
-#include "zinnia_decisions/sessions/cache_moves.h"
+#include "zinnia_decisions/sessions/cache_transfers.h"
 #include "zinnia_decisions/sessions/generated_answer.h"
 #include "zinnia_decisions/sessions/recovery_routes.h"
 #include "zinnia_decisions/sessions/resume_lookup.h"
@@ -23,7 +23,7 @@
 
 /** Implements SessionDriver: starts attempts, delivers tokens and recovers from failures.
 
-    @see StepRelay, GeneratedAnswer, RecoveryRoutes, CacheMoves, ResumeLookup
+    @see StepRelay, GeneratedAnswer, RecoveryRoutes, CacheTransfers, ResumeLookup
 */
 class PipelineSession final : public SessionDriver,
                               public std::enable_shared_from_this<PipelineSession> {
@@ -71,7 +71,7 @@
   void MoveCaches(const Route& route);
   void TakeMoves(const Route& route,
                  AttemptNumber imported_as,
-                 const std::vector<CacheMoves::Outcome>& outcomes);
+                 const std::vector<CacheTransfers::Outcome>& outcomes);
 
   // Resuming a stream of another instance.
   void StartResume();
@@ -117,7 +117,7 @@
   std::unique_ptr<ScheduledCall> m_route_wait;
 
   bool m_leave_wanted = false;
-  std::shared_ptr<CacheMoves> m_cache_moves;
+  std::shared_ptr<CacheTransfers> m_cache_moves;
   std::shared_ptr<ResumeLookup> m_lookup;
 };
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -65,7 +65,7 @@
 }
 
 void PipelineSession::MoveCaches(const Route& route) {
-  std::vector<CacheMoves::Order> orders;
+  std::vector<CacheTransfers::Order> orders;
   for (std::size_t hop = 0; hop < std::min(route.hops.size(), m_route.hops.size()); ++hop) {
     const Route::Hop& from = m_route.hops[hop];
     const Route::Hop& to = route.hops[hop];
@@ -80,20 +80,20 @@
   }
   ++m_moves;
   const AttemptNumber imported_as = m_next_attempt++;
-  m_cache_moves = CacheMoves::Start(m_parts, m_session, orders, imported_as,
-                                    [weak = weak_from_this(), route, imported_as](
-                                        const std::vector<CacheMoves::Outcome>& outcomes) {
-                                      if (const auto self = weak.lock()) {
-                                        self->TakeMoves(route, imported_as, outcomes);
-                                      }
-                                    });
+  m_cache_moves = CacheTransfers::Start(m_parts, m_session, orders, imported_as,
+                                        [weak = weak_from_this(), route, imported_as](
+                                            const std::vector<CacheTransfers::Outcome>& outcomes) {
+                                          if (const auto self = weak.lock()) {
+                                            self->TakeMoves(route, imported_as, outcomes);
+                                          }
+                                        });
 }
 
 void PipelineSession::TakeMoves(const Route& route,
                                 AttemptNumber imported_as,
-                                const std::vector<CacheMoves::Outcome>& outcomes) {
+                                const std::vector<CacheTransfers::Outcome>& outcomes) {
   m_relay.Caches().SetRoute(route);
-  for (const CacheMoves::Outcome& outcome : outcomes) {
+  for (const CacheTransfers::Outcome& outcome : outcomes) {
     m_relay.Caches().Set(outcome.order.hop, imported_as, outcome.length);
     m_records.Write("move_cache", outcome.failure.empty() ? "imported" : outcome.failure,
                     {{"from", outcome.order.from},
