--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -11,7 +11,7 @@
 
 std::shared_ptr<CacheTransfers> CacheTransfers::Start(const SessionParts& parts,
                                                       const SessionName& session,
-                                                      const std::vector<Order>& orders,
+                                                      const std::vector<Transfer>& orders,
                                                       AttemptNumber new_attempt,
                                                       Callback callback) {
   std::shared_ptr<CacheTransfers> moves(new CacheTransfers(orders, std::move(callback)));
@@ -22,7 +22,7 @@
     }
   });
   for (std::size_t index = 0; index < orders.size(); ++index) {
-    const Order& order = orders[index];
+    const Transfer& order = orders[index];
     parts.links.MoveCache(order.from, order.to, session, order.attempt, new_attempt,
                           [weak, index](const Result<std::uint32_t>& result) {
                             if (const auto self = weak.lock()) {
@@ -33,9 +33,9 @@
   return moves;
 }
 
-CacheTransfers::CacheTransfers(const std::vector<Order>& orders, Callback callback)
+CacheTransfers::CacheTransfers(const std::vector<Transfer>& orders, Callback callback)
     : m_missing(orders.size()), m_callback(std::move(callback)) {
-  for (const Order& order : orders) {
+  for (const Transfer& order : orders) {
     m_outcomes.push_back({order, 0, "no answer in time"});
   }
 }
--- a/packages/zinnia_decisions/sessions/cache_transfers.h
+++ b/packages/zinnia_decisions/sessions/cache_transfers.h
@@ -18,7 +18,7 @@
 */
 class CacheTransfers {
  public:
-  struct Order {
+  struct Transfer {
     std::size_t hop = 0;
     BackendServerName from;
     BackendServerName to;
@@ -27,7 +27,7 @@
 
   /** `length` is the number of positions imported, 0 if the transfer failed. */
   struct Outcome {
-    Order order;
+    Transfer order;
     std::uint32_t length = 0;
     std::string failure;
   };
@@ -36,12 +36,12 @@
   /** Starts importing as `new_attempt`. The callback runs once, asynchronously. */
   static std::shared_ptr<CacheTransfers> Start(const SessionParts& parts,
                                                const SessionName& session,
-                                               const std::vector<Order>& orders,
+                                               const std::vector<Transfer>& orders,
                                                AttemptNumber new_attempt,
                                                Callback callback);
 
  private:
-  CacheTransfers(const std::vector<Order>& orders, Callback callback);
+  CacheTransfers(const std::vector<Transfer>& orders, Callback callback);
   void Finish(std::size_t index, const Result<std::uint32_t>& result);
   void End();
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -65,7 +65,7 @@
 }
 
 void PipelineSession::MoveCaches(const Route& route) {
-  std::vector<CacheTransfers::Order> orders;
+  std::vector<CacheTransfers::Transfer> orders;
   for (std::size_t hop = 0; hop < std::min(route.hops.size(), m_route.hops.size()); ++hop) {
     const Route::Hop& from = m_route.hops[hop];
     const Route::Hop& to = route.hops[hop];
