--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -11,18 +11,18 @@
 
 std::shared_ptr<CacheTransfers> CacheTransfers::Start(const SessionParts& parts,
                                                       const SessionName& session,
-                                                      const std::vector<Transfer>& orders,
+                                                      const std::vector<Transfer>& transfers,
                                                       AttemptNumber new_attempt,
                                                       Callback callback) {
-  std::shared_ptr<CacheTransfers> moves(new CacheTransfers(orders, std::move(callback)));
+  std::shared_ptr<CacheTransfers> moves(new CacheTransfers(transfers, std::move(callback)));
   const std::weak_ptr<CacheTransfers> weak = moves;
   moves->m_time_limit = parts.scheduler.ScheduleAfter(kLongestMove, [weak] {
     if (const auto self = weak.lock()) {
       self->End();
     }
   });
-  for (std::size_t index = 0; index < orders.size(); ++index) {
-    const Transfer& order = orders[index];
+  for (std::size_t index = 0; index < transfers.size(); ++index) {
+    const Transfer& order = transfers[index];
     parts.links.MoveCache(order.from, order.to, session, order.attempt, new_attempt,
                           [weak, index](const Result<std::uint32_t>& result) {
                             if (const auto self = weak.lock()) {
@@ -33,9 +33,9 @@
   return moves;
 }
 
-CacheTransfers::CacheTransfers(const std::vector<Transfer>& orders, Callback callback)
-    : m_missing(orders.size()), m_callback(std::move(callback)) {
-  for (const Transfer& order : orders) {
+CacheTransfers::CacheTransfers(const std::vector<Transfer>& transfers, Callback callback)
+    : m_missing(transfers.size()), m_callback(std::move(callback)) {
+  for (const Transfer& order : transfers) {
     m_outcomes.push_back({order, 0, "no answer in time"});
   }
 }
--- a/packages/zinnia_decisions/sessions/cache_transfers.h
+++ b/packages/zinnia_decisions/sessions/cache_transfers.h
@@ -36,12 +36,12 @@
   /** Starts importing as `new_attempt`. The callback runs once, asynchronously. */
   static std::shared_ptr<CacheTransfers> Start(const SessionParts& parts,
                                                const SessionName& session,
-                                               const std::vector<Transfer>& orders,
+                                               const std::vector<Transfer>& transfers,
                                                AttemptNumber new_attempt,
                                                Callback callback);
 
  private:
-  CacheTransfers(const std::vector<Transfer>& orders, Callback callback);
+  CacheTransfers(const std::vector<Transfer>& transfers, Callback callback);
   void Finish(std::size_t index, const Result<std::uint32_t>& result);
   void End();
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -65,22 +65,22 @@
 }
 
 void PipelineSession::MoveCaches(const Route& route) {
-  std::vector<CacheTransfers::Transfer> orders;
+  std::vector<CacheTransfers::Transfer> transfers;
   for (std::size_t hop = 0; hop < std::min(route.hops.size(), m_route.hops.size()); ++hop) {
     const Route::Hop& from = m_route.hops[hop];
     const Route::Hop& to = route.hops[hop];
     const auto adoption = m_relay.Caches().AdoptionAt(hop, m_answer.CachedPositions());
     if (from.layers == to.layers && from.server != to.server && adoption) {
-      orders.push_back({hop, from.server, to.server, adoption->attempt});
+      transfers.push_back({hop, from.server, to.server, adoption->attempt});
     }
   }
-  if (orders.empty()) {
+  if (transfers.empty()) {
     StartAttempt(route);
     return;
   }
   ++m_moves;
   const AttemptNumber imported_as = m_next_attempt++;
-  m_cache_moves = CacheTransfers::Start(m_parts, m_session, orders, imported_as,
+  m_cache_moves = CacheTransfers::Start(m_parts, m_session, transfers, imported_as,
                                         [weak = weak_from_this(), route, imported_as](
                                             const std::vector<CacheTransfers::Outcome>& outcomes) {
                                           if (const auto self = weak.lock()) {
