--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -34,7 +34,7 @@
 }
 
 CacheTransfers::CacheTransfers(const std::vector<Transfer>& transfers, Callback callback)
-    : m_missing(transfers.size()), m_callback(std::move(callback)) {
+    : m_pending(transfers.size()), m_callback(std::move(callback)) {
   for (const Transfer& order : transfers) {
     m_outcomes.push_back({order, 0, "no answer in time"});
   }
@@ -48,7 +48,7 @@
   } else {
     outcome.failure = result.error().message;
   }
-  if (--m_missing == 0) {
+  if (--m_pending == 0) {
     End();
   }
 }
--- a/packages/zinnia_decisions/sessions/cache_transfers.h
+++ b/packages/zinnia_decisions/sessions/cache_transfers.h
@@ -46,7 +46,7 @@
   void End();
 
   std::vector<Outcome> m_outcomes;
-  std::size_t m_missing;
+  std::size_t m_pending;
   Callback m_callback;
   std::unique_ptr<ScheduledCall> m_time_limit;
 };
