--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -5,7 +5,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::chrono::seconds kLongestMove{2};
+constexpr std::chrono::seconds kTransferTimeout{2};
 
 }  // namespace
 
@@ -16,7 +16,7 @@
                                                       Callback callback) {
   std::shared_ptr<CacheTransfers> moves(new CacheTransfers(transfers, std::move(callback)));
   const std::weak_ptr<CacheTransfers> weak = moves;
-  moves->m_time_limit = parts.scheduler.ScheduleAfter(kLongestMove, [weak] {
+  moves->m_time_limit = parts.scheduler.ScheduleAfter(kTransferTimeout, [weak] {
     if (const auto self = weak.lock()) {
       self->End();
     }
