--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -18,7 +18,7 @@
   const std::weak_ptr<CacheTransfers> weak = moves;
   moves->m_time_limit = parts.scheduler.ScheduleAfter(kTransferTimeout, [weak] {
     if (const auto self = weak.lock()) {
-      self->End();
+      self->Complete();
     }
   });
   for (std::size_t index = 0; index < transfers.size(); ++index) {
@@ -49,11 +49,11 @@
     outcome.failure = result.error().message;
   }
   if (--m_pending == 0) {
-    End();
+    Complete();
   }
 }
 
-void CacheTransfers::End() {
+void CacheTransfers::Complete() {
   m_time_limit.reset();
   if (const Callback callback = std::exchange(m_callback, nullptr)) {
     callback(std::move(m_outcomes));
--- a/packages/zinnia_decisions/sessions/cache_transfers.h
+++ b/packages/zinnia_decisions/sessions/cache_transfers.h
@@ -43,7 +43,7 @@
  private:
   CacheTransfers(const std::vector<Transfer>& transfers, Callback callback);
   void Finish(std::size_t index, const Result<std::uint32_t>& result);
-  void End();
+  void Complete();
 
   std::vector<Outcome> m_outcomes;
   std::size_t m_pending;
