--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -68,7 +68,7 @@
   std::vector<std::size_t> LeavingHops() const;
   void LeaveNow();
   Route RouteWithoutLeaving() const;
-  void MoveCaches(const Route& route);
+  void TransferCaches(const Route& route);
   void TakeMoves(const Route& route,
                  AttemptNumber imported_as,
                  const std::vector<CacheTransfers::Outcome>& outcomes);
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -44,7 +44,7 @@
   }
   m_records.Write("leave_servers", "servers of the route are leaving",
                   {{"from", Describe(m_route)}, {"to", Describe(route)}});
-  MoveCaches(route);
+  TransferCaches(route);
 }
 
 Route PipelineSession::RouteWithoutLeaving() const {
@@ -64,7 +64,7 @@
   return route;
 }
 
-void PipelineSession::MoveCaches(const Route& route) {
+void PipelineSession::TransferCaches(const Route& route) {
   std::vector<CacheTransfers::Transfer> transfers;
   for (std::size_t hop = 0; hop < std::min(route.hops.size(), m_route.hops.size()); ++hop) {
     const Route::Hop& from = m_route.hops[hop];
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -139,7 +139,7 @@
   m_records.Write("replace_server", choice.reason,
                   {{"failed", m_route.hops[hop].server}, {"route", Describe(choice.route)}});
   if (cause == StepStatus::kLeaving) {
-    MoveCaches(choice.route);
+    TransferCaches(choice.route);
     return;
   }
   StartAttempt(choice.route);
