--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -69,9 +69,9 @@
   void LeaveNow();
   Route RouteWithoutLeaving() const;
   void TransferCaches(const Route& route);
-  void TakeMoves(const Route& route,
-                 AttemptNumber imported_as,
-                 const std::vector<CacheTransfers::Outcome>& outcomes);
+  void HandleTransfers(const Route& route,
+                       AttemptNumber imported_as,
+                       const std::vector<CacheTransfers::Outcome>& outcomes);
 
   // Resuming a stream of another instance.
   void StartResume();
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -84,14 +84,14 @@
                                         [weak = weak_from_this(), route, imported_as](
                                             const std::vector<CacheTransfers::Outcome>& outcomes) {
                                           if (const auto self = weak.lock()) {
-                                            self->TakeMoves(route, imported_as, outcomes);
+                                            self->HandleTransfers(route, imported_as, outcomes);
                                           }
                                         });
 }
 
-void PipelineSession::TakeMoves(const Route& route,
-                                AttemptNumber imported_as,
-                                const std::vector<CacheTransfers::Outcome>& outcomes) {
+void PipelineSession::HandleTransfers(const Route& route,
+                                      AttemptNumber imported_as,
+                                      const std::vector<CacheTransfers::Outcome>& outcomes) {
   m_relay.Caches().SetRoute(route);
   for (const CacheTransfers::Outcome& outcome : outcomes) {
     m_relay.Caches().Set(outcome.order.hop, imported_as, outcome.length);
