--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -296,7 +296,7 @@
   m_relay.Abandon();
   m_silence_watch.reset();
   m_route_wait.reset();
-  m_cache_moves.reset();
+  m_cache_transfers.reset();
   m_lookup.reset();
   if (std::exchange(m_uses_route, false)) {
     m_relay.ReleaseAll();
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -117,7 +117,7 @@
   std::unique_ptr<ScheduledCall> m_route_wait;
 
   bool m_leave_wanted = false;
-  std::shared_ptr<CacheTransfers> m_cache_moves;
+  std::shared_ptr<CacheTransfers> m_cache_transfers;
   std::shared_ptr<ResumeLookup> m_lookup;
 };
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -80,13 +80,14 @@
   }
   ++m_moves;
   const AttemptNumber imported_as = m_next_attempt++;
-  m_cache_moves = CacheTransfers::Start(m_parts, m_session, transfers, imported_as,
-                                        [weak = weak_from_this(), route, imported_as](
-                                            const std::vector<CacheTransfers::Outcome>& outcomes) {
-                                          if (const auto self = weak.lock()) {
-                                            self->HandleTransfers(route, imported_as, outcomes);
-                                          }
-                                        });
+  m_cache_transfers =
+      CacheTransfers::Start(m_parts, m_session, transfers, imported_as,
+                            [weak = weak_from_this(), route,
+                             imported_as](const std::vector<CacheTransfers::Outcome>& outcomes) {
+                              if (const auto self = weak.lock()) {
+                                self->HandleTransfers(route, imported_as, outcomes);
+                              }
+                            });
 }
 
 void PipelineSession::HandleTransfers(const Route& route,
@@ -100,7 +101,7 @@
                      {"to", outcome.order.to},
                      {"length", std::to_string(outcome.length)}});
   }
-  const auto moves = std::exchange(m_cache_moves, nullptr);
+  const auto moves = std::exchange(m_cache_transfers, nullptr);
   StartAttempt(route);
 }
 
