--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -105,7 +105,7 @@
   std::unique_ptr<ScheduledCall> m_silence_watch;
 
   std::uint32_t m_recoveries = 0;
-  std::uint32_t m_moves = 0;
+  std::uint32_t m_transfers = 0;
   std::set<BackendServerName> m_crashed_servers;
   std::set<BackendServerName> m_tried_again;
   std::optional<std::size_t> m_isolated_until_tokens;
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -36,7 +36,7 @@
 void PipelineSession::LeaveNow() {
   m_leave_wanted = false;
   const Route route = RouteWithoutLeaving();
-  if (route == m_route || m_moves == kMostMoves) {
+  if (route == m_route || m_transfers == kMostMoves) {
     m_records.Write("stay_on_leaving_servers", "no other server has these layers",
                     {{"route", Describe(m_route)}});
     StartPass();
@@ -78,7 +78,7 @@
     StartAttempt(route);
     return;
   }
-  ++m_moves;
+  ++m_transfers;
   const AttemptNumber imported_as = m_next_attempt++;
   m_cache_transfers =
       CacheTransfers::Start(m_parts, m_session, transfers, imported_as,
