--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /** Limits the attempt numbers consumed by planned moves. */
-constexpr std::uint32_t kMostMoves = 200;
+constexpr std::uint32_t kMaxTransfers = 200;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
 void PipelineSession::LeaveNow() {
   m_leave_wanted = false;
   const Route route = RouteWithoutLeaving();
-  if (route == m_route || m_transfers == kMostMoves) {
+  if (route == m_route || m_transfers == kMaxTransfers) {
     m_records.Write("stay_on_leaving_servers", "no other server has these layers",
                     {{"route", Describe(m_route)}});
     StartPass();
