--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -70,7 +70,7 @@
   Route RouteWithoutLeaving() const;
   void TransferCaches(const Route& route);
   void HandleTransfers(const Route& route,
-                       AttemptNumber imported_as,
+                       AttemptNumber import_attempt,
                        const std::vector<CacheTransfers::Outcome>& outcomes);
 
   // Resuming a stream of another instance.
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -79,23 +79,23 @@
     return;
   }
   ++m_transfers;
-  const AttemptNumber imported_as = m_next_attempt++;
+  const AttemptNumber import_attempt = m_next_attempt++;
   m_cache_transfers =
-      CacheTransfers::Start(m_parts, m_session, transfers, imported_as,
+      CacheTransfers::Start(m_parts, m_session, transfers, import_attempt,
                             [weak = weak_from_this(), route,
-                             imported_as](const std::vector<CacheTransfers::Outcome>& outcomes) {
+                             import_attempt](const std::vector<CacheTransfers::Outcome>& outcomes) {
                               if (const auto self = weak.lock()) {
-                                self->HandleTransfers(route, imported_as, outcomes);
+                                self->HandleTransfers(route, import_attempt, outcomes);
                               }
                             });
 }
 
 void PipelineSession::HandleTransfers(const Route& route,
-                                      AttemptNumber imported_as,
+                                      AttemptNumber import_attempt,
                                       const std::vector<CacheTransfers::Outcome>& outcomes) {
   m_relay.Caches().SetRoute(route);
   for (const CacheTransfers::Outcome& outcome : outcomes) {
-    m_relay.Caches().Set(outcome.order.hop, imported_as, outcome.length);
+    m_relay.Caches().Set(outcome.order.hop, import_attempt, outcome.length);
     m_records.Write("move_cache", outcome.failure.empty() ? "imported" : outcome.failure,
                     {{"from", outcome.order.from},
                      {"to", outcome.order.to},
