--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -169,7 +169,7 @@
   if (m_answer.IsComplete()) {
     Finish();
   } else if (m_leave_wanted) {
-    LeaveNow();
+    MoveOffLeavingServers();
   } else {
     StartPass();
   }
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -66,7 +66,7 @@
 
   // Moving off leaving servers.
   std::vector<std::size_t> LeavingHops() const;
-  void LeaveNow();
+  void MoveOffLeavingServers();
   Route RouteWithoutLeaving() const;
   void TransferCaches(const Route& route);
   void HandleTransfers(const Route& route,
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -33,7 +33,7 @@
   return leaving;
 }
 
-void PipelineSession::LeaveNow() {
+void PipelineSession::MoveOffLeavingServers() {
   m_leave_wanted = false;
   const Route route = RouteWithoutLeaving();
   if (route == m_route || m_transfers == kMaxTransfers) {
