--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -168,7 +168,7 @@
   m_state = SessionState::kDecoding;
   if (m_answer.IsComplete()) {
     Finish();
-  } else if (m_leave_wanted) {
+  } else if (m_leave_requested) {
     MoveOffLeavingServers();
   } else {
     StartPass();
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -116,7 +116,7 @@
   TimePoint m_same_server_at{};
   std::unique_ptr<ScheduledCall> m_route_wait;
 
-  bool m_leave_wanted = false;
+  bool m_leave_requested = false;
   std::shared_ptr<CacheTransfers> m_cache_transfers;
   std::shared_ptr<ResumeLookup> m_lookup;
 };
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -18,7 +18,7 @@
     return;
   }
   // Deferred until the current token is complete, since only then all caches have equal length.
-  m_leave_wanted = true;
+  m_leave_requested = true;
 }
 
 std::vector<std::size_t> PipelineSession::LeavingHops() const {
@@ -34,7 +34,7 @@
 }
 
 void PipelineSession::MoveOffLeavingServers() {
-  m_leave_wanted = false;
+  m_leave_requested = false;
   const Route route = RouteWithoutLeaving();
   if (route == m_route || m_transfers == kMaxTransfers) {
     m_records.Write("stay_on_leaving_servers", "no other server has these layers",
