--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -109,7 +109,7 @@
       if (!m_answer.PromptTokens()) {
         m_answer.SetPromptTokens(answer.prompt_tokens);
       }
-      TakeToken(*answer.token);
+      HandleToken(*answer.token);
       return;
     case StepRelay::Progress::kFailed:
       NoteWhetherRun(status);
@@ -160,7 +160,7 @@
   m_relay.StartPass(weak_from_this());
 }
 
-void PipelineSession::TakeToken(const SampledToken& token) {
+void PipelineSession::HandleToken(const SampledToken& token) {
   if (!AddToken(token)) {
     return;
   }
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -47,7 +47,7 @@
   void StartOn(RouteChoice choice);
   void StartAttempt(const Route& route);
   void StartPass();
-  void TakeToken(const SampledToken& token);
+  void HandleToken(const SampledToken& token);
   bool AddToken(const SampledToken& token);
   void Deliver(const SampledToken& token);
   void Finish();
