--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -113,7 +113,7 @@
       return;
     case StepRelay::Progress::kFailed:
       NoteWhetherRun(status);
-      TakeFailure(answer);
+      HandleFailure(answer);
       return;
   }
 }
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -54,7 +54,7 @@
   void WatchForSilence();
 
   // Recovery from failures.
-  void TakeFailure(const StepAnswer& answer);
+  void HandleFailure(const StepAnswer& answer);
   void RecordFailure(const StepAnswer& answer);
   void Recover(StepStatus cause, std::uint32_t hop);
   bool MayStayOn(StepStatus cause, const BackendServerName& server);
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-void PipelineSession::TakeFailure(const StepAnswer& answer) {
+void PipelineSession::HandleFailure(const StepAnswer& answer) {
   const std::uint32_t hop = m_relay.Hop();
   const BackendServerName server = m_route.hops[hop].server;
   m_relay.NoteFailure(answer);
