--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -59,7 +59,7 @@
   void Recover(StepStatus cause, std::uint32_t hop);
   bool MayStayOn(StepStatus cause, const BackendServerName& server);
   void FindOtherRoute(StepStatus cause, std::uint32_t hop);
-  void TakeReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
+  void UseReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
   void NoteWhetherRun(StepStatus status);
   void EndRecovery();
   void Fail(Error error);
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -108,7 +108,7 @@
 void PipelineSession::FindOtherRoute(StepStatus cause, std::uint32_t hop) {
   const auto choice = m_routes.Replace(m_route, hop, MakeQuery(), RequiredVersion());
   if (choice) {
-    TakeReplacement(cause, hop, *choice);
+    UseReplacement(cause, hop, *choice);
     return;
   }
   const TimePoint now = m_parts.clock.Now();
@@ -133,9 +133,9 @@
       });
 }
 
-void PipelineSession::TakeReplacement(StepStatus cause,
-                                      std::uint32_t hop,
-                                      const RouteChoice& choice) {
+void PipelineSession::UseReplacement(StepStatus cause,
+                                     std::uint32_t hop,
+                                     const RouteChoice& choice) {
   m_records.Write("replace_server", choice.reason,
                   {{"failed", m_route.hops[hop].server}, {"route", Describe(choice.route)}});
   if (cause == StepStatus::kLeaving) {
