--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -75,7 +75,7 @@
 
   // Resuming a stream of another instance.
   void StartResume();
-  void TakeFound(const std::optional<FoundSession>& found);
+  void HandleLookupResult(const std::optional<FoundSession>& found);
   void ContinueFound(const FoundSession& found);
   void Regenerate();
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_resume.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_resume.cc
@@ -10,19 +10,19 @@
   m_state = SessionState::kResuming;
   m_point.route = m_resume->route;
   if (m_resume->route.hops.empty()) {
-    TakeFound(std::nullopt);
+    HandleLookupResult(std::nullopt);
     return;
   }
   m_lookup = ResumeLookup::Start(
       m_parts, *m_resume, [weak = weak_from_this()](const std::optional<FoundSession>& found) {
         // The listener may release the session during delivery of the found tokens.
         if (const auto self = weak.lock()) {
-          self->TakeFound(found);
+          self->HandleLookupResult(found);
         }
       });
 }
 
-void PipelineSession::TakeFound(const std::optional<FoundSession>& found) {
+void PipelineSession::HandleLookupResult(const std::optional<FoundSession>& found) {
   const auto lookup = std::exchange(m_lookup, nullptr);
   const AttemptNumber held = found ? found->held.attempt : AttemptNumber{0};
   const auto first =
