--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -76,7 +76,7 @@
   // Resuming a stream of another instance.
   void StartResume();
   void HandleLookupResult(const std::optional<FoundSession>& found);
-  void ContinueFound(const FoundSession& found);
+  void ResumeFoundSession(const FoundSession& found);
   void Regenerate();
 
   RouteQuery MakeQuery() const;
--- a/packages/zinnia_decisions/sessions/pipeline_session_resume.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_resume.cc
@@ -33,13 +33,13 @@
   }
   m_next_attempt = *first;
   if (found) {
-    ContinueFound(*found);
+    ResumeFoundSession(*found);
   } else {
     Regenerate();
   }
 }
 
-void PipelineSession::ContinueFound(const FoundSession& found) {
+void PipelineSession::ResumeFoundSession(const FoundSession& found) {
   Route route = m_resume->route;
   route.hops.back().server = found.server;
   m_records.Write("resume_session", "a stage still knows the tokens",
