--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -97,7 +97,7 @@
     case StepRelay::Progress::kStale:
       return;
     case StepRelay::Progress::kNextHop:
-      NoteWhetherRun(status);
+      UpdateWasRun(status);
       if (!m_answer.PromptTokens()) {
         m_answer.SetPromptTokens(answer.prompt_tokens);
       }
@@ -105,14 +105,14 @@
       m_relay.SendToNextHop(std::move(answer), weak_from_this());
       return;
     case StepRelay::Progress::kToken:
-      NoteWhetherRun(status);
+      UpdateWasRun(status);
       if (!m_answer.PromptTokens()) {
         m_answer.SetPromptTokens(answer.prompt_tokens);
       }
       HandleToken(*answer.token);
       return;
     case StepRelay::Progress::kFailed:
-      NoteWhetherRun(status);
+      UpdateWasRun(status);
       HandleFailure(answer);
       return;
   }
@@ -233,7 +233,7 @@
   });
 }
 
-void PipelineSession::NoteWhetherRun(StepStatus status) {
+void PipelineSession::UpdateWasRun(StepStatus status) {
   const bool maybe_run = status == StepStatus::kTimedOut || status == StepStatus::kConnectionLost ||
                          status == StepStatus::kServerCrashed;
   if (status == StepStatus::kDone) {
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -60,7 +60,7 @@
   bool MayStayOn(StepStatus cause, const BackendServerName& server);
   void FindOtherRoute(StepStatus cause, std::uint32_t hop);
   void UseReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
-  void NoteWhetherRun(StepStatus status);
+  void UpdateWasRun(StepStatus status);
   void EndRecovery();
   void Fail(Error error);
 
