--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -57,7 +57,7 @@
   void HandleFailure(const StepAnswer& answer);
   void RecordFailure(const StepAnswer& answer);
   void Recover(StepStatus cause, std::uint32_t hop);
-  bool MayStayOn(StepStatus cause, const BackendServerName& server);
+  bool MayRetryOn(StepStatus cause, const BackendServerName& server);
   void FindOtherRoute(StepStatus cause, std::uint32_t hop);
   void UseReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
   void UpdateWasRun(StepStatus status);
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -78,7 +78,7 @@
 
 void PipelineSession::Recover(StepStatus cause, std::uint32_t hop) {
   const BackendServerName server = m_route.hops[hop].server;
-  if (MayStayOn(cause, server)) {
+  if (MayRetryOn(cause, server)) {
     m_records.Write("keep_route", "the server is alive and repeats the step from its cache",
                     {{"server", server}});
     StartAttempt(m_route);
@@ -92,7 +92,7 @@
   FindOtherRoute(cause, hop);
 }
 
-bool PipelineSession::MayStayOn(StepStatus cause, const BackendServerName& server) {
+bool PipelineSession::MayRetryOn(StepStatus cause, const BackendServerName& server) {
   switch (cause) {
     case StepStatus::kConnectionLost:
       // One lost connection per server and answer is tolerated.
