--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -20,7 +20,7 @@
   return error;
 }
 
-bool MayLive(StepStatus cause) {
+bool MayBeAlive(StepStatus cause) {
   return cause == StepStatus::kTimedOut || cause == StepStatus::kOverloaded ||
          cause == StepStatus::kConnectionLost;
 }
@@ -113,7 +113,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   const bool is_late = m_request.deadline && now >= *m_request.deadline;
-  const bool may_live = MayLive(cause);
+  const bool may_live = MayBeAlive(cause);
   if (is_late || (!may_live && now >= m_route_wait_ends)) {
     Fail(RecoveryFailed("no other backend server holds the layers of " + m_route.hops[hop].server));
     return;
