--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -113,12 +113,12 @@
   }
   const TimePoint now = m_parts.clock.Now();
   const bool is_late = m_request.deadline && now >= *m_request.deadline;
-  const bool may_live = MayBeAlive(cause);
-  if (is_late || (!may_live && now >= m_route_wait_ends)) {
+  const bool may_be_alive = MayBeAlive(cause);
+  if (is_late || (!may_be_alive && now >= m_route_wait_ends)) {
     Fail(RecoveryFailed("no other backend server holds the layers of " + m_route.hops[hop].server));
     return;
   }
-  if (may_live && now >= m_same_server_at) {
+  if (may_be_alive && now >= m_same_server_at) {
     m_records.Write("keep_route", "no other server has these layers and this one may live",
                     {{"server", m_route.hops[hop].server}});
     StartAttempt(m_route);
