--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -112,9 +112,9 @@
     return;
   }
   const TimePoint now = m_parts.clock.Now();
-  const bool is_late = m_request.deadline && now >= *m_request.deadline;
+  const bool is_past_deadline = m_request.deadline && now >= *m_request.deadline;
   const bool may_be_alive = MayBeAlive(cause);
-  if (is_late || (!may_be_alive && now >= m_route_wait_ends)) {
+  if (is_past_deadline || (!may_be_alive && now >= m_route_wait_ends)) {
     Fail(RecoveryFailed("no other backend server holds the layers of " + m_route.hops[hop].server));
     return;
   }
