--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -58,7 +58,7 @@
   void RecordFailure(const StepAnswer& answer);
   void Recover(StepStatus cause, std::uint32_t hop);
   bool MayRetryOn(StepStatus cause, const BackendServerName& server);
-  void FindOtherRoute(StepStatus cause, std::uint32_t hop);
+  void FindReplacementRoute(StepStatus cause, std::uint32_t hop);
   void UseReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
   void UpdateWasRun(StepStatus status);
   void EndRecovery();
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -89,7 +89,7 @@
   m_route_wait_ends = now + kLongestRouteWait;
   // Exponential backoff, so that the limited number of recoveries spans a freeze of seconds.
   m_same_server_at = now + kRouteWaitStep * (1U << (m_recoveries - 1));
-  FindOtherRoute(cause, hop);
+  FindReplacementRoute(cause, hop);
 }
 
 bool PipelineSession::MayRetryOn(StepStatus cause, const BackendServerName& server) {
@@ -105,7 +105,7 @@
   }
 }
 
-void PipelineSession::FindOtherRoute(StepStatus cause, std::uint32_t hop) {
+void PipelineSession::FindReplacementRoute(StepStatus cause, std::uint32_t hop) {
   const auto choice = m_routes.Replace(m_route, hop, MakeQuery(), RequiredVersion());
   if (choice) {
     UseReplacement(cause, hop, *choice);
@@ -128,7 +128,7 @@
       m_parts.scheduler.ScheduleAfter(kRouteWaitStep, [weak = weak_from_this(), cause, hop] {
         const auto self = weak.lock();
         if (self && !self->IsOver()) {
-          self->FindOtherRoute(cause, hop);
+          self->FindReplacementRoute(cause, hop);
         }
       });
 }
