--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -71,7 +71,7 @@
   m_records.Write("cancel_session", "the caller is gone",
                   {{"delivered_tokens", std::to_string(m_answer.DeliveredTokens())}});
   m_state = SessionState::kFailed;
-  EndRouteUse();
+  ReleaseRoute();
 }
 
 SessionStatus PipelineSession::Status() const {
@@ -206,7 +206,7 @@
 
 void PipelineSession::Finish() {
   m_state = SessionState::kDone;
-  EndRouteUse();
+  ReleaseRoute();
   if (const auto listener = m_listener.lock()) {
     listener->OnAnswerDone({.prompt_tokens = m_answer.PromptTokens().value_or(0),
                             .answer_tokens = static_cast<std::uint32_t>(m_answer.Tokens().size()),
@@ -252,7 +252,7 @@
                    {"was_run", std::string(NameOf(error.was_run))},
                    {"delivered_tokens", std::to_string(m_answer.DeliveredTokens())}});
   m_state = SessionState::kFailed;
-  EndRouteUse();
+  ReleaseRoute();
   if (const auto listener = m_listener.lock()) {
     listener->OnAnswerFailed(error);
   }
@@ -292,7 +292,7 @@
   m_parts.chooser.OnSent(m_route, m_query_sent);
 }
 
-void PipelineSession::EndRouteUse() {
+void PipelineSession::ReleaseRoute() {
   m_relay.Abandon();
   m_silence_watch.reset();
   m_route_wait.reset();
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -82,7 +82,7 @@
   RouteQuery MakeQuery() const;
   std::string RequiredVersion() const;
   void SwitchRoute(const Route& route);
-  void EndRouteUse();
+  void ReleaseRoute();
 
   SessionParts m_parts;
   const SessionName m_session;
