--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -49,7 +49,7 @@
     Fail(may_start.error());
     return;
   }
-  WatchForSilence();
+  ScheduleStepWatchdog();
   if (m_resume) {
     StartResume();
     return;
@@ -214,7 +214,7 @@
   }
 }
 
-void PipelineSession::WatchForSilence() {
+void PipelineSession::ScheduleStepWatchdog() {
   // StageLinks answers every step. This watchdog turns a step that is never answered because of a
   // defect into a timeout, so that the session does not hang.
   m_silence_watch = m_parts.scheduler.ScheduleAfter(kLongestSilence, [weak = weak_from_this()] {
@@ -228,7 +228,7 @@
                          {.status = StepStatus::kTimedOut, .attempt = self->m_relay.Attempt()});
     }
     if (!self->IsOver()) {
-      self->WatchForSilence();
+      self->ScheduleStepWatchdog();
     }
   });
 }
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -51,7 +51,7 @@
   bool AddToken(const SampledToken& token);
   void Deliver(const SampledToken& token);
   void Finish();
-  void WatchForSilence();
+  void ScheduleStepWatchdog();
 
   // Recovery from failures.
   void HandleFailure(const StepAnswer& answer);
