--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -217,7 +217,7 @@
 void PipelineSession::ScheduleStepWatchdog() {
   // StageLinks answers every step. This watchdog turns a step that is never answered because of a
   // defect into a timeout, so that the session does not hang.
-  m_silence_watch = m_parts.scheduler.ScheduleAfter(kLongestSilence, [weak = weak_from_this()] {
+  m_step_watchdog = m_parts.scheduler.ScheduleAfter(kLongestSilence, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || self->IsOver()) {
       return;
@@ -294,7 +294,7 @@
 
 void PipelineSession::ReleaseRoute() {
   m_relay.Abandon();
-  m_silence_watch.reset();
+  m_step_watchdog.reset();
   m_route_wait.reset();
   m_cache_transfers.reset();
   m_lookup.reset();
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -102,7 +102,7 @@
   WasRun m_was_run = WasRun::kNo;
   TimePoint m_started_at{};
   TimePoint m_step_sent_at{};
-  std::unique_ptr<ScheduledCall> m_silence_watch;
+  std::unique_ptr<ScheduledCall> m_step_watchdog;
 
   std::uint32_t m_recoveries = 0;
   std::uint32_t m_transfers = 0;
