--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::chrono::minutes kResumeValidity{15};
-constexpr std::chrono::seconds kLongestSilence{60};
+constexpr std::chrono::seconds kStepWatchdogTimeout{60};
 constexpr std::chrono::milliseconds kRetryAfter{2'000};
 
 }  // namespace
@@ -217,20 +217,22 @@
 void PipelineSession::ScheduleStepWatchdog() {
   // StageLinks answers every step. This watchdog turns a step that is never answered because of a
   // defect into a timeout, so that the session does not hang.
-  m_step_watchdog = m_parts.scheduler.ScheduleAfter(kLongestSilence, [weak = weak_from_this()] {
-    const auto self = weak.lock();
-    if (!self || self->IsOver()) {
-      return;
-    }
-    const bool silent = self->m_parts.clock.Now() - self->m_step_sent_at >= kLongestSilence;
-    if (silent && self->m_relay.IsInFlight()) {
-      self->OnStepAnswer(self->m_relay.Hop(),
-                         {.status = StepStatus::kTimedOut, .attempt = self->m_relay.Attempt()});
-    }
-    if (!self->IsOver()) {
-      self->ScheduleStepWatchdog();
-    }
-  });
+  m_step_watchdog =
+      m_parts.scheduler.ScheduleAfter(kStepWatchdogTimeout, [weak = weak_from_this()] {
+        const auto self = weak.lock();
+        if (!self || self->IsOver()) {
+          return;
+        }
+        const bool silent =
+            self->m_parts.clock.Now() - self->m_step_sent_at >= kStepWatchdogTimeout;
+        if (silent && self->m_relay.IsInFlight()) {
+          self->OnStepAnswer(self->m_relay.Hop(),
+                             {.status = StepStatus::kTimedOut, .attempt = self->m_relay.Attempt()});
+        }
+        if (!self->IsOver()) {
+          self->ScheduleStepWatchdog();
+        }
+      });
 }
 
 void PipelineSession::UpdateWasRun(StepStatus status) {
