--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -107,7 +107,7 @@
   std::uint32_t m_recoveries = 0;
   std::uint32_t m_transfers = 0;
   std::set<BackendServerName> m_crashed_servers;
-  std::set<BackendServerName> m_tried_again;
+  std::set<BackendServerName> m_retried_servers;
   std::optional<std::size_t> m_isolated_until_tokens;
   std::optional<RecoveryTimes> m_recovery_times;
   TimePoint m_failure_noticed_at{};
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -96,7 +96,7 @@
   switch (cause) {
     case StepStatus::kConnectionLost:
       // One lost connection per server and answer is tolerated.
-      return m_tried_again.insert(server).second;
+      return m_retried_servers.insert(server).second;
     case StepStatus::kWrongLength:
     case StepStatus::kUnknownSession:
       return true;
