--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -65,7 +65,7 @@
 }
 
 void PipelineSession::Cancel() {
-  if (IsOver()) {
+  if (IsFinished()) {
     return;
   }
   m_records.Write("cancel_session", "the caller is gone",
@@ -89,7 +89,7 @@
 }
 
 void PipelineSession::OnStepAnswer(std::uint32_t hop, StepAnswer answer) {
-  if (IsOver()) {
+  if (IsFinished()) {
     return;
   }
   const StepStatus status = answer.status;
@@ -118,7 +118,7 @@
   }
 }
 
-bool PipelineSession::IsOver() const {
+bool PipelineSession::IsFinished() const {
   return m_state == SessionState::kDone || m_state == SessionState::kFailed;
 }
 
@@ -187,7 +187,7 @@
                      "the regenerated answer differs from what was delivered"));
       break;
   }
-  return !IsOver();
+  return !IsFinished();
 }
 
 void PipelineSession::Deliver(const SampledToken& token) {
@@ -220,7 +220,7 @@
   m_step_watchdog =
       m_parts.scheduler.ScheduleAfter(kStepWatchdogTimeout, [weak = weak_from_this()] {
         const auto self = weak.lock();
-        if (!self || self->IsOver()) {
+        if (!self || self->IsFinished()) {
           return;
         }
         const bool silent =
@@ -229,7 +229,7 @@
           self->OnStepAnswer(self->m_relay.Hop(),
                              {.status = StepStatus::kTimedOut, .attempt = self->m_relay.Attempt()});
         }
-        if (!self->IsOver()) {
+        if (!self->IsFinished()) {
           self->ScheduleStepWatchdog();
         }
       });
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -41,7 +41,7 @@
   void OnStepAnswer(std::uint32_t hop, StepAnswer answer) override;
 
  private:
-  bool IsOver() const;
+  bool IsFinished() const;
 
   // Normal operation.
   void StartOn(RouteChoice choice);
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 void PipelineSession::LeaveDrainingServers() {
-  if (IsOver() || m_route.hops.empty() || LeavingHops().empty()) {
+  if (IsFinished() || m_route.hops.empty() || LeavingHops().empty()) {
     return;
   }
   // Deferred until the current token is complete, since only then all caches have equal length.
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -127,7 +127,7 @@
   m_route_wait =
       m_parts.scheduler.ScheduleAfter(kRouteWaitStep, [weak = weak_from_this(), cause, hop] {
         const auto self = weak.lock();
-        if (self && !self->IsOver()) {
+        if (self && !self->IsFinished()) {
           self->FindReplacementRoute(cause, hop);
         }
       });
