--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /** Limits the load that one failing session puts on the servers. */
-constexpr std::uint32_t kMostRecoveries = 8;
+constexpr std::uint32_t kMaxRecoveries = 8;
 
 constexpr std::chrono::seconds kLongestRouteWait{3};
 constexpr std::chrono::milliseconds kRouteWaitStep{50};
@@ -48,7 +48,7 @@
     Fail(may_recover.error());
     return;
   }
-  if (m_recoveries == kMostRecoveries) {
+  if (m_recoveries == kMaxRecoveries) {
     Fail(RecoveryFailed("the answer was recovered too often"));
     return;
   }
