--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -10,7 +10,7 @@
 /** Limits the load that one failing session puts on the servers. */
 constexpr std::uint32_t kMaxRecoveries = 8;
 
-constexpr std::chrono::seconds kLongestRouteWait{3};
+constexpr std::chrono::seconds kRouteWaitTimeout{3};
 constexpr std::chrono::milliseconds kRouteWaitStep{50};
 constexpr std::chrono::milliseconds kRetryAfter{2'000};
 
@@ -86,7 +86,7 @@
   }
   m_routes.Exclude(server);
   const TimePoint now = m_parts.clock.Now();
-  m_route_wait_ends = now + kLongestRouteWait;
+  m_route_wait_ends = now + kRouteWaitTimeout;
   // Exponential backoff, so that the limited number of recoveries spans a freeze of seconds.
   m_same_server_at = now + kRouteWaitStep * (1U << (m_recoveries - 1));
   FindReplacementRoute(cause, hop);
