--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kMaxRecoveries = 8;
 
 constexpr std::chrono::seconds kRouteWaitTimeout{3};
-constexpr std::chrono::milliseconds kRouteWaitStep{50};
+constexpr std::chrono::milliseconds kRouteRetryInterval{50};
 constexpr std::chrono::milliseconds kRetryAfter{2'000};
 
 Error RecoveryFailed(std::string message) {
@@ -88,7 +88,7 @@
   const TimePoint now = m_parts.clock.Now();
   m_route_wait_ends = now + kRouteWaitTimeout;
   // Exponential backoff, so that the limited number of recoveries spans a freeze of seconds.
-  m_same_server_at = now + kRouteWaitStep * (1U << (m_recoveries - 1));
+  m_same_server_at = now + kRouteRetryInterval * (1U << (m_recoveries - 1));
   FindReplacementRoute(cause, hop);
 }
 
@@ -125,7 +125,7 @@
     return;
   }
   m_route_wait =
-      m_parts.scheduler.ScheduleAfter(kRouteWaitStep, [weak = weak_from_this(), cause, hop] {
+      m_parts.scheduler.ScheduleAfter(kRouteRetryInterval, [weak = weak_from_this(), cause, hop] {
         const auto self = weak.lock();
         if (self && !self->IsFinished()) {
           self->FindReplacementRoute(cause, hop);
