--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -113,7 +113,7 @@
   TimePoint m_failure_noticed_at{};
   TimePoint m_rebuild_started_at{};
   TimePoint m_route_wait_ends{};
-  TimePoint m_same_server_at{};
+  TimePoint m_same_server_retry_at{};
   std::unique_ptr<ScheduledCall> m_route_wait;
 
   bool m_leave_requested = false;
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -88,7 +88,7 @@
   const TimePoint now = m_parts.clock.Now();
   m_route_wait_ends = now + kRouteWaitTimeout;
   // Exponential backoff, so that the limited number of recoveries spans a freeze of seconds.
-  m_same_server_at = now + kRouteRetryInterval * (1U << (m_recoveries - 1));
+  m_same_server_retry_at = now + kRouteRetryInterval * (1U << (m_recoveries - 1));
   FindReplacementRoute(cause, hop);
 }
 
@@ -118,7 +118,7 @@
     Fail(RecoveryFailed("no other backend server holds the layers of " + m_route.hops[hop].server));
     return;
   }
-  if (may_be_alive && now >= m_same_server_at) {
+  if (may_be_alive && now >= m_same_server_retry_at) {
     m_records.Write("keep_route", "no other server has these layers and this one may live",
                     {{"server", m_route.hops[hop].server}});
     StartAttempt(m_route);
