--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -262,9 +262,10 @@
 
 RouteQuery PipelineSession::MakeQuery() const {
   // The engines tokenise, so the token count is an estimate until the first prefill.
-  constexpr std::size_t kUsualBytesPerToken = 4;
+  constexpr std::size_t kTypicalBytesPerToken = 4;
   constexpr std::size_t kPrefixBytes = 512;
-  const auto guess = static_cast<std::uint32_t>(m_request.prompt.size() / kUsualBytesPerToken + 1);
+  const auto guess =
+      static_cast<std::uint32_t>(m_request.prompt.size() / kTypicalBytesPerToken + 1);
   return {.model = m_request.model,
           .prompt_tokens = m_answer.PromptTokens().value_or(guess),
           .answer_tokens = m_request.max_tokens,
