--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -93,7 +93,7 @@
     return;
   }
   const StepStatus status = answer.status;
-  switch (m_relay.Take(hop, answer)) {
+  switch (m_relay.HandleAnswer(hop, answer)) {
     case StepRelay::Progress::kStale:
       return;
     case StepRelay::Progress::kNextHop:
--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -37,7 +37,7 @@
   Send(0, std::move(step), std::move(listener));
 }
 
-StepRelay::Progress StepRelay::Take(std::uint32_t hop, StepAnswer& answer) {
+StepRelay::Progress StepRelay::HandleAnswer(std::uint32_t hop, StepAnswer& answer) {
   if (!m_in_flight || answer.attempt != m_attempt || hop != m_hop) {
     return Progress::kStale;
   }
--- a/packages/zinnia_decisions/sessions/step_relay.h
+++ b/packages/zinnia_decisions/sessions/step_relay.h
@@ -39,7 +39,7 @@
 
   /** Processes an answer. After kNextHop, call SendToNextHop; after kToken the pass is complete and
       `answer` holds the token; after kFailed, call NoteFailure. */
-  Progress Take(std::uint32_t hop, StepAnswer& answer);
+  Progress HandleAnswer(std::uint32_t hop, StepAnswer& answer);
   void SendToNextHop(StepAnswer answer, std::weak_ptr<StepListener> listener);
 
   /** Abandons the step in flight; its answer will be ignored. */
