--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -30,7 +30,7 @@
 void PipelineSession::HandleFailure(const StepAnswer& answer) {
   const std::uint32_t hop = m_relay.Hop();
   const BackendServerName server = m_route.hops[hop].server;
-  m_relay.NoteFailure(answer);
+  m_relay.HandleFailedStep(answer);
   RecordFailure(answer);
   if (answer.status == StepStatus::kRejected) {
     Fail(MakeError(ErrorKind::kBackendRejected, "backend server " + server + " refused a step"));
--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -85,7 +85,7 @@
   Send(hop, std::move(step), std::move(listener));
 }
 
-void StepRelay::NoteFailure(const StepAnswer& answer) {
+void StepRelay::HandleFailedStep(const StepAnswer& answer) {
   const bool adopted = m_starting_caches && !IsReplayed(m_hop);
   switch (answer.status) {
     case StepStatus::kUnknownSession:
--- a/packages/zinnia_decisions/sessions/step_relay.h
+++ b/packages/zinnia_decisions/sessions/step_relay.h
@@ -38,7 +38,7 @@
   void StartPass(std::weak_ptr<StepListener> listener);
 
   /** Processes an answer. After kNextHop, call SendToNextHop; after kToken the pass is complete and
-      `answer` holds the token; after kFailed, call NoteFailure. */
+      `answer` holds the token; after kFailed, call HandleFailedStep. */
   Progress HandleAnswer(std::uint32_t hop, StepAnswer& answer);
   void SendToNextHop(StepAnswer answer, std::weak_ptr<StepListener> listener);
 
@@ -46,7 +46,7 @@
   void Abandon() { m_in_flight = false; }
 
   /** Updates the cache state of the hop whose step failed. */
-  void NoteFailure(const StepAnswer& answer);
+  void HandleFailedStep(const StepAnswer& answer);
 
   bool IsInFlight() const { return m_in_flight; }
 
