--- a/packages/zinnia_decisions/sessions/stage_caches.cc
+++ b/packages/zinnia_decisions/sessions/stage_caches.cc
@@ -20,7 +20,7 @@
   m_hops[hop].length = length;
 }
 
-void StageCaches::Forget(std::size_t hop) {
+void StageCaches::Invalidate(std::size_t hop) {
   Set(hop, 0, 0);
 }
 
--- a/packages/zinnia_decisions/sessions/stage_caches.h
+++ b/packages/zinnia_decisions/sessions/stage_caches.h
@@ -22,7 +22,7 @@
   void SetRoute(const Route& route);
 
   void Set(std::size_t hop, AttemptNumber attempt, std::uint32_t length);
-  void Forget(std::size_t hop);
+  void Invalidate(std::size_t hop);
 
   /** Returns the adoption for starting an attempt at `length`, if the cache is known to reach it.
    */
--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -91,11 +91,11 @@
     case StepStatus::kUnknownSession:
     case StepStatus::kNotLoaded:
     case StepStatus::kServerCrashed:
-      m_caches.Forget(m_hop);
+      m_caches.Invalidate(m_hop);
       break;
     case StepStatus::kWrongLength:
       if (adopted) {
-        m_caches.Forget(m_hop);
+        m_caches.Invalidate(m_hop);
       } else {
         m_caches.Set(m_hop, m_attempt, answer.length);
       }
