--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -20,7 +20,7 @@
   m_route = route;
   m_caches.SetRoute(route);
   m_hops_to_replay = m_caches.HopsToReplay(m_answer.CachedPositions());
-  m_starting_caches = true;
+  m_is_first_pass = true;
   m_in_flight = false;
 }
 
@@ -43,7 +43,7 @@
   }
   // A duplicate answer to an earlier step: the reported length is what the step in flight requires,
   // so the refusal cannot refer to that step.
-  const bool adopts = m_starting_caches && !IsReplayed(hop);
+  const bool adopts = m_is_first_pass && !IsReplayed(hop);
   if (answer.status == StepStatus::kWrongLength && answer.length == m_position && !adopts) {
     return Progress::kStale;
   }
@@ -60,14 +60,14 @@
     answer.status = StepStatus::kNotLoaded;
     return Progress::kFailed;
   }
-  if (m_starting_caches && m_attempt != AttemptNumbers::kFirst) {
+  if (m_is_first_pass && m_attempt != AttemptNumbers::kFirst) {
     m_links.ReleaseSession(m_route.hops[hop].server, m_session, m_attempt - 1);
   }
   m_caches.Set(hop, m_attempt, answer.length);
   if (!IsLastHop()) {
     return Progress::kNextHop;
   }
-  m_starting_caches = false;
+  m_is_first_pass = false;
   return Progress::kToken;
 }
 
@@ -86,7 +86,7 @@
 }
 
 void StepRelay::HandleFailedStep(const StepAnswer& answer) {
-  const bool adopted = m_starting_caches && !IsReplayed(m_hop);
+  const bool adopted = m_is_first_pass && !IsReplayed(m_hop);
   switch (answer.status) {
     case StepStatus::kUnknownSession:
     case StepStatus::kNotLoaded:
@@ -103,7 +103,7 @@
     case StepStatus::kTimedOut:
     case StepStatus::kConnectionLost:
       // The stage probably ran the step. Otherwise it rejects the adoption and is replayed.
-      if (m_starting_caches) {
+      if (m_is_first_pass) {
         m_caches.Set(m_hop, m_attempt, m_answer.CachedPositions());
       }
       break;
@@ -138,7 +138,7 @@
   step.isolated = m_isolated;
   if (!IsReplayed(hop)) {
     step.position = m_answer.CachedPositions();
-    if (m_starting_caches) {
+    if (m_is_first_pass) {
       step.adopt = m_caches.AdoptionAt(hop, step.position);
     }
   }
--- a/packages/zinnia_decisions/sessions/step_relay.h
+++ b/packages/zinnia_decisions/sessions/step_relay.h
@@ -69,7 +69,7 @@
  private:
   void Send(std::uint32_t hop, StepRequest step, std::weak_ptr<StepListener> listener);
   StepRequest MakeStep(std::uint32_t hop) const;
-  bool IsReplayed(std::uint32_t hop) const { return m_starting_caches && hop < m_hops_to_replay; }
+  bool IsReplayed(std::uint32_t hop) const { return m_is_first_pass && hop < m_hops_to_replay; }
   std::uint32_t ExpectedLength(const StepAnswer& answer) const;
   bool IsLastHop() const { return m_hop + 1 == m_route.hops.size(); }
   bool IsWellFormed(const StepAnswer& answer) const;
@@ -82,7 +82,7 @@
   StageCaches m_caches;
   AttemptNumber m_attempt = 0;
   std::size_t m_hops_to_replay = 0;
-  bool m_starting_caches = true;
+  bool m_is_first_pass = true;
   bool m_isolated = false;
   bool m_in_flight = false;
   std::uint32_t m_hop = 0;
