--- a/packages/zinnia_decisions/sessions/generated_answer.h
+++ b/packages/zinnia_decisions/sessions/generated_answer.h
@@ -36,7 +36,7 @@
   void SetPromptTokens(std::uint32_t count) { m_prompt_tokens = count; }
 
   /** Called before the first token, when a new route may use a version with another tokeniser. */
-  void ForgetPromptTokens() { m_prompt_tokens.reset(); }
+  void ResetPromptTokens() { m_prompt_tokens.reset(); }
 
   /** Number of positions in every stage's cache between two tokens: all but the last token, which
       is the input of the next step. Zero before the first token. */
--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -133,7 +133,7 @@
 void PipelineSession::StartAttempt(const Route& route) {
   SwitchRoute(route);
   if (m_answer.Tokens().empty()) {
-    m_answer.ForgetPromptTokens();
+    m_answer.ResetPromptTokens();
   }
   m_relay.StartAttempt(m_next_attempt++, m_route);
   m_relay.SetIsolated(m_isolated_until_tokens.has_value());
