--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -32,7 +32,7 @@
                                                   Callback callback) {
   std::shared_ptr<ResumeLookup> lookup(new ResumeLookup(parts, point, std::move(callback)));
   lookup->ListCandidates();
-  lookup->AskNext();
+  lookup->QueryNext();
   return lookup;
 }
 
@@ -56,7 +56,7 @@
   }
 }
 
-void ResumeLookup::AskNext() {
+void ResumeLookup::QueryNext() {
   const std::weak_ptr<ResumeLookup> weak = weak_from_this();
   const std::size_t question = m_question;
   const auto take = [weak, question](const Result<HeldSession>& held) {
@@ -83,7 +83,7 @@
     End(std::nullopt);
     return;
   }
-  AskNext();
+  QueryNext();
 }
 
 void ResumeLookup::End(std::optional<FoundSession> found) {
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -31,7 +31,7 @@
 
  private:
   ResumeLookup(const SessionParts& parts, const ResumePoint& point, Callback callback);
-  void AskNext();
+  void QueryNext();
   void Take(std::size_t question, const Result<HeldSession>& held);
   void End(std::optional<FoundSession> found);
   void ListCandidates();
