--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -61,7 +61,7 @@
   const std::size_t question = m_question;
   const auto take = [weak, question](const Result<HeldSession>& held) {
     if (const auto lookup = weak.lock()) {
-      lookup->Take(question, held);
+      lookup->HandleAnswer(question, held);
     }
   };
   m_next = m_parts.scheduler.ScheduleAfter(kLongestAnswer, [take] {
@@ -70,7 +70,7 @@
   m_parts.links.FindSession(m_candidates[question], m_point.session, take);
 }
 
-void ResumeLookup::Take(std::size_t question, const Result<HeldSession>& held) {
+void ResumeLookup::HandleAnswer(std::size_t question, const Result<HeldSession>& held) {
   if (question != m_question || !m_callback) {
     return;
   }
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -32,7 +32,7 @@
  private:
   ResumeLookup(const SessionParts& parts, const ResumePoint& point, Callback callback);
   void QueryNext();
-  void Take(std::size_t question, const Result<HeldSession>& held);
+  void HandleAnswer(std::size_t question, const Result<HeldSession>& held);
   void End(std::optional<FoundSession> found);
   void ListCandidates();
 
