--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -75,18 +75,18 @@
     return;
   }
   if (held && Continues(m_point, *held)) {
-    End(FoundSession{m_candidates[question], *held});
+    Finish(FoundSession{m_candidates[question], *held});
     return;
   }
   ++m_question;
   if (m_question == m_candidates.size()) {
-    End(std::nullopt);
+    Finish(std::nullopt);
     return;
   }
   QueryNext();
 }
 
-void ResumeLookup::End(std::optional<FoundSession> found) {
+void ResumeLookup::Finish(std::optional<FoundSession> found) {
   m_next.reset();
   if (const Callback callback = std::exchange(m_callback, nullptr)) {
     callback(std::move(found));
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -33,7 +33,7 @@
   ResumeLookup(const SessionParts& parts, const ResumePoint& point, Callback callback);
   void QueryNext();
   void HandleAnswer(std::size_t question, const Result<HeldSession>& held);
-  void End(std::optional<FoundSession> found);
+  void Finish(std::optional<FoundSession> found);
   void ListCandidates();
 
   SessionParts m_parts;
