--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -31,7 +31,7 @@
                                                   const ResumePoint& point,
                                                   Callback callback) {
   std::shared_ptr<ResumeLookup> lookup(new ResumeLookup(parts, point, std::move(callback)));
-  lookup->ListCandidates();
+  lookup->CollectCandidates();
   lookup->QueryNext();
   return lookup;
 }
@@ -39,7 +39,7 @@
 ResumeLookup::ResumeLookup(const SessionParts& parts, const ResumePoint& point, Callback callback)
     : m_parts(parts), m_point(point), m_callback(std::move(callback)) {}
 
-void ResumeLookup::ListCandidates() {
+void ResumeLookup::CollectCandidates() {
   // The previous instance may have replaced the last stage after it issued this event id.
   const Route::Hop& last = m_point.route.hops.back();
   m_candidates.push_back(last.server);
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -34,7 +34,7 @@
   void QueryNext();
   void HandleAnswer(std::size_t question, const Result<HeldSession>& held);
   void Finish(std::optional<FoundSession> found);
-  void ListCandidates();
+  void CollectCandidates();
 
   SessionParts m_parts;
   const ResumePoint m_point;
