--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t kMostServersAsked = 4;
 
 /** Whether the held tokens start with the delivered text and the cache covers all but the last. */
-bool Continues(const ResumePoint& point, const HeldSession& held) {
+bool MatchesDeliveredText(const ResumePoint& point, const HeldSession& held) {
   const bool has_cache = held.length + 1 >= held.prompt_tokens + held.tokens.size();
   if (held.tokens.empty() || held.tokens.size() < point.delivered_tokens || !has_cache) {
     return false;
@@ -74,7 +74,7 @@
   if (question != m_question || !m_callback) {
     return;
   }
-  if (held && Continues(m_point, *held)) {
+  if (held && MatchesDeliveredText(m_point, *held)) {
     Finish(FoundSession{m_candidates[question], *held});
     return;
   }
