--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -58,7 +58,7 @@
 
 void ResumeLookup::QueryNext() {
   const std::weak_ptr<ResumeLookup> weak = weak_from_this();
-  const std::size_t question = m_question;
+  const std::size_t question = m_query;
   const auto take = [weak, question](const Result<HeldSession>& held) {
     if (const auto lookup = weak.lock()) {
       lookup->HandleAnswer(question, held);
@@ -71,15 +71,15 @@
 }
 
 void ResumeLookup::HandleAnswer(std::size_t question, const Result<HeldSession>& held) {
-  if (question != m_question || !m_callback) {
+  if (question != m_query || !m_callback) {
     return;
   }
   if (held && MatchesDeliveredText(m_point, *held)) {
     Finish(FoundSession{m_candidates[question], *held});
     return;
   }
-  ++m_question;
-  if (m_question == m_candidates.size()) {
+  ++m_query;
+  if (m_query == m_candidates.size()) {
     Finish(std::nullopt);
     return;
   }
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -40,7 +40,7 @@
   const ResumePoint m_point;
   Callback m_callback;
   std::vector<BackendServerName> m_candidates;
-  std::size_t m_question = 0;
+  std::size_t m_query = 0;
   std::unique_ptr<ScheduledCall> m_next;
 };
 
