--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -58,24 +58,24 @@
 
 void ResumeLookup::QueryNext() {
   const std::weak_ptr<ResumeLookup> weak = weak_from_this();
-  const std::size_t question = m_query;
-  const auto take = [weak, question](const Result<HeldSession>& held) {
+  const std::size_t query = m_query;
+  const auto take = [weak, query](const Result<HeldSession>& held) {
     if (const auto lookup = weak.lock()) {
-      lookup->HandleAnswer(question, held);
+      lookup->HandleAnswer(query, held);
     }
   };
   m_next = m_parts.scheduler.ScheduleAfter(kLongestAnswer, [take] {
     take(MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
   });
-  m_parts.links.FindSession(m_candidates[question], m_point.session, take);
+  m_parts.links.FindSession(m_candidates[query], m_point.session, take);
 }
 
-void ResumeLookup::HandleAnswer(std::size_t question, const Result<HeldSession>& held) {
-  if (question != m_query || !m_callback) {
+void ResumeLookup::HandleAnswer(std::size_t query, const Result<HeldSession>& held) {
+  if (query != m_query || !m_callback) {
     return;
   }
   if (held && MatchesDeliveredText(m_point, *held)) {
-    Finish(FoundSession{m_candidates[question], *held});
+    Finish(FoundSession{m_candidates[query], *held});
     return;
   }
   ++m_query;
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -32,7 +32,7 @@
  private:
   ResumeLookup(const SessionParts& parts, const ResumePoint& point, Callback callback);
   void QueryNext();
-  void HandleAnswer(std::size_t question, const Result<HeldSession>& held);
+  void HandleAnswer(std::size_t query, const Result<HeldSession>& held);
   void Finish(std::optional<FoundSession> found);
   void CollectCandidates();
 
