--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -64,7 +64,7 @@
       lookup->HandleAnswer(query, held);
     }
   };
-  m_next = m_parts.scheduler.ScheduleAfter(kLongestAnswer, [take] {
+  m_query_timeout = m_parts.scheduler.ScheduleAfter(kLongestAnswer, [take] {
     take(MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
   });
   m_parts.links.FindSession(m_candidates[query], m_point.session, take);
@@ -87,7 +87,7 @@
 }
 
 void ResumeLookup::Finish(std::optional<FoundSession> found) {
-  m_next.reset();
+  m_query_timeout.reset();
   if (const Callback callback = std::exchange(m_callback, nullptr)) {
     callback(std::move(found));
   }
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -41,7 +41,7 @@
   Callback m_callback;
   std::vector<BackendServerName> m_candidates;
   std::size_t m_query = 0;
-  std::unique_ptr<ScheduledCall> m_next;
+  std::unique_ptr<ScheduledCall> m_query_timeout;
 };
 
 }  // namespace zinnia
