--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -9,7 +9,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::chrono::milliseconds kLongestAnswer{300};
+constexpr std::chrono::milliseconds kQueryTimeout{300};
 constexpr std::size_t kMostServersAsked = 4;
 
 /** Whether the held tokens start with the delivered text and the cache covers all but the last. */
@@ -64,7 +64,7 @@
       lookup->HandleAnswer(query, held);
     }
   };
-  m_query_timeout = m_parts.scheduler.ScheduleAfter(kLongestAnswer, [take] {
+  m_query_timeout = m_parts.scheduler.ScheduleAfter(kQueryTimeout, [take] {
     take(MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
   });
   m_parts.links.FindSession(m_candidates[query], m_point.session, take);
