--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kQueryTimeout{300};
-constexpr std::size_t kMostServersAsked = 4;
+constexpr std::size_t kMaxQueriedServers = 4;
 
 /** Whether the held tokens start with the delivered text and the cache covers all but the last. */
 bool MatchesDeliveredText(const ResumePoint& point, const HeldSession& held) {
@@ -49,7 +49,7 @@
     }
     for (const BackendServerName& server : pipeline.stages.back().replicas) {
       const bool is_new = std::ranges::find(m_candidates, server) == m_candidates.end();
-      if (is_new && m_candidates.size() < kMostServersAsked) {
+      if (is_new && m_candidates.size() < kMaxQueriedServers) {
         m_candidates.push_back(server);
       }
     }
