--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -8,7 +8,7 @@
 constexpr unsigned kBitsPerByte = 7;
 constexpr unsigned kMoreFollows = 0x80;
 constexpr unsigned kMostBits = 64;
-constexpr std::size_t kMostHops = 1'024;
+constexpr std::size_t kMaxHops = 1'024;
 
 /** Incremented when the encoding changes; tokens with another version are refused. */
 constexpr std::uint64_t kLayout = 1;
@@ -89,7 +89,7 @@
   route.model = reader.Text();
   route.version = reader.Text();
   const std::uint64_t hops = reader.Number();
-  for (std::uint64_t hop = 0; hop < hops && hop < kMostHops && !reader.HasFailed(); ++hop) {
+  for (std::uint64_t hop = 0; hop < hops && hop < kMaxHops && !reader.HasFailed(); ++hop) {
     const auto first = static_cast<std::uint32_t>(reader.Number());
     const auto end = static_cast<std::uint32_t>(reader.Number());
     route.hops.push_back({{first, end}, reader.Text()});
