--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -7,7 +7,7 @@
 
 constexpr unsigned kBitsPerByte = 7;
 constexpr unsigned kMoreFollows = 0x80;
-constexpr unsigned kMostBits = 64;
+constexpr unsigned kMaxBits = 64;
 constexpr std::size_t kMaxHops = 1'024;
 
 /** Incremented when the encoding changes; tokens with another version are refused. */
@@ -38,7 +38,7 @@
 
   std::uint64_t Number() {
     std::uint64_t number = 0;
-    for (unsigned shift = 0; shift < kMostBits; shift += kBitsPerByte) {
+    for (unsigned shift = 0; shift < kMaxBits; shift += kBitsPerByte) {
       const std::string_view byte = Take(1);
       if (byte.empty()) {
         return 0;
