--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr unsigned kBitsPerByte = 7;
-constexpr unsigned kMoreFollows = 0x80;
+constexpr unsigned kContinuationBit = 0x80;
 constexpr unsigned kMaxBits = 64;
 constexpr std::size_t kMaxHops = 1'024;
 
@@ -14,8 +14,8 @@
 constexpr std::uint64_t kLayout = 1;
 
 void AppendNumber(std::uint64_t number, std::string& bytes) {
-  while (number >= kMoreFollows) {
-    bytes.push_back(static_cast<char>(number | kMoreFollows));
+  while (number >= kContinuationBit) {
+    bytes.push_back(static_cast<char>(number | kContinuationBit));
     number >>= kBitsPerByte;
   }
   bytes.push_back(static_cast<char>(number));
@@ -44,8 +44,8 @@
         return 0;
       }
       const auto value = static_cast<unsigned char>(byte.front());
-      number |= static_cast<std::uint64_t>(value & (kMoreFollows - 1)) << shift;
-      if ((value & kMoreFollows) == 0) {
+      number |= static_cast<std::uint64_t>(value & (kContinuationBit - 1)) << shift;
+      if ((value & kContinuationBit) == 0) {
         return number;
       }
     }
