--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxHops = 1'024;
 
 /** Incremented when the encoding changes; tokens with another version are refused. */
-constexpr std::uint64_t kLayout = 1;
+constexpr std::uint64_t kFormatVersion = 1;
 
 void AppendNumber(std::uint64_t number, std::string& bytes) {
   while (number >= kContinuationBit) {
@@ -99,7 +99,7 @@
 }  // namespace
 
 void AppendResumePoint(const ResumePoint& point, std::string& bytes) {
-  AppendNumber(kLayout, bytes);
+  AppendNumber(kFormatVersion, bytes);
   AppendText(point.session, bytes);
   AppendText(point.organisation, bytes);
   AppendFingerprint(point.request, bytes);
@@ -122,7 +122,7 @@
 Result<ResumePoint> ParseResumePoint(std::string_view bytes) {
   Reader reader(bytes);
   ResumePoint point;
-  if (reader.Number() != kLayout) {
+  if (reader.Number() != kFormatVersion) {
     return MakeError(ErrorKind::kResumeRefused, "the event id has a layout of another release");
   }
   point.session = reader.Text();
