--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -66,7 +66,7 @@
     return fingerprint;
   }
 
-  bool IsWholeAndDone() const { return !m_failed && m_bytes.empty(); }
+  bool IsFullyRead() const { return !m_failed && m_bytes.empty(); }
   bool HasFailed() const { return m_failed; }
 
  private:
@@ -134,7 +134,7 @@
   point.seed = reader.Number();
   point.expires_at_unix_ms = static_cast<std::int64_t>(reader.Number());
   ReadRoute(reader, point.route);
-  if (!reader.IsWholeAndDone()) {
+  if (!reader.IsFullyRead()) {
     return MakeError(ErrorKind::kResumeRefused, "the event id is cut or has extra bytes");
   }
   return point;
