--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
@@ -13,7 +13,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kLeastKeyBytes = 32;
+constexpr std::size_t kMinKeyBytes = 32;
 constexpr std::size_t kUsualTokenBytes = 384;
 
 Error Refused(std::string message) {
@@ -28,7 +28,7 @@
 
 Result<std::unique_ptr<SignedResumeTokenCodec>> SignedResumeTokenCodec::Create(
     std::string_view key) {
-  if (key.size() < kLeastKeyBytes) {
+  if (key.size() < kMinKeyBytes) {
     return MakeError(ErrorKind::kInvalidSettings,
                      "the key of resume tokens needs at least 32 bytes");
   }
