--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t kMinKeyBytes = 32;
-constexpr std::size_t kUsualTokenBytes = 384;
+constexpr std::size_t kTypicalTokenBytes = 384;
 
 Error Refused(std::string message) {
   return MakeError(ErrorKind::kResumeRefused, std::move(message));
@@ -54,7 +54,7 @@
 
 std::string SignedResumeTokenCodec::Seal(const ResumePoint& point) const {
   std::string bytes;
-  bytes.reserve(kUsualTokenBytes);
+  bytes.reserve(kTypicalTokenBytes);
   AppendResumePoint(point, bytes);
   const Mac mac = Sign(bytes);
   bytes.append(reinterpret_cast<const char*>(mac.data()), mac.size());
