--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
@@ -46,7 +46,7 @@
   return std::unique_ptr<SignedResumeTokenCodec>(new SignedResumeTokenCodec(std::move(context)));
 }
 
-SignedResumeTokenCodec::SignedResumeTokenCodec(Context keyed) : m_keyed(std::move(keyed)) {}
+SignedResumeTokenCodec::SignedResumeTokenCodec(Context keyed) : m_keyed_context(std::move(keyed)) {}
 
 SignedResumeTokenCodec::~SignedResumeTokenCodec() {
   EVP_MAC_CTX_free(m_spare.load());
@@ -78,7 +78,7 @@
 SignedResumeTokenCodec::Mac SignedResumeTokenCodec::Sign(std::string_view bytes) const {
   Context context(m_spare.exchange(nullptr));
   if (!context) {
-    context.reset(EVP_MAC_CTX_dup(m_keyed.get()));
+    context.reset(EVP_MAC_CTX_dup(m_keyed_context.get()));
   }
   Mac mac;
   std::size_t length = 0;
--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
@@ -39,9 +39,10 @@
   Mac Sign(std::string_view bytes) const;
 
   /** Initialised with the key; duplicated for signing and never used directly. */
-  const Context m_keyed;
+  const Context m_keyed_context;
 
-  /** Cached duplicate of `m_keyed`, or null while in use: duplicating costs more than signing. */
+  /** Cached duplicate of `m_keyed_context`, or null while in use: duplicating costs more than
+   * signing. */
   mutable std::atomic<evp_mac_ctx_st*> m_spare = nullptr;
 };
 
