--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
@@ -49,7 +49,7 @@
 SignedResumeTokenCodec::SignedResumeTokenCodec(Context keyed) : m_keyed_context(std::move(keyed)) {}
 
 SignedResumeTokenCodec::~SignedResumeTokenCodec() {
-  EVP_MAC_CTX_free(m_spare.load());
+  EVP_MAC_CTX_free(m_spare_context.load());
 }
 
 std::string SignedResumeTokenCodec::Seal(const ResumePoint& point) const {
@@ -76,7 +76,7 @@
 }
 
 SignedResumeTokenCodec::Mac SignedResumeTokenCodec::Sign(std::string_view bytes) const {
-  Context context(m_spare.exchange(nullptr));
+  Context context(m_spare_context.exchange(nullptr));
   if (!context) {
     context.reset(EVP_MAC_CTX_dup(m_keyed_context.get()));
   }
@@ -89,7 +89,7 @@
   if (!is_signed || length != mac.size()) {
     throw ErrorException(MakeError(ErrorKind::kInternal, "OpenSSL failed to sign an event id"));
   }
-  const Context surplus(m_spare.exchange(context.release()));
+  const Context surplus(m_spare_context.exchange(context.release()));
   return mac;
 }
 
--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
@@ -43,7 +43,7 @@
 
   /** Cached duplicate of `m_keyed_context`, or null while in use: duplicating costs more than
    * signing. */
-  mutable std::atomic<evp_mac_ctx_st*> m_spare = nullptr;
+  mutable std::atomic<evp_mac_ctx_st*> m_spare_context = nullptr;
 };
 
 }  // namespace zinnia
