--- a/packages/zinnia_decisions/sessions/url_safe_base64.cc
+++ b/packages/zinnia_decisions/sessions/url_safe_base64.cc
@@ -77,8 +77,8 @@
       bytes.push_back(static_cast<char>(bits >> count));
     }
   }
-  const bool has_stray_bits = (bits & ((1U << count) - 1)) != 0;
-  if (count >= kDigitBits || has_stray_bits) {
+  const bool has_trailing_bits = (bits & ((1U << count) - 1)) != 0;
+  if (count >= kDigitBits || has_trailing_bits) {
     return std::nullopt;
   }
   return bytes;
