--- a/packages/zinnia_decisions/sessions/url_safe_base64.cc
+++ b/packages/zinnia_decisions/sessions/url_safe_base64.cc
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kAlphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-constexpr std::uint8_t kNoDigit = 0xff;
+constexpr std::uint8_t kInvalidDigit = 0xff;
 constexpr unsigned kDigitBits = 6;
 constexpr unsigned kByteBits = 8;
 constexpr std::uint32_t kDigitMask = (1U << kDigitBits) - 1;
@@ -17,7 +17,7 @@
 
 constexpr std::array<std::uint8_t, 256> MakeDigits() {
   std::array<std::uint8_t, 256> digits{};
-  digits.fill(kNoDigit);
+  digits.fill(kInvalidDigit);
   for (std::size_t digit = 0; digit < kAlphabet.size(); ++digit) {
     digits[static_cast<unsigned char>(kAlphabet[digit])] = static_cast<std::uint8_t>(digit);
   }
@@ -67,7 +67,7 @@
   unsigned count = 0;
   for (const char character : text) {
     const std::uint8_t digit = kDigits[static_cast<unsigned char>(character)];
-    if (digit == kNoDigit) {
+    if (digit == kInvalidDigit) {
       return std::nullopt;
     }
     bits = (bits << kDigitBits) | digit;
