--- a/bench/recovery_core/recovery_times.cc
+++ b/bench/recovery_core/recovery_times.cc
@@ -75,7 +75,7 @@
   } else {
     world.stages.Crash(server);
   }
-  world.RunOut();
+  world.RunToCompletion();
   for (const DecisionRecord& record : world.recorder.records) {
     if (record.decision == "finish_recovery") {
       Collect(record, parts);
--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -67,7 +67,7 @@
       m_world.time.AdvanceBy(std::chrono::milliseconds(failure.after_ms));
       Inflict(failure);
     }
-    m_world.RunOut();
+    m_world.RunToCompletion();
     return Judge();
   }
 
--- a/tests/sessions/golden_sessions_test.cc
+++ b/tests/sessions/golden_sessions_test.cc
@@ -37,7 +37,7 @@
   }
 
   void CheckAgainst(const std::string& name) {
-    world.RunOut();
+    world.RunToCompletion();
     const std::string difference = SessionLog::Compare(log.Text(), name);
     STRCMP_EQUAL("", difference.c_str());
   }
--- a/tests/sessions/healthy_session_test.cc
+++ b/tests/sessions/healthy_session_test.cc
@@ -12,7 +12,7 @@
   SessionWorld world;
   const auto caller = std::make_shared<FakeCaller>();
   const auto driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CHECK_EQUAL(1, caller->final_events);
   CHECK_TRUE(caller->usage.has_value());
   CHECK_EQUAL(12U, caller->tokens);
@@ -32,7 +32,7 @@
   const auto driver = world.Start(caller);
   world.time.AdvanceBy(std::chrono::milliseconds(90));
   world.stages.Crash("b1");
-  world.RunOut();
+  world.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
   CHECK_EQUAL(1U, driver->Status().recoveries);
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
--- a/tests/sessions/planned_leave_test.cc
+++ b/tests/sessions/planned_leave_test.cc
@@ -28,7 +28,7 @@
   }
 
   void CheckWhole() {
-    world.RunOut();
+    world.RunToCompletion();
     CHECK_EQUAL(1, caller->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
     const std::string violation = world.stages.Ledger().FindViolation(
@@ -70,7 +70,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(milliseconds(90));
   world.stages.At("b1").refuses_as_leaving = true;
-  world.RunOut();
+  world.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
   CHECK_TRUE(world.recorder.Has("move_cache"));
 }
--- a/tests/sessions/recovery_test.cc
+++ b/tests/sessions/recovery_test.cc
@@ -32,7 +32,7 @@
   std::shared_ptr<SessionDriver> driver;
 
   void CheckWhole() {
-    world.RunOut();
+    world.RunToCompletion();
     CHECK_EQUAL(1, caller->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
     const std::string violation = world.stages.Ledger().FindViolation(
@@ -110,7 +110,7 @@
       const auto faulty_driver = faulty_world.Start(faulty_caller);
       faulty_world.time.AdvanceBy(kMidAnswer);
       faulty_world.stages.AddFault(server, fault);
-      faulty_world.RunOut();
+      faulty_world.RunToCompletion();
       STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), faulty_caller->text.c_str());
       CHECK_EQUAL(1, faulty_caller->final_events);
     }
@@ -130,7 +130,7 @@
     const auto single_driver = single.Start(single_caller);
     single.time.AdvanceBy(milliseconds(20));
     single.stages.AddFault("whole", fault);
-    single.RunOut();
+    single.RunToCompletion();
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), single_caller->text.c_str());
     CHECK_EQUAL(0U, single_driver->Status().recoveries);
   }
@@ -166,7 +166,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("b1");
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kYes);
   CHECK_TRUE(SessionWorld::ExpectedText().starts_with(caller->text));
   CHECK_TRUE(caller->error->retry_after.has_value());
@@ -180,7 +180,7 @@
   driver = rollout.Start(caller);
   rollout.time.AdvanceBy(kMidAnswer);
   rollout.stages.Crash("b1");
-  rollout.RunOut();
+  rollout.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
 }
 
@@ -194,7 +194,7 @@
   driver = rollout.Start(caller);
   rollout.time.AdvanceBy(kMidAnswer);
   rollout.stages.Crash("b1");
-  rollout.RunOut();
+  rollout.RunToCompletion();
   CHECK_TRUE(caller->error.has_value());
   CHECK_TRUE(SessionWorld::ExpectedText().starts_with(caller->text));
 }
@@ -206,7 +206,7 @@
   driver = single.Start(caller);
   single.time.AdvanceBy(milliseconds(12));
   single.stages.Crash("b1");
-  single.RunOut();
+  single.RunToCompletion();
   CHECK_TRUE(caller->usage.has_value());
   STRCMP_EQUAL("2", driver->Status().route.version.c_str());
 }
@@ -274,8 +274,8 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kSilence);
-  world.RunOut();
-  world.RunOut();
+  world.RunToCompletion();
+  world.RunToCompletion();
   CheckWhole();
 }
 
@@ -284,7 +284,7 @@
   world.stages.Freeze("a1");
   world.stages.Freeze("a2");
   driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kUnknown);
 }
 
@@ -293,7 +293,7 @@
   world.stages.At("a1").refuses_as_overloaded = true;
   world.stages.At("a2").refuses_as_overloaded = true;
   driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kNo);
   CHECK_FALSE(world.stages.Ledger().WasRun("s-1"));
 }
@@ -306,7 +306,7 @@
   world.stages.Crash("b1");
   world.time.AdvanceBy(milliseconds(20));
   world.stages.Crash("b2");
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kQuarantined, WasRun::kYes);
   CHECK_EQUAL(2U, world.gate.most_crashes);
 }
@@ -314,7 +314,7 @@
 TEST(Recovery, RefusedStartReachesNoStage) {
   world.gate.start_error = MakeError(ErrorKind::kQuarantined, "known to crash servers");
   driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kQuarantined, WasRun::kNo);
   CHECK_FALSE(world.stages.Ledger().WasRun("s-1"));
 }
@@ -342,7 +342,7 @@
       world.stages.At("a1").Release("s-1", driver->Status().attempt);
     }
   };
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kYes);
   CHECK_EQUAL(8U, driver->Status().recoveries);
 }
@@ -352,7 +352,7 @@
   world.time.AdvanceBy(kMidAnswer);
   driver->Cancel();
   const std::uint32_t tokens = caller->tokens;
-  world.RunOut();
+  world.RunToCompletion();
   CHECK_TRUE(driver->Status().state == SessionState::kFailed);
   CHECK_EQUAL(0, caller->final_events);
   CHECK_EQUAL(tokens, caller->tokens);
--- a/tests/sessions/resume_test.cc
+++ b/tests/sessions/resume_test.cc
@@ -24,7 +24,7 @@
   }
 
   void CheckRestIsDelivered() {
-    world.RunOut();
+    world.RunToCompletion();
     CHECK_EQUAL(1, after->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), (before->text + after->text).c_str());
   }
@@ -91,7 +91,7 @@
   ResumePoint point = world.codec->Open(before->last_event_id).value();
   point.seed += 1;
   driver = world.Resume(after, world.codec->Seal(point));
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kResumeDiverged);
 }
 
@@ -103,7 +103,7 @@
   }
   world.AddPipeline("next", "2", 1, "n");
   driver = world.Resume(after, before->last_event_id);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed);
 }
 
@@ -121,7 +121,7 @@
   const auto third_driver = SessionDriver::Create(world.Parts(), "s-3", third_request,
                                                   world.codec->Open(id).value(), third);
   third_driver->Start();
-  world.RunOut();
+  world.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), before->text.c_str());
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), (text + after->text).c_str());
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), (text + third->text).c_str());
@@ -135,7 +135,7 @@
     }
   };
   old_driver = world.Start(before);
-  world.RunOut();
+  world.RunToCompletion();
   driver = world.Resume(after, before->last_event_id);
   CheckRestIsDelivered();
   CHECK_EQUAL(0U, after->tokens);
--- a/tests/sessions/session_world.h
+++ b/tests/sessions/session_world.h
@@ -235,14 +235,14 @@
   }
 
   /** Advances the time by one minute, enough for any session to end. */
-  void RunOut() { time.AdvanceBy(std::chrono::minutes(1)); }
+  void RunToCompletion() { time.AdvanceBy(std::chrono::minutes(1)); }
 
   /** The text of the answer without failures. */
   static std::string ExpectedText(const ChatRequest& request = MakeRequest()) {
     SessionWorld world;
     const auto caller = std::make_shared<FakeCaller>();
     const auto driver = world.Start(caller, request);
-    world.RunOut();
+    world.RunToCompletion();
     return caller->text;
   }
 
