--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -65,7 +65,7 @@
     m_driver = m_world.Start(m_caller);
     for (const PlannedFailure& failure : m_failures) {
       m_world.time.AdvanceBy(std::chrono::milliseconds(failure.after_ms));
-      Inflict(failure);
+      Inject(failure);
     }
     m_world.RunToCompletion();
     return Judge();
@@ -89,7 +89,7 @@
     return std::string(1, static_cast<char>('a' + hop)) + std::to_string(1 + rest / 4 % kReplicas);
   }
 
-  void Inflict(const PlannedFailure& failure) {
+  void Inject(const PlannedFailure& failure) {
     const BackendServerName server = Choose(failure.server);
     constexpr auto kStepFaults = static_cast<std::uint32_t>(StepFault::kSilence);
     constexpr int kSlowdown = 100;
