--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -68,7 +68,7 @@
       Inject(failure);
     }
     m_world.RunToCompletion();
-    return Judge();
+    return CheckGuarantees();
   }
 
   const SessionWorld& World() const { return m_world; }
@@ -152,7 +152,7 @@
     m_driver = m_world.Resume(m_caller, event_id);
   }
 
-  std::string Judge() const {
+  std::string CheckGuarantees() const {
     const std::string text = m_text_before + m_caller->text;
     if (m_cancelled) {
       const bool silent = m_caller->final_events == 0 && m_caller->tokens == m_tokens_at_cancel;
