--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -164,10 +164,10 @@
     if (!m_expected.starts_with(text)) {
       return "another text was delivered: " + text;
     }
-    return m_caller->error ? JudgeError(*m_caller->error) : JudgeWhole(text);
+    return m_caller->error ? CheckError(*m_caller->error) : JudgeWhole(text);
   }
 
-  std::string JudgeError(const Error& error) const {
+  std::string CheckError(const Error& error) const {
     const bool was_run = m_world.stages.Ledger().WasRun("s-1");
     if (error.was_run == WasRun::kNo && was_run) {
       return "said not run, but was run";
