--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -164,7 +164,7 @@
     if (!m_expected.starts_with(text)) {
       return "another text was delivered: " + text;
     }
-    return m_caller->error ? CheckError(*m_caller->error) : JudgeWhole(text);
+    return m_caller->error ? CheckError(*m_caller->error) : CheckCompleteAnswer(text);
   }
 
   std::string CheckError(const Error& error) const {
@@ -175,7 +175,7 @@
     return error.kind == ErrorKind::kRecoveryFailed ? "" : "ended with " + Describe(error);
   }
 
-  std::string JudgeWhole(const std::string& text) const {
+  std::string CheckCompleteAnswer(const std::string& text) const {
     if (text != m_expected) {
       return "the answer was called whole but is cut: " + text;
     }
