--- a/bench/recovery_core/recovery_core.cc
+++ b/bench/recovery_core/recovery_core.cc
@@ -16,7 +16,7 @@
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     zinnia::FailureSchedule schedule(zinnia::FailureSchedule::Draw(seed), expected);
     const std::string violation = schedule.Run();
-    whole += schedule.IsWhole() ? 1 : 0;
+    whole += schedule.IsComplete() ? 1 : 0;
     if (!violation.empty()) {
       ++violations;
       fmt::print("violation_seed_{}={}\n", seed, violation);
--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -72,7 +72,7 @@
   }
 
   const SessionWorld& World() const { return m_world; }
-  bool IsWhole() const { return m_caller->usage.has_value(); }
+  bool IsComplete() const { return m_caller->usage.has_value(); }
 
  private:
   static constexpr std::uint32_t kReplicas = 3;
