--- a/tests/sessions/planned_leave_test.cc
+++ b/tests/sessions/planned_leave_test.cc
@@ -27,7 +27,7 @@
     driver->LeaveDrainingServers();
   }
 
-  void CheckWhole() {
+  void CheckComplete() {
     world.RunToCompletion();
     CHECK_EQUAL(1, caller->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
@@ -41,7 +41,7 @@
 TEST(PlannedLeave, TransfersTheCacheWithoutReplay) {
   // Guards against a replay when the leaving server can still export its cache.
   LeaveMidAnswer("b1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
   CHECK_EQUAL(1U, longest_input);
   CHECK_EQUAL(0U, world.stages.At("b1").HeldCaches());
@@ -51,7 +51,7 @@
   // Guards against failing the session when a transfer is interrupted.
   world.stages.CutNextMove();
   LeaveMidAnswer("b1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
   CHECK_TRUE(longest_input > 1);
 }
@@ -59,7 +59,7 @@
 TEST(PlannedLeave, SessionStaysIfNothingElseHoldsTheLayers) {
   world.SetState("b2", BackendServerState::kGone);
   LeaveMidAnswer("b1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b1", driver->Status().route.hops[1].server.c_str());
   CHECK_TRUE(world.recorder.Has("stay_on_leaving_servers"));
 }
--- a/tests/sessions/recovery_test.cc
+++ b/tests/sessions/recovery_test.cc
@@ -31,7 +31,7 @@
   std::shared_ptr<FakeCaller> caller = std::make_shared<FakeCaller>();
   std::shared_ptr<SessionDriver> driver;
 
-  void CheckWhole() {
+  void CheckComplete() {
     world.RunToCompletion();
     CHECK_EQUAL(1, caller->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
@@ -55,7 +55,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(milliseconds(12));
   world.stages.Crash("b1");
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, FirstStageCrashReplaysThatStageOnly) {
@@ -63,7 +63,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("a1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("1", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
 }
 
@@ -75,7 +75,7 @@
   world.time.AdvanceBy(milliseconds(70));
   STRCMP_EQUAL("c2", driver->Status().route.hops[2].server.c_str());
   world.stages.Wake("c1");
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, LostAnswerNeedsNoReplay) {
@@ -84,7 +84,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kCutBeforeAnswer);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("0", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
   STRCMP_EQUAL("b1", driver->Status().route.hops[1].server.c_str());
 }
@@ -94,7 +94,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.At("b1").Release("s-1", 1);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("2", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
 }
 
@@ -146,7 +146,7 @@
   world.stages.Crash("c1");
   world.time.AdvanceBy(milliseconds(14));
   world.stages.Crash("b2");
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, ServerBehindADegradedLinkIsReplaced) {
@@ -154,7 +154,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.SlowLink("b1", 100);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
 }
 
@@ -219,7 +219,7 @@
   world.stages.Crash("b1");
   world.time.AdvanceBy(std::chrono::seconds(1));
   world.SetState("b2", BackendServerState::kLive);
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, WaitsForTheOnlyServerDuringAFreeze) {
@@ -230,7 +230,7 @@
   world.stages.Freeze("b1");
   world.time.AdvanceBy(std::chrono::seconds(3));
   world.stages.Wake("b1");
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, RestartedServerMayServeAgain) {
@@ -243,7 +243,7 @@
   world.stages.Restart("b1");
   world.SetState("b1", BackendServerState::kLive);
   ++world.snapshots.current->servers.at("b1").server.incarnation;
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, ServerWithRepeatedConnectionLossIsReplaced) {
@@ -253,7 +253,7 @@
   for (int cut = 0; cut < 20; ++cut) {
     world.stages.AddFault("b1", StepFault::kCutBeforeStep);
   }
-  CheckWhole();
+  CheckComplete();
   CHECK_EQUAL(2U, driver->Status().recoveries);
 }
 
@@ -264,7 +264,7 @@
   world.stages.AddFault("b1", StepFault::kMalformedAnswer);
   world.time.AdvanceBy(milliseconds(60));
   world.stages.AddFault("c1", StepFault::kMalformedAnswer);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
   STRCMP_EQUAL("c2", driver->Status().route.hops[2].server.c_str());
 }
@@ -276,7 +276,7 @@
   world.stages.AddFault("b1", StepFault::kSilence);
   world.RunToCompletion();
   world.RunToCompletion();
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, UnansweredPrefillMayHaveRun) {
@@ -328,7 +328,7 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("b1");
-  CheckWhole();
+  CheckComplete();
   const std::string expected_start = "-----------iii";
   STRCMP_EQUAL((expected_start + std::string(isolated.size() - expected_start.size(), '-')).c_str(),
                isolated.c_str());
