--- a/tests/sessions/session_world.h
+++ b/tests/sessions/session_world.h
@@ -73,7 +73,7 @@
 };
 
 /** Allows everything unless a test sets an error, and records the highest crash count. */
-class FakeGate final : public RecoveryGate {
+class FakeRecoveryGate final : public RecoveryGate {
  public:
   Result<void> MayStart(const ChatRequest&) override { return Answer(start_error); }
   Result<void> MayRecover(const ChatRequest&,
@@ -250,7 +250,7 @@
   FakeStages stages;
   FakeChooser chooser;
   FakeSnapshots snapshots;
-  FakeGate gate;
+  FakeRecoveryGate gate;
   RecordList recorder;
   std::unique_ptr<SignedResumeTokenCodec> codec;
 };
