--- a/tests/sessions/recovery_test.cc
+++ b/tests/sessions/recovery_test.cc
@@ -13,7 +13,9 @@
 
 constexpr milliseconds kMidAnswer{90};
 
-std::string FactOf(const RecordList& list, const std::string& decision, const std::string& name) {
+std::string FactOf(const FakeDecisionRecorder& list,
+                   const std::string& decision,
+                   const std::string& name) {
   for (const DecisionRecord& record : list.records) {
     for (const auto& [fact, value] : record.facts) {
       if (record.decision == decision && fact == name) {
--- a/tests/sessions/session_world.h
+++ b/tests/sessions/session_world.h
@@ -101,7 +101,7 @@
   std::shared_ptr<FleetSnapshot> current = std::make_shared<FleetSnapshot>();
 };
 
-class RecordList final : public DecisionRecorder {
+class FakeDecisionRecorder final : public DecisionRecorder {
  public:
   void Record(DecisionRecord record) override {
     if (on_record) {
@@ -251,7 +251,7 @@
   FakeChooser chooser;
   FakeSnapshots snapshots;
   FakeRecoveryGate gate;
-  RecordList recorder;
+  FakeDecisionRecorder recorder;
   std::unique_ptr<SignedResumeTokenCodec> codec;
 };
 
