--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -115,7 +115,7 @@
         m_driver->LeaveDrainingServers();
         break;
       case FailureKind::kCutMove:
-        m_world.stages.CutNextMove();
+        m_world.stages.InterruptNextTransfer();
         break;
       case FailureKind::kInstanceDies:
         Resume(false);
--- a/tests/sessions/fake_stages.h
+++ b/tests/sessions/fake_stages.h
@@ -84,7 +84,7 @@
   void AddFault(const BackendServerName& name, StepFault fault) {
     m_servers.at(name).faults.push_back(fault);
   }
-  void CutNextMove() { m_cut_next_move = true; }
+  void InterruptNextTransfer() { m_cut_next_move = true; }
 
   /** Called for each step that a stage processed, with its answer. */
   std::function<void(const BackendServerName&, const StepRequest&, const StepAnswer&)> on_step;
--- a/tests/sessions/golden_sessions_test.cc
+++ b/tests/sessions/golden_sessions_test.cc
@@ -96,7 +96,7 @@
   // An interrupted transfer falls back to a replay.
   StartAndRunTo(kMidAnswer);
   log.Write("b1 leaves; the transfer will be cut");
-  world.stages.CutNextMove();
+  world.stages.InterruptNextTransfer();
   world.SetState("b1", BackendServerState::kLeaving);
   driver->LeaveDrainingServers();
   CheckAgainst("planned_leave_cut");
--- a/tests/sessions/planned_leave_test.cc
+++ b/tests/sessions/planned_leave_test.cc
@@ -49,7 +49,7 @@
 
 TEST(PlannedLeave, InterruptedTransferFallsBackToReplay) {
   // Guards against failing the session when a transfer is interrupted.
-  world.stages.CutNextMove();
+  world.stages.InterruptNextTransfer();
   LeaveMidAnswer("b1");
   CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
