--- a/tests/sessions/fake_stages.h
+++ b/tests/sessions/fake_stages.h
@@ -84,7 +84,7 @@
   void AddFault(const BackendServerName& name, StepFault fault) {
     m_servers.at(name).faults.push_back(fault);
   }
-  void InterruptNextTransfer() { m_cut_next_move = true; }
+  void InterruptNextTransfer() { m_interrupt_next_transfer = true; }
 
   /** Called for each step that a stage processed, with its answer. */
   std::function<void(const BackendServerName&, const StepRequest&, const StepAnswer&)> on_step;
@@ -161,7 +161,7 @@
           [this, from, to, session, attempt, new_attempt, callback = std::move(callback)] {
             const bool unreachable = m_servers.at(from).is_dead || m_servers.at(from).is_frozen ||
                                      m_servers.at(to).is_dead || m_servers.at(to).is_frozen;
-            if (std::exchange(m_cut_next_move, false) || unreachable) {
+            if (std::exchange(m_interrupt_next_transfer, false) || unreachable) {
               callback(MakeError(ErrorKind::kBackendUnavailable, "the transfer was cut half way"));
               return;
             }
@@ -288,7 +288,7 @@
   std::map<BackendServerName, Server> m_servers;
   std::map<std::uint64_t, std::unique_ptr<ScheduledCall>> m_calls;
   std::uint64_t m_next_call = 0;
-  bool m_cut_next_move = false;
+  bool m_interrupt_next_transfer = false;
 };
 
 }  // namespace zinnia
