--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -19,7 +19,7 @@
   kStepFault,
   kSlowLink,
   kPlannedLeave,
-  kCutMove,
+  kInterruptTransfer,
   kInstanceDies,
   kTwoInstances,
   kCancel,
@@ -114,7 +114,7 @@
         m_world.SetState(server, BackendServerState::kLeaving);
         m_driver->LeaveDrainingServers();
         break;
-      case FailureKind::kCutMove:
+      case FailureKind::kInterruptTransfer:
         m_world.stages.InterruptNextTransfer();
         break;
       case FailureKind::kInstanceDies:
