--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -20,7 +20,7 @@
   kSlowLink,
   kPlannedLeave,
   kInterruptTransfer,
-  kInstanceDies,
+  kInstanceFails,
   kTwoInstances,
   kCancel,
   kCount
@@ -117,7 +117,7 @@
       case FailureKind::kInterruptTransfer:
         m_world.stages.InterruptNextTransfer();
         break;
-      case FailureKind::kInstanceDies:
+      case FailureKind::kInstanceFails:
         Resume(false);
         break;
       case FailureKind::kTwoInstances:
