--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -22,8 +22,8 @@
     }
   });
   for (std::size_t index = 0; index < transfers.size(); ++index) {
-    const Transfer& order = transfers[index];
-    parts.links.MoveCache(order.from, order.to, session, order.attempt, new_attempt,
+    const Transfer& transfer = transfers[index];
+    parts.links.MoveCache(transfer.from, transfer.to, session, transfer.attempt, new_attempt,
                           [weak, index](const Result<std::uint32_t>& result) {
                             if (const auto self = weak.lock()) {
                               self->Finish(index, result);
@@ -35,8 +35,8 @@
 
 CacheTransfers::CacheTransfers(const std::vector<Transfer>& transfers, Callback callback)
     : m_pending(transfers.size()), m_callback(std::move(callback)) {
-  for (const Transfer& order : transfers) {
-    m_outcomes.push_back({order, 0, "no answer in time"});
+  for (const Transfer& transfer : transfers) {
+    m_outcomes.push_back({transfer, 0, "no answer in time"});
   }
 }
 
--- a/packages/zinnia_decisions/sessions/cache_transfers.h
+++ b/packages/zinnia_decisions/sessions/cache_transfers.h
@@ -27,7 +27,7 @@
 
   /** `length` is the number of positions imported, 0 if the transfer failed. */
   struct Outcome {
-    Transfer order;
+    Transfer transfer;
     std::uint32_t length = 0;
     std::string failure;
   };
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -95,10 +95,10 @@
                                       const std::vector<CacheTransfers::Outcome>& outcomes) {
   m_relay.Caches().SetRoute(route);
   for (const CacheTransfers::Outcome& outcome : outcomes) {
-    m_relay.Caches().Set(outcome.order.hop, import_attempt, outcome.length);
+    m_relay.Caches().Set(outcome.transfer.hop, import_attempt, outcome.length);
     m_records.Write("move_cache", outcome.failure.empty() ? "imported" : outcome.failure,
-                    {{"from", outcome.order.from},
-                     {"to", outcome.order.to},
+                    {{"from", outcome.transfer.from},
+                     {"to", outcome.transfer.to},
                      {"length", std::to_string(outcome.length)}});
   }
   const auto moves = std::exchange(m_cache_transfers, nullptr);
