--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -264,10 +264,10 @@
   // The engines tokenise, so the token count is an estimate until the first prefill.
   constexpr std::size_t kTypicalBytesPerToken = 4;
   constexpr std::size_t kPrefixBytes = 512;
-  const auto guess =
+  const auto prompt_estimate =
       static_cast<std::uint32_t>(m_request.prompt.size() / kTypicalBytesPerToken + 1);
   return {.model = m_request.model,
-          .prompt_tokens = m_answer.PromptTokens().value_or(guess),
+          .prompt_tokens = m_answer.PromptTokens().value_or(prompt_estimate),
           .answer_tokens = m_request.max_tokens,
           .prefix_hash = Hash64(std::string_view(m_request.prompt).substr(0, kPrefixBytes))};
 }
