--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -18,8 +18,7 @@
 };
 
 /** Queries the replicas of the last stage in turn for a session whose tokens match the delivered
-    text. Other stages do not sample and hold no tokens. Destroying the object cancels the lookup.
- */
+    text. Other stages do not sample and hold no tokens. Destroying it cancels the lookup. */
 class ResumeLookup : public std::enable_shared_from_this<ResumeLookup> {
  public:
   using Callback = std::function<void(std::optional<FoundSession>)>;
--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.h
@@ -41,8 +41,8 @@
   /** Initialised with the key; duplicated for signing and never used directly. */
   const Context m_keyed_context;
 
-  /** Cached duplicate of `m_keyed_context`, or null while in use: duplicating costs more than
-   * signing. */
+  /** Cached duplicate of `m_keyed_context`, or null while in use. Duplicating costs more than
+      signing. */
   mutable std::atomic<evp_mac_ctx_st*> m_spare_context = nullptr;
 };
 
