--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -58,7 +58,7 @@
 
 void ResumeLookup::QueryNext() {
   const std::weak_ptr<ResumeLookup> weak = weak_from_this();
-  const std::size_t query = m_query;
+  const std::size_t query = m_query_index;
   const auto take = [weak, query](const Result<HeldSession>& held) {
     if (const auto lookup = weak.lock()) {
       lookup->HandleAnswer(query, held);
@@ -71,15 +71,15 @@
 }
 
 void ResumeLookup::HandleAnswer(std::size_t query, const Result<HeldSession>& held) {
-  if (query != m_query || !m_callback) {
+  if (query != m_query_index || !m_callback) {
     return;
   }
   if (held && MatchesDeliveredText(m_point, *held)) {
     Finish(FoundSession{m_candidates[query], *held});
     return;
   }
-  ++m_query;
-  if (m_query == m_candidates.size()) {
+  ++m_query_index;
+  if (m_query_index == m_candidates.size()) {
     Finish(std::nullopt);
     return;
   }
--- a/packages/zinnia_decisions/sessions/resume_lookup.h
+++ b/packages/zinnia_decisions/sessions/resume_lookup.h
@@ -39,7 +39,7 @@
   const ResumePoint m_point;
   Callback m_callback;
   std::vector<BackendServerName> m_candidates;
-  std::size_t m_query = 0;
+  std::size_t m_query_index = 0;
   std::unique_ptr<ScheduledCall> m_query_timeout;
 };
 
