--- a/packages/zinnia_decisions/sessions/cache_transfers.cc
+++ b/packages/zinnia_decisions/sessions/cache_transfers.cc
@@ -14,9 +14,9 @@
                                                       const std::vector<Transfer>& transfers,
                                                       AttemptNumber new_attempt,
                                                       Callback callback) {
-  std::shared_ptr<CacheTransfers> moves(new CacheTransfers(transfers, std::move(callback)));
-  const std::weak_ptr<CacheTransfers> weak = moves;
-  moves->m_time_limit = parts.scheduler.ScheduleAfter(kTransferTimeout, [weak] {
+  std::shared_ptr<CacheTransfers> batch(new CacheTransfers(transfers, std::move(callback)));
+  const std::weak_ptr<CacheTransfers> weak = batch;
+  batch->m_time_limit = parts.scheduler.ScheduleAfter(kTransferTimeout, [weak] {
     if (const auto self = weak.lock()) {
       self->Complete();
     }
@@ -30,7 +30,7 @@
                             }
                           });
   }
-  return moves;
+  return batch;
 }
 
 CacheTransfers::CacheTransfers(const std::vector<Transfer>& transfers, Callback callback)
