--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -8,7 +8,7 @@
 namespace zinnia {
 namespace {
 
-/** Limits the attempt numbers consumed by planned moves. */
+/** Limits the attempt numbers consumed by planned keep_alive. */
 constexpr std::uint32_t kMaxTransfers = 200;
 
 }  // namespace
@@ -101,7 +101,7 @@
                      {"to", outcome.transfer.to},
                      {"length", std::to_string(outcome.length)}});
   }
-  const auto moves = std::exchange(m_cache_transfers, nullptr);
+  const auto keep_alive = std::exchange(m_cache_transfers, nullptr);
   StartAttempt(route);
 }
 
