--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -59,15 +59,16 @@
 void ResumeLookup::QueryNext() {
   const std::weak_ptr<ResumeLookup> weak = weak_from_this();
   const std::size_t query = m_query_index;
-  const auto take = [weak, query](const Result<HeldSession>& held) {
+  const auto handle_answer = [weak, query](const Result<HeldSession>& held) {
     if (const auto lookup = weak.lock()) {
       lookup->HandleAnswer(query, held);
     }
   };
-  m_query_timeout = m_parts.scheduler.ScheduleAfter(kQueryTimeout, [take] {
-    take(MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
+  m_query_timeout = m_parts.scheduler.ScheduleAfter(kQueryTimeout, [handle_answer] {
+    handle_answer(
+        MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
   });
-  m_parts.links.FindSession(m_candidates[query], m_point.session, take);
+  m_parts.links.FindSession(m_candidates[query], m_point.session, handle_answer);
 }
 
 void ResumeLookup::HandleAnswer(std::size_t query, const Result<HeldSession>& held) {
