--- a/packages/zinnia_decisions/admission/organisation_limits.h
+++ b/packages/zinnia_decisions/admission/organisation_limits.h
@@ -16,8 +16,8 @@
 
   void SetContract(const Organisation& organisation);
 
-  /** Returns the contract's weight, multiplied by 4 for each priority level above 1. It is always
-      positive, so low priorities are not starved. */
+  /** Returns the contract's weight, multiplied by 4 for each of up to 4 priority levels above 1 and
+      divided by 4 for priority 0. It is always positive, so low priorities are not starved. */
   double WeightOf(const OrganisationName& organisation) const;
 
   /** Counts a request in, or returns the Retry-After delay if a limit is reached. Each request
