--- a/tests/routing/admission_test.cc
+++ b/tests/routing/admission_test.cc
@@ -53,7 +53,7 @@
   }
 
   /** Holds each grant for 100 ms. */
-  void Ask(AdmissionRequest request) {
+  void Submit(AdmissionRequest request) {
     const OrganisationName organisation = request.organisation;
     m_admission.Request(
         std::move(request), [this, organisation](Result<std::unique_ptr<AdmissionGrant>> grant) {
@@ -73,11 +73,11 @@
   m_admission.SetContract({.name = "double", .weight = 2.0});
   for (int tick = 0; tick < 500; ++tick) {
     for (int request = 0; request < 10; ++request) {
-      Ask(Make("flood"));
+      Submit(Make("flood"));
     }
     for (const char* name : {"double", "single"}) {
-      Ask(Make(name));
-      Ask(Make(name));
+      Submit(Make(name));
+      Submit(Make(name));
     }
     m_time.AdvanceBy(milliseconds(10));
   }
@@ -110,11 +110,11 @@
 // Guards against queueing a request whose predicted wait already exceeds its deadline.
 TEST(Admission, RefusesOnArrivalWhenTheDeadlineCannotBeMet) {
   for (int request = 0; request < 40; ++request) {
-    Ask(Make("organisation"));
+    Submit(Make("organisation"));
   }
   AdmissionRequest late = Make("organisation");
   late.deadline = m_time.Now() + milliseconds(250);
-  Ask(late);
+  Submit(late);
   LONGS_EQUAL(1, m_refused.size());
   CHECK_TRUE(m_refused[0].kind == ErrorKind::kDeadlineUnmeetable);
   CHECK_TRUE(m_refused[0].was_run == WasRun::kNo);
@@ -146,7 +146,7 @@
 // Guards against a constant Retry-After, which would synchronise the retries of refused requests.
 TEST(Admission, SpreadsRetryAfterValues) {
   for (int request = 0; request < 1'000; ++request) {
-    Ask(Make("organisation"));
+    Submit(Make("organisation"));
   }
   std::map<std::int64_t, int> returns_in_second;
   for (const Error& error : m_refused) {
@@ -171,7 +171,7 @@
   m_time.AdvanceBy(seconds(10));
   AdmissionRequest asked = Make("organisation");
   asked.deadline = m_time.Now() + milliseconds(300);
-  Ask(asked);
+  Submit(asked);
   LONGS_EQUAL(1, m_admitted["organisation"]);
 }
 
@@ -198,14 +198,14 @@
   m_admission.SetContract({.name = "narrow", .requests_per_second = 5.0});
   m_admission.SetContract({.name = "few", .concurrent_requests = 3});
   for (int request = 0; request < 8; ++request) {
-    Ask(Make("narrow"));
-    Ask(Make("few"));
+    Submit(Make("narrow"));
+    Submit(Make("few"));
   }
   LONGS_EQUAL(5, m_admitted["narrow"]);
   LONGS_EQUAL(3, m_admitted["few"]);
   CHECK_TRUE(m_refused.front().kind == ErrorKind::kRateLimited);
   m_time.AdvanceBy(seconds(1));
-  Ask(Make("few"));
+  Submit(Make("few"));
   LONGS_EQUAL(4, m_admitted["few"]);
 }
 
