--- a/packages/zinnia_decisions/admission/credit_ledger.cc
+++ b/packages/zinnia_decisions/admission/credit_ledger.cc
@@ -11,7 +11,7 @@
                               const OrganisationName& organisation,
                               RequestClass request_class,
                               double weight) {
-  if (!IsFirst(request_id)) {
+  if (!RememberIfNew(request_id)) {
     return false;
   }
   auto row = m_rows.find({organisation, request_class});
@@ -24,7 +24,7 @@
   return true;
 }
 
-bool CreditLedger::IsFirst(const std::string& request_id) {
+bool CreditLedger::RememberIfNew(const std::string& request_id) {
   if (!m_credited.insert(request_id).second) {
     return false;
   }
--- a/packages/zinnia_decisions/admission/credit_ledger.h
+++ b/packages/zinnia_decisions/admission/credit_ledger.h
@@ -39,7 +39,7 @@
   const Rows& AllRows() const { return m_rows; }
 
  private:
-  bool IsFirst(const std::string& request_id);
+  bool RememberIfNew(const std::string& request_id);
 
   const std::size_t m_max_remembered_requests;
   const std::size_t m_max_rows;
