--- a/packages/zinnia_decisions/admission/fair_admission_controller.cc
+++ b/packages/zinnia_decisions/admission/fair_admission_controller.cc
@@ -21,7 +21,7 @@
   double in_use = 0.0;
   FairQueue queue;
   ServiceMeter meter;
-  ReturnPlanner returns;
+  RetryAfterPlanner retry_after_slots;
   std::unique_ptr<ScheduledCall> dispatch;
   TimePoint dispatch_at{};
 };
@@ -61,12 +61,12 @@
 FairAdmissionController::~FairAdmissionController() = default;
 
 void FairAdmissionController::Request(AdmissionRequest request, Callback callback) {
-  const auto come_back = m_limits.TryEnter(request.organisation, m_clock.Now(), m_random);
-  if (come_back) {
+  const auto retry_delay = m_limits.TryAcquire(request.organisation, m_clock.Now(), m_random);
+  if (retry_delay) {
     Error error = MakeError(
         ErrorKind::kRateLimited,
         fmt::format("organisation \"{}\" is at the limit of its contract", request.organisation));
-    error.retry_after = *come_back;
+    error.retry_after = *retry_delay;
     callback(error);
     return;
   }
@@ -92,15 +92,16 @@
 FairAdmissionController::Pool& FairAdmissionController::PoolOf(const std::string& name) {
   std::unique_ptr<Pool>& pool = m_pools[name];
   if (pool == nullptr) {
-    pool = std::make_unique<Pool>(Pool{
-        .name = name, .meter = ServiceMeter(m_settings), .returns = ReturnPlanner(m_settings)});
+    pool = std::make_unique<Pool>(Pool{.name = name,
+                                       .meter = ServiceMeter(m_settings),
+                                       .retry_after_slots = RetryAfterPlanner(m_settings)});
   }
   return *pool;
 }
 
 bool FairAdmissionController::Fits(const Pool& pool, double cost) const {
   const bool alone = pool.in_use <= 0.0 && pool.capacity > 0.0;
-  return alone || pool.in_use + cost <= pool.capacity * pool.meter.UsefulConcurrency();
+  return alone || pool.in_use + cost <= pool.capacity * pool.meter.UsableCapacityShare();
 }
 
 void FairAdmissionController::RequestInPool(Pool& pool,
@@ -118,9 +119,9 @@
   }
   const Duration wait = PredictWait(pool, request);
   const bool full =
-      pool.queue.Waiting() >= m_settings.highest_waiting_per_pool ||
-      pool.queue.WaitingOf(request.organisation) >= m_settings.highest_waiting_per_organisation;
-  if (full || wait > m_settings.longest_wait) {
+      pool.queue.Waiting() >= m_settings.max_waiting_per_pool ||
+      pool.queue.WaitingOf(request.organisation) >= m_settings.max_waiting_per_organisation;
+  if (full || wait > m_settings.max_wait) {
     Refuse(pool, ErrorKind::kOverloaded, request, callback);
   } else if (WouldMiss(pool, request, wait)) {
     Refuse(pool, ErrorKind::kDeadlineUnmeetable, request, callback);
@@ -145,27 +146,28 @@
                                      ErrorKind kind,
                                      const AdmissionRequest& request,
                                      const Callback& callback) {
-  m_limits.Leave(request.organisation);
-  // While nothing runs at all there is no rate to go by; the one before is the best guess of what
-  // the pool can take when it is back.
+  m_limits.Release(request.organisation);
+  // A pool without capacity has no drain rate; its last non-zero capacity serves as the estimate
+  // for the time after it is restored.
   const bool stopped = pool.capacity <= 0.0;
   const double rate =
       pool.meter.DrainRate(m_clock.Now(), stopped ? pool.last_capacity : pool.capacity);
   const Duration earliest = stopped ? Duration::zero() : PredictWait(pool, request);
   Error error = MakeError(
-      kind, fmt::format("pool \"{}\" cannot take the request in time: {} requests are waiting",
+      kind, fmt::format("pool \"{}\" cannot serve the request in time: {} requests are queued",
                         pool.name, pool.queue.Waiting()));
-  error.retry_after = pool.returns.Book(m_clock.Now(), PredictWait(pool, request), request.cost,
-                                        rate * m_settings.share_for_returning, m_random);
+  error.retry_after =
+      pool.retry_after_slots.ReserveSlot(m_clock.Now(), PredictWait(pool, request), request.cost,
+                                         rate * m_settings.retry_share_of_drain_rate, m_random);
   callback(error);
 }
 
 Duration FairAdmissionController::PredictWait(const Pool& pool,
                                               const AdmissionRequest& request) const {
-  const double overhang = std::max(0.0, pool.in_use + request.cost - pool.capacity);
+  const double excess_cost = std::max(0.0, pool.in_use + request.cost - pool.capacity);
   const double ahead = pool.queue.CostAhead(request.organisation, request.cost,
                                             m_limits.WeightOf(request.organisation)) +
-                       overhang;
+                       excess_cost;
   const double rate = pool.meter.DrainRate(m_clock.Now(), pool.capacity);
   const double seconds = std::min(3'600.0, ahead / std::max(rate, 1e-9));
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
@@ -179,13 +181,13 @@
   }
   const TimePoint now = m_clock.Now();
   const double used = pool.capacity > 0.0 ? (pool.in_use + request.cost) / pool.capacity : 1.0;
-  const Duration service = pool.meter.Stretched(now, request.expected_service_time, used);
+  const Duration service = pool.meter.PredictServiceTime(now, request.expected_service_time, used);
   return now + wait + service > *request.deadline;
 }
 
 void FairAdmissionController::OnReleased(const AdmissionRequest& request, TimePoint admitted_at) {
   const TimePoint now = m_clock.Now();
-  m_limits.Leave(request.organisation);
+  m_limits.Release(request.organisation);
   Pool& pool = PoolOf(request.pool);
   pool.in_use = std::max(0.0, pool.in_use - request.cost);
   pool.meter.OnFinished(now, request.cost, now - admitted_at, request.expected_service_time);
@@ -194,7 +196,7 @@
   }
 }
 
-// Runs from the scheduler, because a grant may be destroyed from inside any callback.
+// Dispatches asynchronously because a grant may be destroyed inside any callback.
 void FairAdmissionController::DispatchLater(Pool& pool, Duration delay) {
   const TimePoint at = m_clock.Now() + delay;
   if (pool.dispatch != nullptr && pool.dispatch_at <= at) {
@@ -206,9 +208,9 @@
 
 void FairAdmissionController::Dispatch(Pool& pool) {
   const auto this_call = std::move(pool.dispatch);
-  RefuseHopeless(pool);
+  RefuseOverdue(pool);
   while (!pool.queue.Empty() && Fits(pool, pool.queue.Next().request.cost)) {
-    const WaitingWork work = pool.queue.PopNext();
+    const QueuedRequest work = pool.queue.PopNext();
     Admit(pool, work.request, work.callback);
   }
   pool.meter.SetBusy(m_clock.Now(), !pool.queue.Empty());
@@ -217,12 +219,12 @@
   }
 }
 
-void FairAdmissionController::RefuseHopeless(Pool& pool) {
-  const auto hopeless = pool.queue.TakeOut([&](const WaitingWork& work) {
-    return m_clock.Now() - work.queued_at > m_settings.longest_wait ||
+void FairAdmissionController::RefuseOverdue(Pool& pool) {
+  const auto overdue = pool.queue.RemoveIf([&](const QueuedRequest& work) {
+    return m_clock.Now() - work.queued_at > m_settings.max_wait ||
            WouldMiss(pool, work.request, Duration::zero());
   });
-  for (const WaitingWork& work : hopeless) {
+  for (const QueuedRequest& work : overdue) {
     const bool missed = WouldMiss(pool, work.request, Duration::zero());
     const ErrorKind kind = missed ? ErrorKind::kDeadlineUnmeetable : ErrorKind::kOverloaded;
     Refuse(pool, kind, work.request, work.callback);
--- a/packages/zinnia_decisions/admission/fair_queue.cc
+++ b/packages/zinnia_decisions/admission/fair_queue.cc
@@ -7,10 +7,10 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kRememberedOrganisations = 4'096;
+constexpr std::size_t kMaxTrackedOrganisations = 4'096;
 
-/** How many requests of its share an organisation can save up by not sending. */
-constexpr double kSavedRequests = 1.0;
+/** Number of requests that an idle organisation can save up. */
+constexpr double kMaxSavedRequests = 1.0;
 
 }  // namespace
 
@@ -19,24 +19,24 @@
   return found == m_queues.end() ? 0 : found->second.work.size();
 }
 
-void FairQueue::Push(WaitingWork work, double weight) {
-  ForgetIdle();
+void FairQueue::Push(QueuedRequest work, double weight) {
+  EvictIdle();
   OrganisationQueue& queue = m_queues[work.request.organisation];
-  work.start_tag = Enter(queue, work.request.cost, weight);
+  work.start_tag = AssignStartTag(queue, work.request.cost, weight);
   queue.waiting_cost += work.request.cost;
   queue.work.push_back(std::move(work));
   ++m_waiting;
 }
 
-const WaitingWork& FairQueue::Next() const {
-  assert(!Empty());  // the caller asks for work that is not there
+const QueuedRequest& FairQueue::Next() const {
+  assert(!Empty());
   return FindNext()->second.work.front();
 }
 
-WaitingWork FairQueue::PopNext() {
-  assert(!Empty());  // the caller asks for work that is not there
+QueuedRequest FairQueue::PopNext() {
+  assert(!Empty());
   OrganisationQueue& queue = m_queues[FindNext()->first];
-  WaitingWork work = std::move(queue.work.front());
+  QueuedRequest work = std::move(queue.work.front());
   queue.work.pop_front();
   queue.waiting_cost -= work.request.cost;
   --m_waiting;
@@ -47,8 +47,8 @@
 void FairQueue::OnAdmittedDirectly(const OrganisationName& organisation,
                                    double cost,
                                    double weight) {
-  ForgetIdle();
-  m_virtual_time = std::max(m_virtual_time, Enter(m_queues[organisation], cost, weight));
+  EvictIdle();
+  m_virtual_time = std::max(m_virtual_time, AssignStartTag(m_queues[organisation], cost, weight));
 }
 
 double FairQueue::CostAhead(const OrganisationName& organisation,
@@ -56,7 +56,7 @@
                             double weight) const {
   const auto own = m_queues.find(organisation);
   const double own_finish = own == m_queues.end() ? 0.0 : own->second.finish_tag;
-  const double start = std::max(EarliestStart(cost, weight), own_finish);
+  const double start = std::max(EarliestStartTag(cost, weight), own_finish);
   double ahead = own == m_queues.end() ? 0.0 : own->second.waiting_cost;
   for (const auto& [name, queue] : m_queues) {
     if (name != organisation && !queue.work.empty()) {
@@ -67,12 +67,12 @@
   return ahead;
 }
 
-std::deque<WaitingWork> FairQueue::TakeOut(
-    const std::function<bool(const WaitingWork&)>& is_hopeless) {
-  std::deque<WaitingWork> taken;
+std::deque<QueuedRequest> FairQueue::RemoveIf(
+    const std::function<bool(const QueuedRequest&)>& predicate) {
+  std::deque<QueuedRequest> taken;
   for (auto& [name, queue] : m_queues) {
     const auto first =
-        std::stable_partition(queue.work.begin(), queue.work.end(), std::not_fn(is_hopeless));
+        std::stable_partition(queue.work.begin(), queue.work.end(), std::not_fn(predicate));
     for (auto work = first; work != queue.work.end(); ++work) {
       queue.waiting_cost -= work->request.cost;
       taken.push_back(std::move(*work));
@@ -83,15 +83,15 @@
   return taken;
 }
 
-double FairQueue::Enter(OrganisationQueue& queue, double cost, double weight) {
+double FairQueue::AssignStartTag(OrganisationQueue& queue, double cost, double weight) {
   queue.weight = weight;
-  const double start_tag = std::max(EarliestStart(cost, weight), queue.finish_tag);
+  const double start_tag = std::max(EarliestStartTag(cost, weight), queue.finish_tag);
   queue.finish_tag = start_tag + cost / weight;
   return start_tag;
 }
 
-double FairQueue::EarliestStart(double cost, double weight) const {
-  return m_virtual_time - kSavedRequests * cost / weight;
+double FairQueue::EarliestStartTag(double cost, double weight) const {
+  return m_virtual_time - kMaxSavedRequests * cost / weight;
 }
 
 FairQueue::Queues::const_iterator FairQueue::FindNext() const {
@@ -106,8 +106,8 @@
   return next;
 }
 
-void FairQueue::ForgetIdle() {
-  if (m_queues.size() < kRememberedOrganisations) {
+void FairQueue::EvictIdle() {
+  if (m_queues.size() < kMaxTrackedOrganisations) {
     return;
   }
   std::erase_if(m_queues, [this](const auto& entry) {
--- a/packages/zinnia_decisions/admission/organisation_limits.cc
+++ b/packages/zinnia_decisions/admission/organisation_limits.cc
@@ -8,8 +8,8 @@
 
 constexpr double kWeightStepOfPriority = 4.0;
 constexpr double kHighestPriorityStep = 4.0;
-constexpr double kLeastWeight = 1e-3;
-constexpr Duration kReturnWhenFull = std::chrono::seconds(1);
+constexpr double kMinWeight = 1e-3;
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 double Burst(const Organisation& contract) {
   return std::max(1.0, contract.requests_per_second);
@@ -25,7 +25,7 @@
   }
   m_rows.emplace(organisation.name, Row{.contract = organisation,
                                         .tokens = Burst(organisation),
-                                        .returns = ReturnPlanner(m_settings)});
+                                        .retry_after_slots = RetryAfterPlanner(m_settings)});
 }
 
 double OrganisationLimits::WeightOf(const OrganisationName& organisation) const {
@@ -36,10 +36,10 @@
   const Organisation& contract = found->second.contract;
   const double steps =
       std::clamp(static_cast<double>(contract.priority) - 1.0, -1.0, kHighestPriorityStep);
-  return std::max(kLeastWeight, contract.weight) * std::pow(kWeightStepOfPriority, steps);
+  return std::max(kMinWeight, contract.weight) * std::pow(kWeightStepOfPriority, steps);
 }
 
-std::optional<std::chrono::milliseconds> OrganisationLimits::TryEnter(
+std::optional<std::chrono::milliseconds> OrganisationLimits::TryAcquire(
     const OrganisationName& organisation,
     TimePoint now,
     RandomSource& random) {
@@ -51,21 +51,21 @@
   Refill(row, now);
   const Organisation& contract = row.contract;
   const bool too_many =
-      contract.concurrent_requests > 0 && row.present >= contract.concurrent_requests;
+      contract.concurrent_requests > 0 && row.requests_in_flight >= contract.concurrent_requests;
   const bool too_fast = contract.requests_per_second > 0.0 && row.tokens < 1.0;
   if (too_many || too_fast) {
     const double rate = too_fast ? contract.requests_per_second : contract.concurrent_requests;
-    return row.returns.Book(now, kReturnWhenFull, 1.0, rate, random);
+    return row.retry_after_slots.ReserveSlot(now, kMinRetryAfter, 1.0, rate, random);
   }
   row.tokens -= 1.0;
-  ++row.present;
+  ++row.requests_in_flight;
   return std::nullopt;
 }
 
-void OrganisationLimits::Leave(const OrganisationName& organisation) {
+void OrganisationLimits::Release(const OrganisationName& organisation) {
   const auto found = m_rows.find(organisation);
-  if (found != m_rows.end() && found->second.present > 0) {
-    --found->second.present;
+  if (found != m_rows.end() && found->second.requests_in_flight > 0) {
+    --found->second.requests_in_flight;
   }
 }
 
--- a/packages/zinnia_decisions/sessions/pipeline_session.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::chrono::minutes kResumeValidity{15};
-constexpr std::chrono::seconds kLongestSilence{60};
+constexpr std::chrono::seconds kStepWatchdogTimeout{60};
 constexpr std::chrono::milliseconds kRetryAfter{2'000};
 
 }  // namespace
@@ -40,7 +40,7 @@
 }
 
 void PipelineSession::Start() {
-  assert(m_state == SessionState::kWaiting);  // Started twice, the session would run two chains.
+  assert(m_state == SessionState::kWaiting);
   m_started_at = m_parts.clock.Now();
   if (m_resume) {
     m_was_run = WasRun::kYes;
@@ -49,7 +49,7 @@
     Fail(may_start.error());
     return;
   }
-  WatchForSilence();
+  ScheduleStepWatchdog();
   if (m_resume) {
     StartResume();
     return;
@@ -65,13 +65,13 @@
 }
 
 void PipelineSession::Cancel() {
-  if (IsOver()) {
+  if (IsFinished()) {
     return;
   }
   m_records.Write("cancel_session", "the caller is gone",
                   {{"delivered_tokens", std::to_string(m_answer.DeliveredTokens())}});
   m_state = SessionState::kFailed;
-  EndRouteUse();
+  ReleaseRoute();
 }
 
 SessionStatus PipelineSession::Status() const {
@@ -89,15 +89,15 @@
 }
 
 void PipelineSession::OnStepAnswer(std::uint32_t hop, StepAnswer answer) {
-  if (IsOver()) {
+  if (IsFinished()) {
     return;
   }
   const StepStatus status = answer.status;
-  switch (m_relay.Take(hop, answer)) {
+  switch (m_relay.HandleAnswer(hop, answer)) {
     case StepRelay::Progress::kStale:
       return;
     case StepRelay::Progress::kNextHop:
-      NoteWhetherRun(status);
+      UpdateWasRun(status);
       if (!m_answer.PromptTokens()) {
         m_answer.SetPromptTokens(answer.prompt_tokens);
       }
@@ -105,20 +105,20 @@
       m_relay.SendToNextHop(std::move(answer), weak_from_this());
       return;
     case StepRelay::Progress::kToken:
-      NoteWhetherRun(status);
+      UpdateWasRun(status);
       if (!m_answer.PromptTokens()) {
         m_answer.SetPromptTokens(answer.prompt_tokens);
       }
-      TakeToken(*answer.token);
+      HandleToken(*answer.token);
       return;
     case StepRelay::Progress::kFailed:
-      NoteWhetherRun(status);
-      TakeFailure(answer);
+      UpdateWasRun(status);
+      HandleFailure(answer);
       return;
   }
 }
 
-bool PipelineSession::IsOver() const {
+bool PipelineSession::IsFinished() const {
   return m_state == SessionState::kDone || m_state == SessionState::kFailed;
 }
 
@@ -133,7 +133,7 @@
 void PipelineSession::StartAttempt(const Route& route) {
   SwitchRoute(route);
   if (m_answer.Tokens().empty()) {
-    m_answer.ForgetPromptTokens();
+    m_answer.ResetPromptTokens();
   }
   m_relay.StartAttempt(m_next_attempt++, m_route);
   m_relay.SetIsolated(m_isolated_until_tokens.has_value());
@@ -160,7 +160,7 @@
   m_relay.StartPass(weak_from_this());
 }
 
-void PipelineSession::TakeToken(const SampledToken& token) {
+void PipelineSession::HandleToken(const SampledToken& token) {
   if (!AddToken(token)) {
     return;
   }
@@ -168,8 +168,8 @@
   m_state = SessionState::kDecoding;
   if (m_answer.IsComplete()) {
     Finish();
-  } else if (m_leave_wanted) {
-    LeaveNow();
+  } else if (m_leave_requested) {
+    MoveOffLeavingServers();
   } else {
     StartPass();
   }
@@ -177,17 +177,17 @@
 
 bool PipelineSession::AddToken(const SampledToken& token) {
   switch (m_answer.Add(token)) {
-    case KnownAnswer::Verdict::kDeliver:
+    case GeneratedAnswer::Verdict::kDeliver:
       Deliver(token);
       break;
-    case KnownAnswer::Verdict::kWithhold:
+    case GeneratedAnswer::Verdict::kWithhold:
       break;
-    case KnownAnswer::Verdict::kDiverged:
+    case GeneratedAnswer::Verdict::kDiverged:
       Fail(MakeError(ErrorKind::kResumeDiverged,
                      "the regenerated answer differs from what was delivered"));
       break;
   }
-  return !IsOver();
+  return !IsFinished();
 }
 
 void PipelineSession::Deliver(const SampledToken& token) {
@@ -206,7 +206,7 @@
 
 void PipelineSession::Finish() {
   m_state = SessionState::kDone;
-  EndRouteUse();
+  ReleaseRoute();
   if (const auto listener = m_listener.lock()) {
     listener->OnAnswerDone({.prompt_tokens = m_answer.PromptTokens().value_or(0),
                             .answer_tokens = static_cast<std::uint32_t>(m_answer.Tokens().size()),
@@ -214,26 +214,28 @@
   }
 }
 
-void PipelineSession::WatchForSilence() {
-  // The links promise an answer for each step. If one is lost all the same, the session would hang
-  // for ever without a sign; one slow timer for each session turns that into an ordinary failure.
-  m_silence_watch = m_parts.scheduler.ScheduleAfter(kLongestSilence, [weak = weak_from_this()] {
-    const auto self = weak.lock();
-    if (!self || self->IsOver()) {
-      return;
-    }
-    const bool silent = self->m_parts.clock.Now() - self->m_step_sent_at >= kLongestSilence;
-    if (silent && self->m_relay.IsInFlight()) {
-      self->OnStepAnswer(self->m_relay.Hop(),
-                         {.status = StepStatus::kTimedOut, .attempt = self->m_relay.Attempt()});
-    }
-    if (!self->IsOver()) {
-      self->WatchForSilence();
-    }
-  });
+void PipelineSession::ScheduleStepWatchdog() {
+  // StageLinks answers every step. This watchdog turns a step that is never answered because of a
+  // defect into a timeout, so that the session does not hang.
+  m_step_watchdog =
+      m_parts.scheduler.ScheduleAfter(kStepWatchdogTimeout, [weak = weak_from_this()] {
+        const auto self = weak.lock();
+        if (!self || self->IsFinished()) {
+          return;
+        }
+        const bool silent =
+            self->m_parts.clock.Now() - self->m_step_sent_at >= kStepWatchdogTimeout;
+        if (silent && self->m_relay.IsInFlight()) {
+          self->OnStepAnswer(self->m_relay.Hop(),
+                             {.status = StepStatus::kTimedOut, .attempt = self->m_relay.Attempt()});
+        }
+        if (!self->IsFinished()) {
+          self->ScheduleStepWatchdog();
+        }
+      });
 }
 
-void PipelineSession::NoteWhetherRun(StepStatus status) {
+void PipelineSession::UpdateWasRun(StepStatus status) {
   const bool maybe_run = status == StepStatus::kTimedOut || status == StepStatus::kConnectionLost ||
                          status == StepStatus::kServerCrashed;
   if (status == StepStatus::kDone) {
@@ -244,7 +246,7 @@
 }
 
 void PipelineSession::Fail(Error error) {
-  // A step without answer may have been run.
+  // An unanswered step may have been executed.
   const bool maybe_run = m_relay.IsInFlight() && m_was_run == WasRun::kNo;
   error.was_run = maybe_run ? WasRun::kUnknown : m_was_run;
   m_records.Write("fail_session", error.message,
@@ -252,19 +254,20 @@
                    {"was_run", std::string(NameOf(error.was_run))},
                    {"delivered_tokens", std::to_string(m_answer.DeliveredTokens())}});
   m_state = SessionState::kFailed;
-  EndRouteUse();
+  ReleaseRoute();
   if (const auto listener = m_listener.lock()) {
     listener->OnAnswerFailed(error);
   }
 }
 
 RouteQuery PipelineSession::MakeQuery() const {
-  // Engines tokenise, so before the first prefill the count can only be guessed.
-  constexpr std::size_t kUsualBytesPerToken = 4;
+  // The engines tokenise, so the token count is an estimate until the first prefill.
+  constexpr std::size_t kTypicalBytesPerToken = 4;
   constexpr std::size_t kPrefixBytes = 512;
-  const auto guess = static_cast<std::uint32_t>(m_request.prompt.size() / kUsualBytesPerToken + 1);
+  const auto prompt_estimate =
+      static_cast<std::uint32_t>(m_request.prompt.size() / kTypicalBytesPerToken + 1);
   return {.model = m_request.model,
-          .prompt_tokens = m_answer.PromptTokens().value_or(guess),
+          .prompt_tokens = m_answer.PromptTokens().value_or(prompt_estimate),
           .answer_tokens = m_request.max_tokens,
           .prefix_hash = Hash64(std::string_view(m_request.prompt).substr(0, kPrefixBytes))};
 }
@@ -292,11 +295,11 @@
   m_parts.chooser.OnSent(m_route, m_query_sent);
 }
 
-void PipelineSession::EndRouteUse() {
+void PipelineSession::ReleaseRoute() {
   m_relay.Abandon();
-  m_silence_watch.reset();
+  m_step_watchdog.reset();
   m_route_wait.reset();
-  m_cache_moves.reset();
+  m_cache_transfers.reset();
   m_lookup.reset();
   if (std::exchange(m_uses_route, false)) {
     m_relay.ReleaseAll();
--- a/packages/zinnia_decisions/sessions/pipeline_session.h
+++ b/packages/zinnia_decisions/sessions/pipeline_session.h
@@ -9,8 +9,8 @@
 
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/routing/pipeline_chooser.h"
-#include "zinnia_decisions/sessions/cache_moves.h"
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/cache_transfers.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 #include "zinnia_decisions/sessions/recovery_routes.h"
 #include "zinnia_decisions/sessions/resume_lookup.h"
 #include "zinnia_decisions/sessions/session_driver.h"
@@ -21,10 +21,9 @@
 
 class AnswerListener;
 
-/** The driver behind SessionDriver::Create: decides when an attempt starts, ends and is recovered.
+/** Implements SessionDriver: starts attempts, delivers tokens and recovers from failures.
 
-    StepRelay carries the steps of an attempt, KnownAnswer keeps the tokens, RecoveryRoutes finds
-    other servers, CacheMoves and ResumeLookup do what their names say.
+    @see StepRelay, GeneratedAnswer, RecoveryRoutes, CacheTransfers, ResumeLookup
 */
 class PipelineSession final : public SessionDriver,
                               public std::enable_shared_from_this<PipelineSession> {
@@ -42,48 +41,48 @@
   void OnStepAnswer(std::uint32_t hop, StepAnswer answer) override;
 
  private:
-  bool IsOver() const;
+  bool IsFinished() const;
 
-  // The healthy path.
+  // Normal operation.
   void StartOn(RouteChoice choice);
   void StartAttempt(const Route& route);
   void StartPass();
-  void TakeToken(const SampledToken& token);
+  void HandleToken(const SampledToken& token);
   bool AddToken(const SampledToken& token);
   void Deliver(const SampledToken& token);
   void Finish();
-  void WatchForSilence();
+  void ScheduleStepWatchdog();
 
-  // Failures.
-  void TakeFailure(const StepAnswer& answer);
+  // Recovery from failures.
+  void HandleFailure(const StepAnswer& answer);
   void RecordFailure(const StepAnswer& answer);
   void Recover(StepStatus cause, std::uint32_t hop);
-  bool MayStayOn(StepStatus cause, const BackendServerName& server);
-  void FindOtherRoute(StepStatus cause, std::uint32_t hop);
-  void TakeReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
-  void NoteWhetherRun(StepStatus status);
+  bool MayRetryOn(StepStatus cause, const BackendServerName& server);
+  void FindReplacementRoute(StepStatus cause, std::uint32_t hop);
+  void UseReplacement(StepStatus cause, std::uint32_t hop, const RouteChoice& choice);
+  void UpdateWasRun(StepStatus status);
   void EndRecovery();
   void Fail(Error error);
 
-  // Servers that leave.
+  // Moving off leaving servers.
   std::vector<std::size_t> LeavingHops() const;
-  void LeaveNow();
+  void MoveOffLeavingServers();
   Route RouteWithoutLeaving() const;
-  void MoveCaches(const Route& route);
-  void TakeMoves(const Route& route,
-                 AttemptNumber imported_as,
-                 const std::vector<CacheMoves::Outcome>& outcomes);
+  void TransferCaches(const Route& route);
+  void HandleTransfers(const Route& route,
+                       AttemptNumber import_attempt,
+                       const std::vector<CacheTransfers::Outcome>& outcomes);
 
-  // Streams that another instance began.
+  // Resuming a stream of another instance.
   void StartResume();
-  void TakeFound(const std::optional<FoundSession>& found);
-  void ContinueFound(const FoundSession& found);
+  void HandleLookupResult(const std::optional<FoundSession>& found);
+  void ResumeFoundSession(const FoundSession& found);
   void Regenerate();
 
   RouteQuery MakeQuery() const;
   std::string RequiredVersion() const;
   void SwitchRoute(const Route& route);
-  void EndRouteUse();
+  void ReleaseRoute();
 
   SessionParts m_parts;
   const SessionName m_session;
@@ -92,7 +91,7 @@
   const std::weak_ptr<AnswerListener> m_listener;
   SessionRecords m_records;
   RecoveryRoutes m_routes;
-  KnownAnswer m_answer;
+  GeneratedAnswer m_answer;
   StepRelay m_relay;
   ResumePoint m_point;
   SessionState m_state = SessionState::kWaiting;
@@ -103,22 +102,22 @@
   WasRun m_was_run = WasRun::kNo;
   TimePoint m_started_at{};
   TimePoint m_step_sent_at{};
-  std::unique_ptr<ScheduledCall> m_silence_watch;
+  std::unique_ptr<ScheduledCall> m_step_watchdog;
 
   std::uint32_t m_recoveries = 0;
-  std::uint32_t m_moves = 0;
+  std::uint32_t m_transfers = 0;
   std::set<BackendServerName> m_crashed_servers;
-  std::set<BackendServerName> m_tried_again;
+  std::set<BackendServerName> m_retried_servers;
   std::optional<std::size_t> m_isolated_until_tokens;
   std::optional<RecoveryTimes> m_recovery_times;
   TimePoint m_failure_noticed_at{};
   TimePoint m_rebuild_started_at{};
   TimePoint m_route_wait_ends{};
-  TimePoint m_same_server_at{};
+  TimePoint m_same_server_retry_at{};
   std::unique_ptr<ScheduledCall> m_route_wait;
 
-  bool m_leave_wanted = false;
-  std::shared_ptr<CacheMoves> m_cache_moves;
+  bool m_leave_requested = false;
+  std::shared_ptr<CacheTransfers> m_cache_transfers;
   std::shared_ptr<ResumeLookup> m_lookup;
 };
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -8,17 +8,17 @@
 namespace zinnia {
 namespace {
 
-/** Bounds the attempt numbers that planned leaves use up. */
-constexpr std::uint32_t kMostMoves = 200;
+/** Limits the attempt numbers consumed by planned keep_alive. */
+constexpr std::uint32_t kMaxTransfers = 200;
 
 }  // namespace
 
 void PipelineSession::LeaveDrainingServers() {
-  if (IsOver() || m_route.hops.empty() || LeavingHops().empty()) {
+  if (IsFinished() || m_route.hops.empty() || LeavingHops().empty()) {
     return;
   }
-  // A token is on its way through the stages now; the caches have one length only between tokens.
-  m_leave_wanted = true;
+  // Deferred until the current token is complete, since only then all caches have equal length.
+  m_leave_requested = true;
 }
 
 std::vector<std::size_t> PipelineSession::LeavingHops() const {
@@ -33,10 +33,10 @@
   return leaving;
 }
 
-void PipelineSession::LeaveNow() {
-  m_leave_wanted = false;
+void PipelineSession::MoveOffLeavingServers() {
+  m_leave_requested = false;
   const Route route = RouteWithoutLeaving();
-  if (route == m_route || m_moves == kMostMoves) {
+  if (route == m_route || m_transfers == kMaxTransfers) {
     m_records.Write("stay_on_leaving_servers", "no other server has these layers",
                     {{"route", Describe(m_route)}});
     StartPass();
@@ -44,7 +44,7 @@
   }
   m_records.Write("leave_servers", "servers of the route are leaving",
                   {{"from", Describe(m_route)}, {"to", Describe(route)}});
-  MoveCaches(route);
+  TransferCaches(route);
 }
 
 Route PipelineSession::RouteWithoutLeaving() const {
@@ -64,43 +64,44 @@
   return route;
 }
 
-void PipelineSession::MoveCaches(const Route& route) {
-  std::vector<CacheMoves::Order> orders;
+void PipelineSession::TransferCaches(const Route& route) {
+  std::vector<CacheTransfers::Transfer> transfers;
   for (std::size_t hop = 0; hop < std::min(route.hops.size(), m_route.hops.size()); ++hop) {
     const Route::Hop& from = m_route.hops[hop];
     const Route::Hop& to = route.hops[hop];
     const auto adoption = m_relay.Caches().AdoptionAt(hop, m_answer.CachedPositions());
     if (from.layers == to.layers && from.server != to.server && adoption) {
-      orders.push_back({hop, from.server, to.server, adoption->attempt});
+      transfers.push_back({hop, from.server, to.server, adoption->attempt});
     }
   }
-  if (orders.empty()) {
+  if (transfers.empty()) {
     StartAttempt(route);
     return;
   }
-  ++m_moves;
-  const AttemptNumber imported_as = m_next_attempt++;
-  m_cache_moves = CacheMoves::Start(m_parts, m_session, orders, imported_as,
-                                    [weak = weak_from_this(), route, imported_as](
-                                        const std::vector<CacheMoves::Outcome>& outcomes) {
-                                      if (const auto self = weak.lock()) {
-                                        self->TakeMoves(route, imported_as, outcomes);
-                                      }
-                                    });
+  ++m_transfers;
+  const AttemptNumber import_attempt = m_next_attempt++;
+  m_cache_transfers =
+      CacheTransfers::Start(m_parts, m_session, transfers, import_attempt,
+                            [weak = weak_from_this(), route,
+                             import_attempt](const std::vector<CacheTransfers::Outcome>& outcomes) {
+                              if (const auto self = weak.lock()) {
+                                self->HandleTransfers(route, import_attempt, outcomes);
+                              }
+                            });
 }
 
-void PipelineSession::TakeMoves(const Route& route,
-                                AttemptNumber imported_as,
-                                const std::vector<CacheMoves::Outcome>& outcomes) {
+void PipelineSession::HandleTransfers(const Route& route,
+                                      AttemptNumber import_attempt,
+                                      const std::vector<CacheTransfers::Outcome>& outcomes) {
   m_relay.Caches().SetRoute(route);
-  for (const CacheMoves::Outcome& outcome : outcomes) {
-    m_relay.Caches().Set(outcome.order.hop, imported_as, outcome.length);
+  for (const CacheTransfers::Outcome& outcome : outcomes) {
+    m_relay.Caches().Set(outcome.transfer.hop, import_attempt, outcome.length);
     m_records.Write("move_cache", outcome.failure.empty() ? "imported" : outcome.failure,
-                    {{"from", outcome.order.from},
-                     {"to", outcome.order.to},
+                    {{"from", outcome.transfer.from},
+                     {"to", outcome.transfer.to},
                      {"length", std::to_string(outcome.length)}});
   }
-  const auto moves = std::exchange(m_cache_moves, nullptr);
+  const auto keep_alive = std::exchange(m_cache_transfers, nullptr);
   StartAttempt(route);
 }
 
--- a/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_recovery.cc
@@ -7,11 +7,11 @@
 namespace zinnia {
 namespace {
 
-/** Enough for a bad day of one answer; a session that needs more does harm where it goes. */
-constexpr std::uint32_t kMostRecoveries = 8;
+/** Limits the load that one failing session puts on the servers. */
+constexpr std::uint32_t kMaxRecoveries = 8;
 
-constexpr std::chrono::seconds kLongestRouteWait{3};
-constexpr std::chrono::milliseconds kRouteWaitStep{50};
+constexpr std::chrono::seconds kRouteWaitTimeout{3};
+constexpr std::chrono::milliseconds kRouteRetryInterval{50};
 constexpr std::chrono::milliseconds kRetryAfter{2'000};
 
 Error RecoveryFailed(std::string message) {
@@ -20,24 +20,24 @@
   return error;
 }
 
-bool MayLive(StepStatus cause) {
+bool MayBeAlive(StepStatus cause) {
   return cause == StepStatus::kTimedOut || cause == StepStatus::kOverloaded ||
          cause == StepStatus::kConnectionLost;
 }
 
 }  // namespace
 
-void PipelineSession::TakeFailure(const StepAnswer& answer) {
+void PipelineSession::HandleFailure(const StepAnswer& answer) {
   const std::uint32_t hop = m_relay.Hop();
   const BackendServerName server = m_route.hops[hop].server;
-  m_relay.NoteFailure(answer);
+  m_relay.HandleFailedStep(answer);
   RecordFailure(answer);
   if (answer.status == StepStatus::kRejected) {
     Fail(MakeError(ErrorKind::kBackendRejected, "backend server " + server + " refused a step"));
     return;
   }
-  // A server that was dead before the step came counts for nothing against the request. Otherwise
-  // an answer whose two servers die together is refused as one that crashes servers.
+  // Crashes before the step was sent are not attributed to the request. Otherwise a request whose
+  // servers fail together would be quarantined.
   if (answer.status == StepStatus::kServerCrashed && !answer.never_sent) {
     m_crashed_servers.insert(server);
     m_isolated_until_tokens = m_answer.Tokens().size() + 1;
@@ -48,7 +48,7 @@
     Fail(may_recover.error());
     return;
   }
-  if (m_recoveries == kMostRecoveries) {
+  if (m_recoveries == kMaxRecoveries) {
     Fail(RecoveryFailed("the answer was recovered too often"));
     return;
   }
@@ -60,7 +60,7 @@
   const TimePoint now = m_parts.clock.Now();
   m_failure_noticed_at = now;
   if (m_recovery_times) {
-    // A failure during a recovery: what was rebuilt so far counts too.
+    // Failed during a recovery: the time of the partial rebuild is added.
     m_recovery_times->rebuild += m_step_sent_at - m_rebuild_started_at;
   } else {
     m_recovery_times.emplace();
@@ -78,7 +78,7 @@
 
 void PipelineSession::Recover(StepStatus cause, std::uint32_t hop) {
   const BackendServerName server = m_route.hops[hop].server;
-  if (MayStayOn(cause, server)) {
+  if (MayRetryOn(cause, server)) {
     m_records.Write("keep_route", "the server is alive and repeats the step from its cache",
                     {{"server", server}});
     StartAttempt(m_route);
@@ -86,17 +86,17 @@
   }
   m_routes.Exclude(server);
   const TimePoint now = m_parts.clock.Now();
-  m_route_wait_ends = now + kLongestRouteWait;
-  // Grows with each recovery, so that the bounded number of them outlasts a freeze of seconds.
-  m_same_server_at = now + kRouteWaitStep * (1U << (m_recoveries - 1));
-  FindOtherRoute(cause, hop);
+  m_route_wait_ends = now + kRouteWaitTimeout;
+  // Exponential backoff, so that the limited number of recoveries spans a freeze of seconds.
+  m_same_server_retry_at = now + kRouteRetryInterval * (1U << (m_recoveries - 1));
+  FindReplacementRoute(cause, hop);
 }
 
-bool PipelineSession::MayStayOn(StepStatus cause, const BackendServerName& server) {
+bool PipelineSession::MayRetryOn(StepStatus cause, const BackendServerName& server) {
   switch (cause) {
     case StepStatus::kConnectionLost:
-      // A cut connection says nothing of the server; a second one within an answer says enough.
-      return m_tried_again.insert(server).second;
+      // One lost connection per server and answer is tolerated.
+      return m_retried_servers.insert(server).second;
     case StepStatus::kWrongLength:
     case StepStatus::kUnknownSession:
       return true;
@@ -105,41 +105,41 @@
   }
 }
 
-void PipelineSession::FindOtherRoute(StepStatus cause, std::uint32_t hop) {
+void PipelineSession::FindReplacementRoute(StepStatus cause, std::uint32_t hop) {
   const auto choice = m_routes.Replace(m_route, hop, MakeQuery(), RequiredVersion());
   if (choice) {
-    TakeReplacement(cause, hop, *choice);
+    UseReplacement(cause, hop, *choice);
     return;
   }
   const TimePoint now = m_parts.clock.Now();
-  const bool is_late = m_request.deadline && now >= *m_request.deadline;
-  const bool may_live = MayLive(cause);
-  if (is_late || (!may_live && now >= m_route_wait_ends)) {
+  const bool is_past_deadline = m_request.deadline && now >= *m_request.deadline;
+  const bool may_be_alive = MayBeAlive(cause);
+  if (is_past_deadline || (!may_be_alive && now >= m_route_wait_ends)) {
     Fail(RecoveryFailed("no other backend server holds the layers of " + m_route.hops[hop].server));
     return;
   }
-  if (may_live && now >= m_same_server_at) {
+  if (may_be_alive && now >= m_same_server_retry_at) {
     m_records.Write("keep_route", "no other server has these layers and this one may live",
                     {{"server", m_route.hops[hop].server}});
     StartAttempt(m_route);
     return;
   }
   m_route_wait =
-      m_parts.scheduler.ScheduleAfter(kRouteWaitStep, [weak = weak_from_this(), cause, hop] {
+      m_parts.scheduler.ScheduleAfter(kRouteRetryInterval, [weak = weak_from_this(), cause, hop] {
         const auto self = weak.lock();
-        if (self && !self->IsOver()) {
-          self->FindOtherRoute(cause, hop);
+        if (self && !self->IsFinished()) {
+          self->FindReplacementRoute(cause, hop);
         }
       });
 }
 
-void PipelineSession::TakeReplacement(StepStatus cause,
-                                      std::uint32_t hop,
-                                      const RouteChoice& choice) {
+void PipelineSession::UseReplacement(StepStatus cause,
+                                     std::uint32_t hop,
+                                     const RouteChoice& choice) {
   m_records.Write("replace_server", choice.reason,
                   {{"failed", m_route.hops[hop].server}, {"route", Describe(choice.route)}});
   if (cause == StepStatus::kLeaving) {
-    MoveCaches(choice.route);
+    TransferCaches(choice.route);
     return;
   }
   StartAttempt(choice.route);
--- a/packages/zinnia_decisions/sessions/resume_lookup.cc
+++ b/packages/zinnia_decisions/sessions/resume_lookup.cc
@@ -4,17 +4,16 @@
 #include <utility>
 
 #include "zinnia_decisions/ports/snapshot_source.h"
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 
 namespace zinnia {
 namespace {
 
-constexpr std::chrono::milliseconds kLongestAnswer{300};
-constexpr std::size_t kMostServersAsked = 4;
+constexpr std::chrono::milliseconds kQueryTimeout{300};
+constexpr std::size_t kMaxQueriedServers = 4;
 
-/** The tokens must be a continuation of what the caller has, and the cache must reach up to the
-    last of them; anything else is another answer or a damaged one. */
-bool Continues(const ResumePoint& point, const HeldSession& held) {
+/** Whether the held tokens start with the delivered text and the cache covers all but the last. */
+bool MatchesDeliveredText(const ResumePoint& point, const HeldSession& held) {
   const bool has_cache = held.length + 1 >= held.prompt_tokens + held.tokens.size();
   if (held.tokens.empty() || held.tokens.size() < point.delivered_tokens || !has_cache) {
     return false;
@@ -32,17 +31,16 @@
                                                   const ResumePoint& point,
                                                   Callback callback) {
   std::shared_ptr<ResumeLookup> lookup(new ResumeLookup(parts, point, std::move(callback)));
-  lookup->ListCandidates();
-  lookup->AskNext();
+  lookup->CollectCandidates();
+  lookup->QueryNext();
   return lookup;
 }
 
 ResumeLookup::ResumeLookup(const SessionParts& parts, const ResumePoint& point, Callback callback)
     : m_parts(parts), m_point(point), m_callback(std::move(callback)) {}
 
-void ResumeLookup::ListCandidates() {
-  // The old instance may have replaced the last stage after it sealed this event id; then another
-  // replica of that stage holds the newest tokens.
+void ResumeLookup::CollectCandidates() {
+  // The previous instance may have replaced the last stage after it issued this event id.
   const Route::Hop& last = m_point.route.hops.back();
   m_candidates.push_back(last.server);
   for (const Pipeline& pipeline : m_parts.snapshots.Current()->pipelines) {
@@ -51,45 +49,46 @@
     }
     for (const BackendServerName& server : pipeline.stages.back().replicas) {
       const bool is_new = std::ranges::find(m_candidates, server) == m_candidates.end();
-      if (is_new && m_candidates.size() < kMostServersAsked) {
+      if (is_new && m_candidates.size() < kMaxQueriedServers) {
         m_candidates.push_back(server);
       }
     }
   }
 }
 
-void ResumeLookup::AskNext() {
+void ResumeLookup::QueryNext() {
   const std::weak_ptr<ResumeLookup> weak = weak_from_this();
-  const std::size_t question = m_question;
-  const auto take = [weak, question](const Result<HeldSession>& held) {
+  const std::size_t query = m_query_index;
+  const auto handle_answer = [weak, query](const Result<HeldSession>& held) {
     if (const auto lookup = weak.lock()) {
-      lookup->Take(question, held);
+      lookup->HandleAnswer(query, held);
     }
   };
-  m_next = m_parts.scheduler.ScheduleAfter(kLongestAnswer, [take] {
-    take(MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
+  m_query_timeout = m_parts.scheduler.ScheduleAfter(kQueryTimeout, [handle_answer] {
+    handle_answer(
+        MakeError(ErrorKind::kBackendTimeout, "the server did not say what it holds in time"));
   });
-  m_parts.links.FindSession(m_candidates[question], m_point.session, take);
+  m_parts.links.FindSession(m_candidates[query], m_point.session, handle_answer);
 }
 
-void ResumeLookup::Take(std::size_t question, const Result<HeldSession>& held) {
-  if (question != m_question || !m_callback) {
+void ResumeLookup::HandleAnswer(std::size_t query, const Result<HeldSession>& held) {
+  if (query != m_query_index || !m_callback) {
     return;
   }
-  if (held && Continues(m_point, *held)) {
-    End(FoundSession{m_candidates[question], *held});
+  if (held && MatchesDeliveredText(m_point, *held)) {
+    Finish(FoundSession{m_candidates[query], *held});
     return;
   }
-  ++m_question;
-  if (m_question == m_candidates.size()) {
-    End(std::nullopt);
+  ++m_query_index;
+  if (m_query_index == m_candidates.size()) {
+    Finish(std::nullopt);
     return;
   }
-  AskNext();
+  QueryNext();
 }
 
-void ResumeLookup::End(std::optional<FoundSession> found) {
-  m_next.reset();
+void ResumeLookup::Finish(std::optional<FoundSession> found) {
+  m_query_timeout.reset();
   if (const Callback callback = std::exchange(m_callback, nullptr)) {
     callback(std::move(found));
   }
--- a/packages/zinnia_decisions/sessions/resume_point_bytes.cc
+++ b/packages/zinnia_decisions/sessions/resume_point_bytes.cc
@@ -6,16 +6,16 @@
 namespace {
 
 constexpr unsigned kBitsPerByte = 7;
-constexpr unsigned kMoreFollows = 0x80;
-constexpr unsigned kMostBits = 64;
-constexpr std::size_t kMostHops = 1'024;
+constexpr unsigned kContinuationBit = 0x80;
+constexpr unsigned kMaxBits = 64;
+constexpr std::size_t kMaxHops = 1'024;
 
-/** Changes with the layout, so that instances of two releases refuse each other's tokens. */
-constexpr std::uint64_t kLayout = 1;
+/** Incremented when the encoding changes; tokens with another version are refused. */
+constexpr std::uint64_t kFormatVersion = 1;
 
 void AppendNumber(std::uint64_t number, std::string& bytes) {
-  while (number >= kMoreFollows) {
-    bytes.push_back(static_cast<char>(number | kMoreFollows));
+  while (number >= kContinuationBit) {
+    bytes.push_back(static_cast<char>(number | kContinuationBit));
     number >>= kBitsPerByte;
   }
   bytes.push_back(static_cast<char>(number));
@@ -31,21 +31,21 @@
   bytes.append(reinterpret_cast<const char*>(&fingerprint.low), sizeof(fingerprint.low));
 }
 
-/** Reads from the front of some bytes. After one failed read all later ones give empty values. */
+/** Sequential decoder. After a failed read, all later reads return empty values. */
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : m_bytes(bytes) {}
 
   std::uint64_t Number() {
     std::uint64_t number = 0;
-    for (unsigned shift = 0; shift < kMostBits; shift += kBitsPerByte) {
+    for (unsigned shift = 0; shift < kMaxBits; shift += kBitsPerByte) {
       const std::string_view byte = Take(1);
       if (byte.empty()) {
         return 0;
       }
       const auto value = static_cast<unsigned char>(byte.front());
-      number |= static_cast<std::uint64_t>(value & (kMoreFollows - 1)) << shift;
-      if ((value & kMoreFollows) == 0) {
+      number |= static_cast<std::uint64_t>(value & (kContinuationBit - 1)) << shift;
+      if ((value & kContinuationBit) == 0) {
         return number;
       }
     }
@@ -66,7 +66,7 @@
     return fingerprint;
   }
 
-  bool IsWholeAndDone() const { return !m_failed && m_bytes.empty(); }
+  bool IsFullyRead() const { return !m_failed && m_bytes.empty(); }
   bool HasFailed() const { return m_failed; }
 
  private:
@@ -89,7 +89,7 @@
   route.model = reader.Text();
   route.version = reader.Text();
   const std::uint64_t hops = reader.Number();
-  for (std::uint64_t hop = 0; hop < hops && hop < kMostHops && !reader.HasFailed(); ++hop) {
+  for (std::uint64_t hop = 0; hop < hops && hop < kMaxHops && !reader.HasFailed(); ++hop) {
     const auto first = static_cast<std::uint32_t>(reader.Number());
     const auto end = static_cast<std::uint32_t>(reader.Number());
     route.hops.push_back({{first, end}, reader.Text()});
@@ -99,7 +99,7 @@
 }  // namespace
 
 void AppendResumePoint(const ResumePoint& point, std::string& bytes) {
-  AppendNumber(kLayout, bytes);
+  AppendNumber(kFormatVersion, bytes);
   AppendText(point.session, bytes);
   AppendText(point.organisation, bytes);
   AppendFingerprint(point.request, bytes);
@@ -122,7 +122,7 @@
 Result<ResumePoint> ParseResumePoint(std::string_view bytes) {
   Reader reader(bytes);
   ResumePoint point;
-  if (reader.Number() != kLayout) {
+  if (reader.Number() != kFormatVersion) {
     return MakeError(ErrorKind::kResumeRefused, "the event id has a layout of another release");
   }
   point.session = reader.Text();
@@ -134,7 +134,7 @@
   point.seed = reader.Number();
   point.expires_at_unix_ms = static_cast<std::int64_t>(reader.Number());
   ReadRoute(reader, point.route);
-  if (!reader.IsWholeAndDone()) {
+  if (!reader.IsFullyRead()) {
     return MakeError(ErrorKind::kResumeRefused, "the event id is cut or has extra bytes");
   }
   return point;
--- a/packages/zinnia_decisions/sessions/resume_token.h
+++ b/packages/zinnia_decisions/sessions/resume_token.h
@@ -12,9 +12,8 @@
 
 namespace zinnia {
 
-/** What any instance needs to take up a stream where another one left it. The caller holds it as
-   the id of each event. `delivered_hash` covers all text delivered so far, `request` the request
-   that it answers. */
+/** State from which any instance can resume a stream. It is sent to the caller as the id of each
+    event. `delivered_hash` covers the delivered text, `request` is the request's fingerprint. */
 struct ResumePoint {
   SessionName session;
   OrganisationName organisation;
@@ -29,7 +28,7 @@
   bool operator==(const ResumePoint&) const = default;
 };
 
-/** Seals resume points into event ids and opens them again.
+/** Encodes resume points as tamper-proof event ids, and decodes them.
 
     @see SignedResumeTokenCodec
 */
@@ -38,8 +37,7 @@
   virtual ~ResumeTokenCodec() = default;
   virtual std::string Seal(const ResumePoint& point) const = 0;
 
-  /** Fails with kResumeRefused if the token is altered, cut, or not ours. Expiry and ownership are
-      the caller's to check. */
+  /** Fails with kResumeRefused if the token is invalid. Does not check expiry and ownership. */
   virtual Result<ResumePoint> Open(const std::string& token) const = 0;
 };
 
--- a/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
+++ b/packages/zinnia_decisions/sessions/signed_resume_token_codec.cc
@@ -13,8 +13,8 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kLeastKeyBytes = 32;
-constexpr std::size_t kUsualTokenBytes = 384;
+constexpr std::size_t kMinKeyBytes = 32;
+constexpr std::size_t kTypicalTokenBytes = 384;
 
 Error Refused(std::string message) {
   return MakeError(ErrorKind::kResumeRefused, std::move(message));
@@ -28,7 +28,7 @@
 
 Result<std::unique_ptr<SignedResumeTokenCodec>> SignedResumeTokenCodec::Create(
     std::string_view key) {
-  if (key.size() < kLeastKeyBytes) {
+  if (key.size() < kMinKeyBytes) {
     return MakeError(ErrorKind::kInvalidSettings,
                      "the key of resume tokens needs at least 32 bytes");
   }
@@ -46,15 +46,15 @@
   return std::unique_ptr<SignedResumeTokenCodec>(new SignedResumeTokenCodec(std::move(context)));
 }
 
-SignedResumeTokenCodec::SignedResumeTokenCodec(Context keyed) : m_keyed(std::move(keyed)) {}
+SignedResumeTokenCodec::SignedResumeTokenCodec(Context keyed) : m_keyed_context(std::move(keyed)) {}
 
 SignedResumeTokenCodec::~SignedResumeTokenCodec() {
-  EVP_MAC_CTX_free(m_spare.load());
+  EVP_MAC_CTX_free(m_spare_context.load());
 }
 
 std::string SignedResumeTokenCodec::Seal(const ResumePoint& point) const {
   std::string bytes;
-  bytes.reserve(kUsualTokenBytes);
+  bytes.reserve(kTypicalTokenBytes);
   AppendResumePoint(point, bytes);
   const Mac mac = Sign(bytes);
   bytes.append(reinterpret_cast<const char*>(mac.data()), mac.size());
@@ -68,7 +68,7 @@
   }
   const std::string_view signed_part(bytes->data(), bytes->size() - sizeof(Mac));
   const Mac mac = Sign(signed_part);
-  // Compared in constant time: otherwise the time taken tells a forger how many bytes are right.
+  // Constant-time comparison prevents timing attacks.
   if (CRYPTO_memcmp(mac.data(), bytes->data() + signed_part.size(), mac.size()) != 0) {
     return Refused("the event id was altered or sealed with another key");
   }
@@ -76,9 +76,9 @@
 }
 
 SignedResumeTokenCodec::Mac SignedResumeTokenCodec::Sign(std::string_view bytes) const {
-  Context context(m_spare.exchange(nullptr));
+  Context context(m_spare_context.exchange(nullptr));
   if (!context) {
-    context.reset(EVP_MAC_CTX_dup(m_keyed.get()));
+    context.reset(EVP_MAC_CTX_dup(m_keyed_context.get()));
   }
   Mac mac;
   std::size_t length = 0;
@@ -89,7 +89,7 @@
   if (!is_signed || length != mac.size()) {
     throw ErrorException(MakeError(ErrorKind::kInternal, "OpenSSL failed to sign an event id"));
   }
-  const Context surplus(m_spare.exchange(context.release()));
+  const Context surplus(m_spare_context.exchange(context.release()));
   return mac;
 }
 
--- a/packages/zinnia_decisions/sessions/step_relay.cc
+++ b/packages/zinnia_decisions/sessions/step_relay.cc
@@ -4,23 +4,23 @@
 #include <utility>
 
 #include "zinnia_decisions/sessions/attempt_numbers.h"
-#include "zinnia_decisions/sessions/known_answer.h"
+#include "zinnia_decisions/sessions/generated_answer.h"
 
 namespace zinnia {
 
 StepRelay::StepRelay(StageLinks& links,
                      const SessionName& session,
                      const ChatRequest& request,
-                     const KnownAnswer& answer)
+                     const GeneratedAnswer& answer)
     : m_links(links), m_session(session), m_request(request), m_answer(answer) {}
 
 void StepRelay::StartAttempt(AttemptNumber attempt, const Route& route) {
-  assert(attempt > m_attempt);  // A lower number would not fence the answers of the one before.
+  assert(attempt > m_attempt);
   m_attempt = attempt;
   m_route = route;
   m_caches.SetRoute(route);
   m_hops_to_replay = m_caches.HopsToReplay(m_answer.CachedPositions());
-  m_starting_caches = true;
+  m_is_first_pass = true;
   m_in_flight = false;
 }
 
@@ -37,13 +37,13 @@
   Send(0, std::move(step), std::move(listener));
 }
 
-StepRelay::Progress StepRelay::Take(std::uint32_t hop, StepAnswer& answer) {
+StepRelay::Progress StepRelay::HandleAnswer(std::uint32_t hop, StepAnswer& answer) {
   if (!m_in_flight || answer.attempt != m_attempt || hop != m_hop) {
     return Progress::kStale;
   }
-  // A repeated answer of a step that this hop answered before: the cache is just as the step in
-  // flight needs it, so a refusal cannot be meant for that step.
-  const bool adopts = m_starting_caches && !IsReplayed(hop);
+  // A duplicate answer to an earlier step: the reported length is what the step in flight requires,
+  // so the refusal cannot refer to that step.
+  const bool adopts = m_is_first_pass && !IsReplayed(hop);
   if (answer.status == StepStatus::kWrongLength && answer.length == m_position && !adopts) {
     return Progress::kStale;
   }
@@ -56,18 +56,18 @@
     return Progress::kFailed;
   }
   if (!IsWellFormed(answer)) {
-    // The server runs something else than the route says, so it must not be asked again.
+    // The server does not run what the route specifies; kNotLoaded excludes it from the session.
     answer.status = StepStatus::kNotLoaded;
     return Progress::kFailed;
   }
-  if (m_starting_caches && m_attempt != AttemptNumbers::kFirst) {
+  if (m_is_first_pass && m_attempt != AttemptNumbers::kFirst) {
     m_links.ReleaseSession(m_route.hops[hop].server, m_session, m_attempt - 1);
   }
   m_caches.Set(hop, m_attempt, answer.length);
   if (!IsLastHop()) {
     return Progress::kNextHop;
   }
-  m_starting_caches = false;
+  m_is_first_pass = false;
   return Progress::kToken;
 }
 
@@ -85,30 +85,30 @@
   Send(hop, std::move(step), std::move(listener));
 }
 
-void StepRelay::NoteFailure(const StepAnswer& answer) {
-  const bool adopted = m_starting_caches && !IsReplayed(m_hop);
+void StepRelay::HandleFailedStep(const StepAnswer& answer) {
+  const bool adopted = m_is_first_pass && !IsReplayed(m_hop);
   switch (answer.status) {
     case StepStatus::kUnknownSession:
     case StepStatus::kNotLoaded:
     case StepStatus::kServerCrashed:
-      m_caches.Forget(m_hop);
+      m_caches.Invalidate(m_hop);
       break;
     case StepStatus::kWrongLength:
       if (adopted) {
-        m_caches.Forget(m_hop);
+        m_caches.Invalidate(m_hop);
       } else {
         m_caches.Set(m_hop, m_attempt, answer.length);
       }
       break;
     case StepStatus::kTimedOut:
     case StepStatus::kConnectionLost:
-      // The stage probably ran the step. If it didn't, it refuses the adoption, and is replayed.
-      if (m_starting_caches) {
+      // The stage probably ran the step. Otherwise it rejects the adoption and is replayed.
+      if (m_is_first_pass) {
         m_caches.Set(m_hop, m_attempt, m_answer.CachedPositions());
       }
       break;
     default:
-      break;  // Refused before it was run: the cache is as it was.
+      break;  // Refused before execution: the cache is unchanged.
   }
 }
 
@@ -138,7 +138,7 @@
   step.isolated = m_isolated;
   if (!IsReplayed(hop)) {
     step.position = m_answer.CachedPositions();
-    if (m_starting_caches) {
+    if (m_is_first_pass) {
       step.adopt = m_caches.AdoptionAt(hop, step.position);
     }
   }
--- a/packages/zinnia_decisions/sessions/step_relay.h
+++ b/packages/zinnia_decisions/sessions/step_relay.h
@@ -11,42 +11,42 @@
 
 namespace zinnia {
 
-class KnownAnswer;
+class GeneratedAnswer;
 
-/** Carries one attempt's hidden states from hop to hop, one step in flight at a time.
+/** Runs the steps of one attempt hop by hop, with one step in flight at a time.
 
-    The first pass of an attempt starts the stages' caches: the first hops replay everything that is
-    known, the others adopt the cache of an older attempt. Each later pass adds one position.
+    In the first pass of an attempt, leading hops replay all tokens and the others adopt the cache
+    of an older attempt. Each later pass adds one position.
 
-    Answers of other attempts, of other hops and of earlier positions are recognised here and
-    dropped, so that a frozen stage that wakes after its replacement took over changes nothing.
+    Answers for other attempts, other hops or earlier positions are dropped as stale, such as those
+    of a replaced stage that resumes after a freeze.
 */
 class StepRelay {
  public:
-  /** What an answer means for the pass that is running. */
+  /** Effect of an answer on the current pass. */
   enum class Progress { kStale, kNextHop, kToken, kFailed };
 
   StepRelay(StageLinks& links,
             const SessionName& session,
             const ChatRequest& request,
-            const KnownAnswer& answer);
+            const GeneratedAnswer& answer);
 
-  /** A new attempt, whose next pass starts the caches. The route's former caches are adopted. */
+  /** Begins a new attempt. Its first pass adopts usable caches and replays the other hops. */
   void StartAttempt(AttemptNumber attempt, const Route& route);
 
   /** Starts the next pass at the first hop. */
   void StartPass(std::weak_ptr<StepListener> listener);
 
-  /** Takes an answer. After kNextHop, call SendToNextHop; after kToken the pass is complete and
-      `answer` holds the token; after kFailed, call NoteFailure. */
-  Progress Take(std::uint32_t hop, StepAnswer& answer);
+  /** Processes an answer. After kNextHop, call SendToNextHop; after kToken the pass is complete and
+      `answer` holds the token; after kFailed, call HandleFailedStep. */
+  Progress HandleAnswer(std::uint32_t hop, StepAnswer& answer);
   void SendToNextHop(StepAnswer answer, std::weak_ptr<StepListener> listener);
 
-  /** Gives up the step in flight; its answer will be dropped. */
+  /** Abandons the step in flight; its answer will be ignored. */
   void Abandon() { m_in_flight = false; }
 
-  /** Corrects what is believed of the cache of the hop whose step failed. */
-  void NoteFailure(const StepAnswer& answer);
+  /** Updates the cache state of the hop whose step failed. */
+  void HandleFailedStep(const StepAnswer& answer);
 
   bool IsInFlight() const { return m_in_flight; }
 
@@ -60,7 +60,7 @@
 
   StageCaches& Caches() { return m_caches; }
 
-  /** Drops the caches of this and all lower attempts at every stage of the route. */
+  /** Releases the caches of this and all lower attempts at every stage of the route. */
   void ReleaseAll();
 
   /** @see StepRequest::isolated */
@@ -69,7 +69,7 @@
  private:
   void Send(std::uint32_t hop, StepRequest step, std::weak_ptr<StepListener> listener);
   StepRequest MakeStep(std::uint32_t hop) const;
-  bool IsReplayed(std::uint32_t hop) const { return m_starting_caches && hop < m_hops_to_replay; }
+  bool IsReplayed(std::uint32_t hop) const { return m_is_first_pass && hop < m_hops_to_replay; }
   std::uint32_t ExpectedLength(const StepAnswer& answer) const;
   bool IsLastHop() const { return m_hop + 1 == m_route.hops.size(); }
   bool IsWellFormed(const StepAnswer& answer) const;
@@ -77,12 +77,12 @@
   StageLinks& m_links;
   const SessionName& m_session;
   const ChatRequest& m_request;
-  const KnownAnswer& m_answer;
+  const GeneratedAnswer& m_answer;
   Route m_route;
   StageCaches m_caches;
   AttemptNumber m_attempt = 0;
   std::size_t m_hops_to_replay = 0;
-  bool m_starting_caches = true;
+  bool m_is_first_pass = true;
   bool m_isolated = false;
   bool m_in_flight = false;
   std::uint32_t m_hop = 0;
--- a/packages/zinnia_decisions/sessions/url_safe_base64.cc
+++ b/packages/zinnia_decisions/sessions/url_safe_base64.cc
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kAlphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-constexpr std::uint8_t kNoDigit = 0xff;
+constexpr std::uint8_t kInvalidDigit = 0xff;
 constexpr unsigned kDigitBits = 6;
 constexpr unsigned kByteBits = 8;
 constexpr std::uint32_t kDigitMask = (1U << kDigitBits) - 1;
@@ -17,7 +17,7 @@
 
 constexpr std::array<std::uint8_t, 256> MakeDigits() {
   std::array<std::uint8_t, 256> digits{};
-  digits.fill(kNoDigit);
+  digits.fill(kInvalidDigit);
   for (std::size_t digit = 0; digit < kAlphabet.size(); ++digit) {
     digits[static_cast<unsigned char>(kAlphabet[digit])] = static_cast<std::uint8_t>(digit);
   }
@@ -30,7 +30,7 @@
   return static_cast<unsigned char>(bytes[at]);
 }
 
-/** Writes three bytes as four digits and gives the place behind them. */
+/** Encodes three bytes as four digits and returns the end of the output. */
 char* WriteGroup(std::uint32_t first, std::uint32_t second, std::uint32_t third, char* out) {
   const std::uint32_t bits = (first << (2 * kByteBits)) | (second << kByteBits) | third;
   out[0] = kAlphabet[bits >> (3 * kDigitBits)];
@@ -43,7 +43,7 @@
 }  // namespace
 
 std::string EncodeUrlSafeBase64(std::string_view bytes) {
-  // Sized for whole groups and filled in place: this runs for every delivered token.
+  // Preallocated because this runs for every delivered token.
   const std::size_t groups = (bytes.size() + kGroupBytes - 1) / kGroupBytes;
   std::string text(groups * kGroupDigits, '\0');
   char* out = text.data();
@@ -67,7 +67,7 @@
   unsigned count = 0;
   for (const char character : text) {
     const std::uint8_t digit = kDigits[static_cast<unsigned char>(character)];
-    if (digit == kNoDigit) {
+    if (digit == kInvalidDigit) {
       return std::nullopt;
     }
     bits = (bits << kDigitBits) | digit;
@@ -77,8 +77,8 @@
       bytes.push_back(static_cast<char>(bits >> count));
     }
   }
-  const bool has_stray_bits = (bits & ((1U << count) - 1)) != 0;
-  if (count >= kDigitBits || has_stray_bits) {
+  const bool has_trailing_bits = (bits & ((1U << count) - 1)) != 0;
+  if (count >= kDigitBits || has_trailing_bits) {
     return std::nullopt;
   }
   return bytes;
--- a/tests/sessions/failure_schedule.h
+++ b/tests/sessions/failure_schedule.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-/** What may go wrong in a random schedule. */
+/** The kinds of failure in a random schedule. */
 enum class FailureKind {
   kCrash,
   kFreeze,
@@ -19,15 +19,15 @@
   kStepFault,
   kSlowLink,
   kPlannedLeave,
-  kCutMove,
-  kInstanceDies,
+  kInterruptTransfer,
+  kInstanceFails,
   kTwoInstances,
   kCancel,
   kCount
 };
 
-/** One failure: how long after the one before, what, to which server. `server` and `detail` are any
-    numbers; they are taken modulo what there is to choose from. */
+/** One failure and its delay after the previous one. `server` and `detail` are arbitrary numbers,
+    reduced modulo the number of choices. */
 struct PlannedFailure {
   std::uint32_t after_ms = 0;
   FailureKind kind = FailureKind::kCrash;
@@ -35,8 +35,8 @@
   std::uint32_t detail = 0;
 };
 
-/** One session under a schedule of failures, and the judgement whether it kept its promises. The
-    same schedule gives the same run on every machine. */
+/** Runs one session under a schedule of failures and checks its guarantees. Deterministic for a
+    given schedule. */
 class FailureSchedule {
  public:
   /** `expected` is the text of the same answer without failures. */
@@ -48,7 +48,7 @@
     RandomSource random(seed);
     std::vector<PlannedFailure> failures(1 + RandomBelow(random, kMostFailures));
     for (PlannedFailure& failure : failures) {
-      // Half of them come close after the one before, to meet a recovery under way.
+      // Half of the failures follow closely, to occur during a recovery.
       const std::uint64_t longest_ms = RandomBelow(random, 2) == 0 ? 30 : 250;
       failure.after_ms = static_cast<std::uint32_t>(RandomBelow(random, longest_ms));
       failure.kind = static_cast<FailureKind>(
@@ -59,27 +59,27 @@
     return failures;
   }
 
-  /** Runs to the end; empty if nothing was violated. */
+  /** Runs the schedule and returns a description of the violation, or an empty string. */
   std::string Run() {
     m_caller = std::make_shared<FakeCaller>();
     m_driver = m_world.Start(m_caller);
     for (const PlannedFailure& failure : m_failures) {
       m_world.time.AdvanceBy(std::chrono::milliseconds(failure.after_ms));
-      Inflict(failure);
+      Inject(failure);
     }
-    m_world.RunOut();
-    return Judge();
+    m_world.RunToCompletion();
+    return CheckGuarantees();
   }
 
   const SessionWorld& World() const { return m_world; }
-  bool IsWhole() const { return m_caller->usage.has_value(); }
+  bool IsComplete() const { return m_caller->usage.has_value(); }
 
  private:
   static constexpr std::uint32_t kReplicas = 3;
   static constexpr std::uint32_t kMaxTokens = 12;
 
   BackendServerName Choose(std::uint32_t number) const {
-    // Mostly servers that the session uses, since others tell little.
+    // Prefers servers on the route, since failures of others have little effect.
     const auto route = m_driver->Status().route;
     const std::uint32_t hop = number % 3;
     const std::uint32_t rest = number / 3;
@@ -89,7 +89,7 @@
     return std::string(1, static_cast<char>('a' + hop)) + std::to_string(1 + rest / 4 % kReplicas);
   }
 
-  void Inflict(const PlannedFailure& failure) {
+  void Inject(const PlannedFailure& failure) {
     const BackendServerName server = Choose(failure.server);
     constexpr auto kStepFaults = static_cast<std::uint32_t>(StepFault::kSilence);
     constexpr int kSlowdown = 100;
@@ -114,10 +114,10 @@
         m_world.SetState(server, BackendServerState::kLeaving);
         m_driver->LeaveDrainingServers();
         break;
-      case FailureKind::kCutMove:
-        m_world.stages.CutNextMove();
+      case FailureKind::kInterruptTransfer:
+        m_world.stages.InterruptNextTransfer();
         break;
-      case FailureKind::kInstanceDies:
+      case FailureKind::kInstanceFails:
         Resume(false);
         break;
       case FailureKind::kTwoInstances:
@@ -137,7 +137,7 @@
         m_world.time.ScheduleAfter(delay, [this, server] { m_world.stages.Wake(server); }));
   }
 
-  /** The caller loses its instance and goes to another with the last event id. */
+  /** Resumes at another instance from the last event id. */
   void Resume(bool old_instance_lives_on) {
     if (m_cancelled || m_caller->final_events > 0 || m_caller->last_event_id.empty()) {
       return;
@@ -152,7 +152,7 @@
     m_driver = m_world.Resume(m_caller, event_id);
   }
 
-  std::string Judge() const {
+  std::string CheckGuarantees() const {
     const std::string text = m_text_before + m_caller->text;
     if (m_cancelled) {
       const bool silent = m_caller->final_events == 0 && m_caller->tokens == m_tokens_at_cancel;
@@ -164,10 +164,10 @@
     if (!m_expected.starts_with(text)) {
       return "another text was delivered: " + text;
     }
-    return m_caller->error ? JudgeError(*m_caller->error) : JudgeWhole(text);
+    return m_caller->error ? CheckError(*m_caller->error) : CheckCompleteAnswer(text);
   }
 
-  std::string JudgeError(const Error& error) const {
+  std::string CheckError(const Error& error) const {
     const bool was_run = m_world.stages.Ledger().WasRun("s-1");
     if (error.was_run == WasRun::kNo && was_run) {
       return "said not run, but was run";
@@ -175,7 +175,7 @@
     return error.kind == ErrorKind::kRecoveryFailed ? "" : "ended with " + Describe(error);
   }
 
-  std::string JudgeWhole(const std::string& text) const {
+  std::string CheckCompleteAnswer(const std::string& text) const {
     if (text != m_expected) {
       return "the answer was called whole but is cut: " + text;
     }
--- a/tests/sessions/healthy_session_test.cc
+++ b/tests/sessions/healthy_session_test.cc
@@ -8,11 +8,11 @@
 
 TEST_GROUP(HealthySession){};
 
-TEST(HealthySession, DeliversEachTokenOnceAndLeavesNothingBehind) {
+TEST(HealthySession, DeliversEachTokenOnceAndReleasesAllCaches) {
   SessionWorld world;
   const auto caller = std::make_shared<FakeCaller>();
   const auto driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CHECK_EQUAL(1, caller->final_events);
   CHECK_TRUE(caller->usage.has_value());
   CHECK_EQUAL(12U, caller->tokens);
@@ -26,14 +26,13 @@
 }
 
 TEST(HealthySession, ReplacesStageThatCrashesBetweenTokens) {
-  // Symptom: the answer stops in the middle. A stage's process dies, its cache with it; the next
-  // step gets no answer but a refused reconnection.
+  // Guards against an answer that stops when a stage crashes with its cache.
   SessionWorld world;
   const auto caller = std::make_shared<FakeCaller>();
   const auto driver = world.Start(caller);
   world.time.AdvanceBy(std::chrono::milliseconds(90));
   world.stages.Crash("b1");
-  world.RunOut();
+  world.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
   CHECK_EQUAL(1U, driver->Status().recoveries);
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
--- a/tests/sessions/planned_leave_test.cc
+++ b/tests/sessions/planned_leave_test.cc
@@ -27,8 +27,8 @@
     driver->LeaveDrainingServers();
   }
 
-  void CheckWhole() {
-    world.RunOut();
+  void CheckComplete() {
+    world.RunToCompletion();
     CHECK_EQUAL(1, caller->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
     const std::string violation = world.stages.Ledger().FindViolation(
@@ -38,22 +38,20 @@
   }
 };
 
-TEST(PlannedLeave, MovesTheCacheWithoutReplay) {
-  // Symptom: a planned stop costs every session a replay. The leaving server still lives, so its
-  // cache is exported to another replica between two tokens.
+TEST(PlannedLeave, TransfersTheCacheWithoutReplay) {
+  // Guards against a replay when the leaving server can still export its cache.
   LeaveMidAnswer("b1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
   CHECK_EQUAL(1U, longest_input);
   CHECK_EQUAL(0U, world.stages.At("b1").HeldCaches());
 }
 
-TEST(PlannedLeave, CutTransferFallsBackToReplay) {
-  // Symptom: a session ends with an error at a planned stop. The import is cut half way and leaves
-  // nothing behind.
-  world.stages.CutNextMove();
+TEST(PlannedLeave, InterruptedTransferFallsBackToReplay) {
+  // Guards against failing the session when a transfer is interrupted.
+  world.stages.InterruptNextTransfer();
   LeaveMidAnswer("b1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
   CHECK_TRUE(longest_input > 1);
 }
@@ -61,18 +59,18 @@
 TEST(PlannedLeave, SessionStaysIfNothingElseHoldsTheLayers) {
   world.SetState("b2", BackendServerState::kGone);
   LeaveMidAnswer("b1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b1", driver->Status().route.hops[1].server.c_str());
   CHECK_TRUE(world.recorder.Has("stay_on_leaving_servers"));
 }
 
-TEST(PlannedLeave, StageThatRefusesAsLeavingGivesItsCacheAway) {
-  // Symptom: a replay of a long conversation although its cache still exists. The stage refuses new
-  // steps as leaving before the instance heard that it leaves.
+TEST(PlannedLeave, CacheIsTransferredFromAStageThatRefusesAsLeaving) {
+  // Guards against a replay when the stage refuses a step before the instance learns that it
+  // leaves.
   driver = world.Start(caller);
   world.time.AdvanceBy(milliseconds(90));
   world.stages.At("b1").refuses_as_leaving = true;
-  world.RunOut();
+  world.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
   CHECK_TRUE(world.recorder.Has("move_cache"));
 }
--- a/tests/sessions/recovery_test.cc
+++ b/tests/sessions/recovery_test.cc
@@ -13,7 +13,9 @@
 
 constexpr milliseconds kMidAnswer{90};
 
-std::string FactOf(const RecordList& list, const std::string& decision, const std::string& name) {
+std::string FactOf(const FakeDecisionRecorder& list,
+                   const std::string& decision,
+                   const std::string& name) {
   for (const DecisionRecord& record : list.records) {
     for (const auto& [fact, value] : record.facts) {
       if (record.decision == decision && fact == name) {
@@ -31,8 +33,8 @@
   std::shared_ptr<FakeCaller> caller = std::make_shared<FakeCaller>();
   std::shared_ptr<SessionDriver> driver;
 
-  void CheckWhole() {
-    world.RunOut();
+  void CheckComplete() {
+    world.RunToCompletion();
     CHECK_EQUAL(1, caller->final_events);
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
     const std::string violation = world.stages.Ledger().FindViolation(
@@ -50,60 +52,56 @@
   }
 };
 
-TEST(Recovery, CrashDuringPrefillStartsAgainElsewhere) {
-  // Symptom: no first token. The second stage dies while it reads the prompt.
+TEST(Recovery, CrashDuringPrefillRestartsOnAnotherServer) {
+  // The second stage crashes during the prefill.
   driver = world.Start(caller);
   world.time.AdvanceBy(milliseconds(12));
   world.stages.Crash("b1");
-  CheckWhole();
+  CheckComplete();
 }
 
-TEST(Recovery, LastStageCrashReplaysAndFirstStageCrashAdoptsTheRest) {
-  // Symptom: the answer stops. The first stage dies between two tokens; the caches of the stages
-  // behind it are still good, so only the first stage needs the known tokens again.
+TEST(Recovery, FirstStageCrashReplaysThatStageOnly) {
+  // Guards against replaying the later stages, whose caches are still valid.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("a1");
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("1", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
 }
 
-TEST(Recovery, FrozenStageThatWakesChangesNothing) {
-  // Symptom: a token twice, or two interleaved answers. A stage freezes, is replaced at the
-  // deadline, wakes, runs the step that reached it before and answers late.
+TEST(Recovery, LateAnswerOfAReplacedStageIsIgnored) {
+  // Guards against duplicate tokens when a replaced stage resumes after a freeze.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Freeze("c1");
   world.time.AdvanceBy(milliseconds(70));
   STRCMP_EQUAL("c2", driver->Status().route.hops[2].server.c_str());
   world.stages.Wake("c1");
-  CheckWhole();
+  CheckComplete();
 }
 
-TEST(Recovery, LostAnswerOfLivingStageCostsNoReplay) {
-  // Symptom: a long pause after a cut connection. The stage ran the step, its answer was lost; its
-  // cache is one position ahead and is cut back by the adoption.
+TEST(Recovery, LostAnswerNeedsNoReplay) {
+  // Guards against a replay when only the answer was lost: the adoption truncates the cache, which
+  // is one position ahead.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kCutBeforeAnswer);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("0", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
   STRCMP_EQUAL("b1", driver->Status().route.hops[1].server.c_str());
 }
 
-TEST(Recovery, StageThatLostItsCacheIsReplayedWhereItIs) {
-  // Symptom: the answer ends with an error though all servers live. A stage evicted the session's
-  // cache, and refuses the next step as unknown.
+TEST(Recovery, StageThatEvictedItsCacheIsReplayedInPlace) {
+  // Guards against failing the session when a stage evicted its cache.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.At("b1").Release("s-1", 1);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("2", FactOf(world.recorder, "start_attempt", "hops_replayed").c_str());
 }
 
-TEST(Recovery, LostDoubledAndLateMessagesDoNotShow) {
-  // Symptom: a doubled or missing token. A step or its answer is lost, comes twice, or comes after
-  // the deadline and so after the answers of the next attempt.
+TEST(Recovery, LostDuplicatedAndLateMessagesDoNotChangeTheAnswer) {
+  // Guards against duplicate or missing tokens.
   constexpr StepFault kFaults[] = {StepFault::kLoseStep,     StepFault::kLoseAnswer,
                                    StepFault::kDelayAnswer,  StepFault::kCutBeforeStep,
                                    StepFault::kDoubleAnswer, StepFault::kDoubleStep};
@@ -114,16 +112,16 @@
       const auto faulty_driver = faulty_world.Start(faulty_caller);
       faulty_world.time.AdvanceBy(kMidAnswer);
       faulty_world.stages.AddFault(server, fault);
-      faulty_world.RunOut();
+      faulty_world.RunToCompletion();
       STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), faulty_caller->text.c_str());
       CHECK_EQUAL(1, faulty_caller->final_events);
     }
   }
 }
 
-TEST(Recovery, DoubledMessagesOfSinglePipelineStageAreRecognised) {
-  // Symptom: a needless recovery, or a token taken for the next one. With one stage, a repeated
-  // answer has the attempt and hop of the step in flight, and differs in its length only.
+TEST(Recovery, DuplicatesOfASingleStageAreRecognised) {
+  // With one stage, a duplicate answer has the attempt and hop of the step in flight and differs
+  // only in its length.
   for (const StepFault fault : {StepFault::kDoubleAnswer, StepFault::kDoubleStep}) {
     SessionWorld single;
     single.snapshots.current->pipelines.clear();
@@ -134,15 +132,15 @@
     const auto single_driver = single.Start(single_caller);
     single.time.AdvanceBy(milliseconds(20));
     single.stages.AddFault("whole", fault);
-    single.RunOut();
+    single.RunToCompletion();
     STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), single_caller->text.c_str());
     CHECK_EQUAL(0U, single_driver->Status().recoveries);
   }
 }
 
 TEST(Recovery, SecondFailureDuringRecoveryIsRecoveredToo) {
-  // Symptom: the session hangs after two failures. The replacement crashes while it replays, and a
-  // stage behind it, whose cache was to be adopted, is gone as well.
+  // Guards against a hang when the replacement crashes during its replay and a later stage, whose
+  // cache was to be adopted, has failed too.
   world.AddPipeline("reserve", "1", 2, "x");
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -150,49 +148,46 @@
   world.stages.Crash("c1");
   world.time.AdvanceBy(milliseconds(14));
   world.stages.Crash("b2");
-  CheckWhole();
+  CheckComplete();
 }
 
-TEST(Recovery, DegradedLinkIsLeft) {
-  // Symptom: tokens trickle. The link to one stage becomes a hundred times slower than usual.
+TEST(Recovery, ServerBehindADegradedLinkIsReplaced) {
+  // The link to one stage becomes a hundred times slower.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.SlowLink("b1", 100);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
 }
 
-TEST(Recovery, NeverGoesOnWithAnotherVersion) {
-  // Symptom: an answer whose end does not fit its beginning. The only spare, listed in the same
-  // pipeline, was loaded with an older version; so is the only other pipeline.
+TEST(Recovery, NeverContinuesWithAnotherVersion) {
+  // Guards against an answer from two versions: the spare and the other pipeline hold an older one.
   world.stages.At("b2").Load("0");
   world.snapshots.current->servers.at("b2").server.loaded->version = "0";
   world.AddPipeline("old", "0", 1, "old");
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("b1");
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kYes);
   CHECK_TRUE(SessionWorld::ExpectedText().starts_with(caller->text));
   CHECK_TRUE(caller->error->retry_after.has_value());
 }
 
-TEST(Recovery, FindsOtherPipelineOfSameVersionBehindOneOfAnother) {
-  // Symptom: an answer fails during a rollout though a fitting pipeline exists. The chooser would
-  // take the new version's pipeline first.
+TEST(Recovery, FindsAnotherPipelineOfTheSameVersion) {
+  // Guards against a failure during a rollout, when the chooser prefers the new version.
   SessionWorld rollout(1);
   rollout.AddPipeline("next", "2", 1, "n");
   rollout.AddPipeline("reserve", "1", 1, "r");
   driver = rollout.Start(caller);
   rollout.time.AdvanceBy(kMidAnswer);
   rollout.stages.Crash("b1");
-  rollout.RunOut();
+  rollout.RunToCompletion();
   STRCMP_EQUAL(SessionWorld::ExpectedText().c_str(), caller->text.c_str());
 }
 
 TEST(Recovery, PipelineThatChangedVersionSinceTheSnapshotIsRefused) {
-  // Symptom: two versions in one answer. The configuration already names the next version of the
-  // other pipeline, and its servers are still listed with the present one.
+  // Guards against an answer from two versions when the configuration is ahead of the servers.
   SessionWorld rollout(1);
   rollout.AddPipeline("next", "2", 1, "n");
   for (const char* server : {"a1n", "b1n", "c1n"}) {
@@ -201,51 +196,47 @@
   driver = rollout.Start(caller);
   rollout.time.AdvanceBy(kMidAnswer);
   rollout.stages.Crash("b1");
-  rollout.RunOut();
+  rollout.RunToCompletion();
   CHECK_TRUE(caller->error.has_value());
   CHECK_TRUE(SessionWorld::ExpectedText().starts_with(caller->text));
 }
 
 TEST(Recovery, BeforeTheFirstTokenAnotherVersionMayAnswer) {
-  // Symptom: an error though a whole pipeline stands ready. A stage dies during the prefill and the
-  // only other pipeline has another version; nothing was generated that it could contradict.
+  // Guards against an error when another version could still answer because no token was generated.
   SessionWorld single(1);
   single.AddPipeline("next", "2", 1, "n");
   driver = single.Start(caller);
   single.time.AdvanceBy(milliseconds(12));
   single.stages.Crash("b1");
-  single.RunOut();
+  single.RunToCompletion();
   CHECK_TRUE(caller->usage.has_value());
   STRCMP_EQUAL("2", driver->Status().route.version.c_str());
 }
 
-TEST(Recovery, WaitsBoundedTimeForSpareThatAppears) {
-  // Symptom: answers fail although a spare comes up a second later. No replica is left when the
-  // stage dies; then the membership shows one.
+TEST(Recovery, WaitsForASpareThatAppearsInTime) {
+  // Guards against failing at once when no replica is left.
   world.SetState("b2", BackendServerState::kGone);
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("b1");
   world.time.AdvanceBy(std::chrono::seconds(1));
   world.SetState("b2", BackendServerState::kLive);
-  CheckWhole();
+  CheckComplete();
 }
 
-TEST(Recovery, OnlyServerThatFreezesForSecondsIsWaitedFor) {
-  // Symptom: all sessions of a pipeline without spares fail at a short freeze. Tries in quick
-  // succession used up the session's recoveries before the server woke.
+TEST(Recovery, WaitsForTheOnlyServerDuringAFreeze) {
+  // Guards against using up all recoveries in quick succession during a short freeze.
   world.SetState("b2", BackendServerState::kGone);
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Freeze("b1");
   world.time.AdvanceBy(std::chrono::seconds(3));
   world.stages.Wake("b1");
-  CheckWhole();
+  CheckComplete();
 }
 
 TEST(Recovery, RestartedServerMayServeAgain) {
-  // Symptom: an answer fails though its server is back. It is the only one with these layers, it
-  // failed the session, and it comes up again under the same name with a new incarnation.
+  // Guards against excluding a server beyond its restart with a new incarnation.
   world.SetState("b2", BackendServerState::kGone);
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
@@ -254,74 +245,70 @@
   world.stages.Restart("b1");
   world.SetState("b1", BackendServerState::kLive);
   ++world.snapshots.current->servers.at("b1").server.incarnation;
-  CheckWhole();
+  CheckComplete();
 }
 
-TEST(Recovery, ServerWhoseConnectionsKeepBreakingIsLeft) {
-  // Symptom: a session recovers again and again at one server until it is given up. The first cut
-  // says little of the server, the second one is enough.
+TEST(Recovery, ServerWithRepeatedConnectionLossIsReplaced) {
+  // Guards against using up all recoveries on one server.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   for (int cut = 0; cut < 20; ++cut) {
     world.stages.AddFault("b1", StepFault::kCutBeforeStep);
   }
-  CheckWhole();
+  CheckComplete();
   CHECK_EQUAL(2U, driver->Status().recoveries);
 }
 
-TEST(Recovery, StageThatGivesMalformedAnswersIsLeft) {
-  // Symptom: the instance crashes. A stage of another release calls a step done, but gives fewer
-  // states than positions, or no token.
+TEST(Recovery, StageWithMalformedAnswersIsReplaced) {
+  // Guards against a crash when an answer has too few states or no token.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kMalformedAnswer);
   world.time.AdvanceBy(milliseconds(60));
   world.stages.AddFault("c1", StepFault::kMalformedAnswer);
-  CheckWhole();
+  CheckComplete();
   STRCMP_EQUAL("b2", driver->Status().route.hops[1].server.c_str());
   STRCMP_EQUAL("c2", driver->Status().route.hops[2].server.c_str());
 }
 
 TEST(Recovery, StepThatIsNeverAnsweredDoesNotHangTheSession) {
-  // Symptom: a caller waits for ever and no metric moves. The links lost a step without telling.
+  // Guards against a hang when StageLinks never answers a step.
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.AddFault("b1", StepFault::kSilence);
-  world.RunOut();
-  world.RunOut();
-  CheckWhole();
+  world.RunToCompletion();
+  world.RunToCompletion();
+  CheckComplete();
 }
 
-TEST(Recovery, UnansweredPrefillIsUnknownNotUnrun) {
-  // Symptom: a caller is told "not run" and doubles work that ran. Every stage that gets the prompt
-  // freezes; nobody can say whether it was run.
+TEST(Recovery, UnansweredPrefillMayHaveRun) {
+  // Guards against reporting "not run" when every stage that received the prompt froze.
   world.stages.Freeze("a1");
   world.stages.Freeze("a2");
   driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kUnknown);
 }
 
-TEST(Recovery, RefusedByAllIsNotRun) {
-  // Symptom: "unknown" where "not run" can be proved. All first stages refuse as overloaded.
+TEST(Recovery, RefusalByAllStagesIsReportedAsNotRun) {
+  // Guards against reporting "unknown" when all first stages refused the step.
   world.stages.At("a1").refuses_as_overloaded = true;
   world.stages.At("a2").refuses_as_overloaded = true;
   driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kNo);
   CHECK_FALSE(world.stages.Ledger().WasRun("s-1"));
 }
 
 TEST(Recovery, GateIsAskedBeforeStartAndBeforeEachRecovery) {
-  // Symptom: a poison request crashes one server after the other. The gate sees two distinct
-  // crashed servers and says no; the third server must never get the request.
+  // Guards against sending a request that crashed two servers to a third one.
   world.gate.second_crash_error = MakeError(ErrorKind::kQuarantined, "crashed two servers");
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("b1");
   world.time.AdvanceBy(milliseconds(20));
   world.stages.Crash("b2");
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kQuarantined, WasRun::kYes);
   CHECK_EQUAL(2U, world.gate.most_crashes);
 }
@@ -329,13 +316,13 @@
 TEST(Recovery, RefusedStartReachesNoStage) {
   world.gate.start_error = MakeError(ErrorKind::kQuarantined, "known to crash servers");
   driver = world.Start(caller);
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kQuarantined, WasRun::kNo);
   CHECK_FALSE(world.stages.Ledger().WasRun("s-1"));
 }
 
 TEST(Recovery, StepsAreIsolatedFromCrashUntilProgress) {
-  // Symptom: a healthy request is blamed for the crash that its neighbour in the batch caused.
+  // Guards against attributing a crash to another request of the same batch.
   std::string isolated;
   world.stages.on_send = [&isolated](const auto&, const StepRequest& step) {
     isolated.push_back(step.isolated ? 'i' : '-');
@@ -343,32 +330,31 @@
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   world.stages.Crash("b1");
-  CheckWhole();
+  CheckComplete();
   const std::string expected_start = "-----------iii";
   STRCMP_EQUAL((expected_start + std::string(isolated.size() - expected_start.size(), '-')).c_str(),
                isolated.c_str());
 }
 
 TEST(Recovery, RecoveriesAreBounded) {
-  // Symptom: one session keeps a broken stage pair busy for ever. The first stage drops the cache
-  // before each step.
+  // Guards against endless recoveries when a stage drops its cache before each step.
   driver = world.Start(caller);
   world.stages.on_step = [this](const auto& server, const auto&, const auto&) {
     if (server == "c1") {
       world.stages.At("a1").Release("s-1", driver->Status().attempt);
     }
   };
-  world.RunOut();
+  world.RunToCompletion();
   CheckFailed(ErrorKind::kRecoveryFailed, WasRun::kYes);
   CHECK_EQUAL(8U, driver->Status().recoveries);
 }
 
-TEST(Recovery, CancelledSessionIsSilentAndReleased) {
+TEST(Recovery, CancelledSessionReleasesItsCachesAndDeliversNothing) {
   driver = world.Start(caller);
   world.time.AdvanceBy(kMidAnswer);
   driver->Cancel();
   const std::uint32_t tokens = caller->tokens;
-  world.RunOut();
+  world.RunToCompletion();
   CHECK_TRUE(driver->Status().state == SessionState::kFailed);
   CHECK_EQUAL(0, caller->final_events);
   CHECK_EQUAL(tokens, caller->tokens);
