--- a/packages/zinnia_decisions/once/once_coordinator_roles.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_roles.cc
@@ -116,7 +116,7 @@
     if (role->Holder() != nullptr) {
       return callback(role->Holder());
     }
-    role->NoteAskedInVain();
+    role->NoteUnservedPeerCall();
     callback(result ? not_held : result.error());
   });
 }
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -220,7 +220,7 @@
   }
 }
 
-void PartitionRole::NoteAskedInVain() {
+void PartitionRole::NoteUnservedPeerCall() {
   const TimePoint now = m_parts.clock.Now();
   if (m_head && !IsUsable(*m_head)) {
     NoteUnserved(m_parts.membership.Self(), now, true);
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -67,7 +67,7 @@
   /** A peer asked this instance, which does not hold the partition. If the head has no living
      holder either, whoever is preferred is not doing its part (it may be stopping). Otherwise the
       peer may have found the holder silent, so it is asked for a sign of life. */
-  void NoteAskedInVain();
+  void NoteUnservedPeerCall();
 
   /** Gives the partition up in good order; `done` runs when that is over. */
   void HandOver(std::function<void()> done);
