--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -95,7 +95,7 @@
   // A holder that the head still names and that says it holds nothing will not serve either.
   const bool refused = kind == ErrorKind::kPeerUnavailable || kind == ErrorKind::kStaleEpoch;
   if (refused || kind == ErrorKind::kOutcomeUnknown) {
-    role->NoteUnserved(target, sent_at, refused);
+    role->NoteCallFailure(target, sent_at, refused);
     role->NoteRefusal(target);
   } else {
     role->NoteServed();
@@ -144,7 +144,7 @@
   if (!ask || !ask->callback) {
     return;
   }
-  RoleOf(ask->request.partition)->NoteUnserved(*ask->asked, ask->sent_at, false);
+  RoleOf(ask->request.partition)->NoteCallFailure(*ask->asked, ask->sent_at, false);
   AskAgain(ask);
 }
 
--- a/packages/zinnia_decisions/once/outcome_reporter.cc
+++ b/packages/zinnia_decisions/once/outcome_reporter.cc
@@ -81,7 +81,7 @@
   PartitionRole* role = m_role_of(report->outcome.partition);
   const ErrorKind kind = result ? ErrorKind::kNotFound : result.error().kind;
   if (kind == ErrorKind::kStaleEpoch || kind == ErrorKind::kPeerUnavailable) {
-    role->NoteUnserved(target, m_parts.clock.Now(), true);
+    role->NoteCallFailure(target, m_parts.clock.Now(), true);
   } else if (result) {
     role->NoteServed();
   }
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -194,7 +194,7 @@
   }
 }
 
-void PartitionRole::NoteUnserved(const Instance& target, TimePoint since, bool refused) {
+void PartitionRole::NoteCallFailure(const Instance& target, TimePoint since, bool refused) {
   // What fails without it: a call to a paused holder is given up seconds after others have taken
   // the partition; counted against the new holder, it is at once old enough to take it away again,
   // and the partition goes from instance to instance. And a stopping instance that asks a third one
@@ -223,7 +223,7 @@
 void PartitionRole::NoteUnservedPeerCall() {
   const TimePoint now = m_parts.clock.Now();
   if (m_head && !IsUsable(*m_head)) {
-    NoteUnserved(m_parts.membership.Self(), now, true);
+    NoteCallFailure(m_parts.membership.Self(), now, true);
   } else if (m_head && !m_leaving) {
     m_watch.NoteLate(m_head->holder, now);
   }
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -58,7 +58,7 @@
   /** `target` has not served a call made at `since`; `refused` if that is certain, because
       the instance could not be reached or said that it holds nothing. If this goes on, the instance
       takes the partition over, preferred or not. */
-  void NoteUnserved(const Instance& target, TimePoint since, bool refused);
+  void NoteCallFailure(const Instance& target, TimePoint since, bool refused);
   void NoteServed() { m_unserved_since.reset(); }
 
   /** `target` said that it holds nothing: the next one in the order of preference is asked. */
