--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -98,7 +98,7 @@
     role->NoteCallFailure(target, sent_at, refused);
     role->NoteRefusal(target);
   } else {
-    role->NoteServed();
+    role->NoteCallSuccess();
   }
 }
 
--- a/packages/zinnia_decisions/once/outcome_reporter.cc
+++ b/packages/zinnia_decisions/once/outcome_reporter.cc
@@ -83,7 +83,7 @@
   if (kind == ErrorKind::kStaleEpoch || kind == ErrorKind::kPeerUnavailable) {
     role->NoteCallFailure(target, m_parts.clock.Now(), true);
   } else if (result) {
-    role->NoteServed();
+    role->NoteCallSuccess();
   }
   if (IsFinal(result) || m_parts.clock.Now() >= report->give_up_at) {
     return Finish(report, result);
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -59,7 +59,7 @@
       the instance could not be reached or said that it holds nothing. If this goes on, the instance
       takes the partition over, preferred or not. */
   void NoteCallFailure(const Instance& target, TimePoint since, bool refused);
-  void NoteServed() { m_unserved_since.reset(); }
+  void NoteCallSuccess() { m_unserved_since.reset(); }
 
   /** `target` said that it holds nothing: the next one in the order of preference is asked. */
   void NoteRefusal(const Instance& target);
