--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -43,7 +43,7 @@
 std::optional<Instance> PartitionRole::Target(bool trust_membership) const {
   // An instance that gives its roles up cannot take the partition itself, so it goes on asking, by
   // turns the preferred instance and the holder, which may be well after all.
-  const bool unserved = m_head && IsUnserved(*m_head);
+  const bool unserved = m_head && IsHolderFailing(*m_head);
   if (!m_head || (unserved && !m_leaving)) {
     return std::nullopt;
   }
@@ -63,7 +63,7 @@
   });
 }
 
-bool PartitionRole::IsUnserved(const PartitionHead& head) const {
+bool PartitionRole::IsHolderFailing(const PartitionHead& head) const {
   if (head.epoch > 0 && !head.released && m_watch.LostSince(head.holder)) {
     return true;
   }
@@ -119,8 +119,8 @@
   if (!WantsToTake(head)) {
     return false;
   }
-  m_slot = IsUnserved(head) ? m_slots.Take() : nullptr;
-  return m_slot != nullptr || !IsUnserved(head);
+  m_slot = IsHolderFailing(head) ? m_slots.Take() : nullptr;
+  return m_slot != nullptr || !IsHolderFailing(head);
 }
 
 bool PartitionRole::WantsToTake(const PartitionHead& head) const {
@@ -133,7 +133,7 @@
   if (head.epoch > 0 && IsSame(head.holder, self)) {
     return true;
   }
-  if (IsUnserved(head)) {
+  if (IsHolderFailing(head)) {
     return !paused && IsMyTurn(head);
   }
   const std::optional<Instance> preferred = Preferred(head);
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -78,7 +78,7 @@
   bool WantsToTake(const PartitionHead& head) const;
   bool IsMyTurn(const PartitionHead& head) const;
   std::uint64_t PreferenceOf(const Instance& instance) const;
-  bool IsUnserved(const PartitionHead& head) const;
+  bool IsHolderFailing(const PartitionHead& head) const;
   std::optional<Instance> Preferred(const PartitionHead& head,
                                     const std::set<InstanceName>& left_out = {}) const;
   void OnTakeoverDone(Result<TakenPartition> result);
