--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -68,12 +68,12 @@
     return true;
   }
   const TimePoint now = m_parts.clock.Now();
-  if (!m_unserved_since || !m_head || head.epoch != m_head->epoch ||
+  if (!m_failing_since || !m_head || head.epoch != m_head->epoch ||
       now - m_last_unserved > kEvidenceWindow * m_settings.takeover_after) {
     return false;
   }
   const auto patience = m_refused ? m_settings.refused_takeover_after : m_settings.takeover_after;
-  return now - *m_unserved_since >= patience;
+  return now - *m_failing_since >= patience;
 }
 
 /** The preferred live instance, leaving out the one that released or lost the partition. */
@@ -156,7 +156,7 @@
   const std::unique_ptr<PartitionTakeover> takeover = std::move(m_takeover);
   m_slot.reset();
   if (takeover->SeenHead() && (!m_head || m_head->epoch < takeover->SeenHead()->epoch)) {
-    m_unserved_since.reset();
+    m_failing_since.reset();
     m_refusing.clear();
   }
   m_head = takeover->SeenHead();
@@ -205,10 +205,10 @@
   // A failure of long ago says nothing of now: without this, one lost call followed by a quiet hour
   // would move the partition at the next failure.
   const bool goes_on =
-      m_unserved_since && since - m_last_unserved < kEvidenceWindow * m_settings.takeover_after;
+      m_failing_since && since - m_last_unserved < kEvidenceWindow * m_settings.takeover_after;
   // Counted from when the first failure was noticed, not from its call: an asker whose machine
   // slept notices late, and the holder may have answered at once.
-  m_unserved_since = goes_on ? *m_unserved_since : m_parts.clock.Now();
+  m_failing_since = goes_on ? *m_failing_since : m_parts.clock.Now();
   m_last_unserved = m_parts.clock.Now();
   m_refused = refused;
 }
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -59,7 +59,7 @@
       the instance could not be reached or said that it holds nothing. If this goes on, the instance
       takes the partition over, preferred or not. */
   void NoteCallFailure(const Instance& target, TimePoint since, bool refused);
-  void NoteCallSuccess() { m_unserved_since.reset(); }
+  void NoteCallSuccess() { m_failing_since.reset(); }
 
   /** `target` said that it holds nothing: the next one in the order of preference is asked. */
   void NoteRefusal(const Instance& target);
@@ -98,7 +98,7 @@
   std::uint64_t m_takeovers = 0;
   std::vector<RefreshCallback> m_waiting;
   std::optional<TimePoint> m_last_taken;
-  std::optional<TimePoint> m_unserved_since;
+  std::optional<TimePoint> m_failing_since;
   TimePoint m_last_unserved{};
   bool m_refused = false;
   std::set<InstanceName> m_refusing;
