--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -96,7 +96,7 @@
   const bool refused = kind == ErrorKind::kPeerUnavailable || kind == ErrorKind::kStaleEpoch;
   if (refused || kind == ErrorKind::kOutcomeUnknown) {
     role->NoteCallFailure(target, sent_at, refused);
-    role->NoteRefusal(target);
+    role->ExcludeTarget(target);
   } else {
     role->NoteCallSuccess();
   }
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -213,7 +213,7 @@
   m_refused = refused;
 }
 
-void PartitionRole::NoteRefusal(const Instance& target) {
+void PartitionRole::ExcludeTarget(const Instance& target) {
   m_refusing.insert(target.name);
   if (m_head && !Preferred(*m_head, m_refusing)) {
     m_refusing.clear();
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -62,7 +62,7 @@
   void NoteCallSuccess() { m_failing_since.reset(); }
 
   /** `target` said that it holds nothing: the next one in the order of preference is asked. */
-  void NoteRefusal(const Instance& target);
+  void ExcludeTarget(const Instance& target);
 
   /** A peer asked this instance, which does not hold the partition. If the head has no living
      holder either, whoever is preferred is not doing its part (it may be stopping). Otherwise the
