--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -50,7 +50,7 @@
   const bool ask_holder =
       !m_head->released && (!trust_membership || (!unserved && IsUsable(*m_head)));
   const std::optional<Instance> target =
-      ask_holder ? m_head->holder : Preferred(*m_head, m_refusing);
+      ask_holder ? m_head->holder : Preferred(*m_head, m_excluded_targets);
   const bool is_self = target && IsSame(*target, m_parts.membership.Self());
   return is_self ? std::nullopt : target;
 }
@@ -157,7 +157,7 @@
   m_slot.reset();
   if (takeover->SeenHead() && (!m_head || m_head->epoch < takeover->SeenHead()->epoch)) {
     m_failing_since.reset();
-    m_refusing.clear();
+    m_excluded_targets.clear();
   }
   m_head = takeover->SeenHead();
   Result<void> outcome;
@@ -214,9 +214,9 @@
 }
 
 void PartitionRole::ExcludeTarget(const Instance& target) {
-  m_refusing.insert(target.name);
-  if (m_head && !Preferred(*m_head, m_refusing)) {
-    m_refusing.clear();
+  m_excluded_targets.insert(target.name);
+  if (m_head && !Preferred(*m_head, m_excluded_targets)) {
+    m_excluded_targets.clear();
   }
 }
 
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -101,7 +101,7 @@
   std::optional<TimePoint> m_failing_since;
   TimePoint m_last_unserved{};
   bool m_refused = false;
-  std::set<InstanceName> m_refusing;
+  std::set<InstanceName> m_excluded_targets;
   bool m_leaving = false;
   std::function<void()> m_handed_over;
 };
