--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -100,7 +100,7 @@
 
 /** What fails without it: all instances see a holder's silence at the same time and each of them
     spends store calls on each of its partitions, of which all but one are in vain. */
-bool PartitionRole::IsMyTurn(const PartitionHead& head) const {
+bool PartitionRole::IsTakeoverDelayOver(const PartitionHead& head) const {
   const std::optional<TimePoint> lost_since = m_watch.LostSince(head.holder);
   if (!lost_since) {
     return true;
@@ -134,7 +134,7 @@
     return true;
   }
   if (IsHolderFailing(head)) {
-    return !paused && IsMyTurn(head);
+    return !paused && IsTakeoverDelayOver(head);
   }
   const std::optional<Instance> preferred = Preferred(head);
   return !IsUsable(head) && preferred && IsSame(*preferred, self) && (head.released || !paused);
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -76,7 +76,7 @@
   bool IsUsable(const PartitionHead& head) const;
   bool MayTake(const PartitionHead& head);
   bool WantsToTake(const PartitionHead& head) const;
-  bool IsMyTurn(const PartitionHead& head) const;
+  bool IsTakeoverDelayOver(const PartitionHead& head) const;
   std::uint64_t PreferenceOf(const Instance& instance) const;
   bool IsHolderFailing(const PartitionHead& head) const;
   std::optional<Instance> Preferred(const PartitionHead& head,
