--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -17,7 +17,7 @@
 constexpr int kEvidenceWindow = 4;
 
 /** Whoever has more than this many instances before it waits no longer for them. */
-constexpr int kMostTurnsWaited = 8;
+constexpr int kMaxStaggerSteps = 8;
 
 bool IsSame(const Instance& left, const Instance& right) {
   return left.name == right.name && left.start == right.start;
@@ -112,7 +112,7 @@
     before += !lost && PreferenceOf(instance) > own ? 1 : 0;
   }
   return m_parts.clock.Now() - *lost_since >=
-         m_settings.takeover_stagger * std::min(before, kMostTurnsWaited);
+         m_settings.takeover_stagger * std::min(before, kMaxStaggerSteps);
 }
 
 bool PartitionRole::MayTake(const PartitionHead& head) {
