--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /** Failures further apart than this many times `takeover_after` are not taken together. */
-constexpr int kEvidenceWindow = 4;
+constexpr int kFailureWindowFactor = 4;
 
 /** Whoever has more than this many instances before it waits no longer for them. */
 constexpr int kMaxStaggerSteps = 8;
@@ -69,7 +69,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   if (!m_failing_since || !m_head || head.epoch != m_head->epoch ||
-      now - m_last_unserved > kEvidenceWindow * m_settings.takeover_after) {
+      now - m_last_unserved > kFailureWindowFactor * m_settings.takeover_after) {
     return false;
   }
   const auto patience = m_refused ? m_settings.refused_takeover_after : m_settings.takeover_after;
@@ -205,7 +205,7 @@
   // A failure of long ago says nothing of now: without this, one lost call followed by a quiet hour
   // would move the partition at the next failure.
   const bool goes_on =
-      m_failing_since && since - m_last_unserved < kEvidenceWindow * m_settings.takeover_after;
+      m_failing_since && since - m_last_unserved < kFailureWindowFactor * m_settings.takeover_after;
   // Counted from when the first failure was noticed, not from its call: an asker whose machine
   // slept notices late, and the holder may have answered at once.
   m_failing_since = goes_on ? *m_failing_since : m_parts.clock.Now();
