--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -116,14 +116,14 @@
 }
 
 bool PartitionRole::MayTake(const PartitionHead& head) {
-  if (!WantsToTake(head)) {
+  if (!ShouldTakeOver(head)) {
     return false;
   }
   m_slot = IsHolderFailing(head) ? m_slots.Take() : nullptr;
   return m_slot != nullptr || !IsHolderFailing(head);
 }
 
-bool PartitionRole::WantsToTake(const PartitionHead& head) const {
+bool PartitionRole::ShouldTakeOver(const PartitionHead& head) const {
   if (m_leaving) {
     return false;
   }
@@ -185,7 +185,7 @@
 }
 
 void PartitionRole::TakeIfPreferred() {
-  if (m_holder || m_takeover || m_leaving || (m_head && !WantsToTake(*m_head))) {
+  if (m_holder || m_takeover || m_leaving || (m_head && !ShouldTakeOver(*m_head))) {
     return;
   }
   const std::optional<Instance> preferred = Preferred(m_head.value_or(PartitionHead{}));
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -75,7 +75,7 @@
  private:
   bool IsUsable(const PartitionHead& head) const;
   bool MayTake(const PartitionHead& head);
-  bool WantsToTake(const PartitionHead& head) const;
+  bool ShouldTakeOver(const PartitionHead& head) const;
   bool IsTakeoverDelayOver(const PartitionHead& head) const;
   std::uint64_t PreferenceOf(const Instance& instance) const;
   bool IsHolderFailing(const PartitionHead& head) const;
