--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -115,7 +115,7 @@
          m_settings.takeover_stagger * std::min(before, kMaxStaggerSteps);
 }
 
-bool PartitionRole::MayTake(const PartitionHead& head) {
+bool PartitionRole::MayTakeOver(const PartitionHead& head) {
   if (!ShouldTakeOver(head)) {
     return false;
   }
@@ -148,7 +148,7 @@
   m_takeovers += 1;
   m_takeover = std::make_unique<PartitionTakeover>(
       m_parts, m_settings, m_partition, m_takeovers,
-      [this](const PartitionHead& head) { return MayTake(head); });
+      [this](const PartitionHead& head) { return MayTakeOver(head); });
   m_takeover->Start([this](Result<TakenPartition> result) { OnTakeoverDone(std::move(result)); });
 }
 
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -74,7 +74,7 @@
 
  private:
   bool IsUsable(const PartitionHead& head) const;
-  bool MayTake(const PartitionHead& head);
+  bool MayTakeOver(const PartitionHead& head);
   bool ShouldTakeOver(const PartitionHead& head) const;
   bool IsTakeoverDelayOver(const PartitionHead& head) const;
   std::uint64_t PreferenceOf(const Instance& instance) const;
--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -22,7 +22,7 @@
                                      const OnceSettings& settings,
                                      std::uint32_t partition,
                                      std::uint64_t sequence,
-                                     MayTake may_take)
+                                     MayTakeOver may_take)
     : m_parts(parts),
       m_settings(settings),
       m_partition(partition),
--- a/packages/zinnia_decisions/once/partition_takeover.h
+++ b/packages/zinnia_decisions/once/partition_takeover.h
@@ -44,14 +44,14 @@
 */
 class PartitionTakeover {
  public:
-  using MayTake = std::function<bool(const PartitionHead&)>;
+  using MayTakeOver = std::function<bool(const PartitionHead&)>;
   using Callback = std::function<void(Result<TakenPartition>)>;
 
   PartitionTakeover(const OnceParts& parts,
                     const OnceSettings& settings,
                     std::uint32_t partition,
                     std::uint64_t sequence,
-                    MayTake may_take);
+                    MayTakeOver may_take);
   ~PartitionTakeover();
 
   void Start(Callback callback);
@@ -79,7 +79,7 @@
   const OnceSettings& m_settings;
   const std::uint32_t m_partition;
   const std::uint64_t m_sequence;
-  MayTake m_may_take;
+  MayTakeOver m_may_take;
   Callback m_callback;
   SettledWriter m_writer;
   std::optional<PartitionHead> m_seen_head;
