--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -27,7 +27,7 @@
       m_settings(settings),
       m_partition(partition),
       m_sequence(sequence),
-      m_may_take(std::move(may_take)),
+      m_may_take_over(std::move(may_take)),
       m_writer(parts.store, parts.scheduler, settings.retry_pause),
       m_taken{.index = IntentIndex((settings.retention + settings.clock_skew).count(),
                                    settings.most_recorded_bytes)} {}
@@ -61,7 +61,7 @@
     return Finish(head.error());
   }
   m_seen_head = *head;
-  if (!m_may_take(*head)) {
+  if (!m_may_take_over(*head)) {
     return Finish(StaleEpoch("another instance holds the partition"));
   }
   m_taken.head = std::move(*head);
--- a/packages/zinnia_decisions/once/partition_takeover.h
+++ b/packages/zinnia_decisions/once/partition_takeover.h
@@ -79,7 +79,7 @@
   const OnceSettings& m_settings;
   const std::uint32_t m_partition;
   const std::uint64_t m_sequence;
-  MayTakeOver m_may_take;
+  MayTakeOver m_may_take_over;
   Callback m_callback;
   SettledWriter m_writer;
   std::optional<PartitionHead> m_seen_head;
