--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -22,12 +22,12 @@
                                      const OnceSettings& settings,
                                      std::uint32_t partition,
                                      std::uint64_t sequence,
-                                     MayTakeOver may_take)
+                                     MayTakeOver may_take_over)
     : m_parts(parts),
       m_settings(settings),
       m_partition(partition),
       m_sequence(sequence),
-      m_may_take_over(std::move(may_take)),
+      m_may_take_over(std::move(may_take_over)),
       m_writer(parts.store, parts.scheduler, settings.retry_pause),
       m_taken{.index = IntentIndex((settings.retention + settings.clock_skew).count(),
                                    settings.most_recorded_bytes)} {}
--- a/packages/zinnia_decisions/once/partition_takeover.h
+++ b/packages/zinnia_decisions/once/partition_takeover.h
@@ -51,7 +51,7 @@
                     const OnceSettings& settings,
                     std::uint32_t partition,
                     std::uint64_t sequence,
-                    MayTakeOver may_take);
+                    MayTakeOver may_take_over);
   ~PartitionTakeover();
 
   void Start(Callback callback);
