--- a/packages/zinnia_decisions/once/once_coordinator_roles.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_roles.cc
@@ -12,7 +12,7 @@
 
 void OnceCoordinator::OnMembershipChanged() {
   for (const auto& role : m_roles) {
-    role->TakeIfPreferred();
+    role->TakeOverIfPreferred();
   }
 }
 
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -184,7 +184,7 @@
   }
 }
 
-void PartitionRole::TakeIfPreferred() {
+void PartitionRole::TakeOverIfPreferred() {
   if (m_holder || m_takeover || m_leaving || (m_head && !ShouldTakeOver(*m_head))) {
     return;
   }
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -53,7 +53,7 @@
   void Refresh(RefreshCallback callback);
 
   /** Refreshes if the partition lacks a holder and this instance should be it. */
-  void TakeIfPreferred();
+  void TakeOverIfPreferred();
 
   /** `target` has not served a call made at `since`; `refused` if that is certain, because
       the instance could not be reached or said that it holds nothing. If this goes on, the instance
