--- a/packages/zinnia_decisions/once/partition_holder.cc
+++ b/packages/zinnia_decisions/once/partition_holder.cc
@@ -27,7 +27,7 @@
                                  const OnceSettings& settings,
                                  std::uint32_t partition,
                                  double writes_per_second,
-                                 TakenPartition taken,
+                                 RecoveredPartition taken,
                                  std::function<void()> ended)
     : m_parts(parts),
       m_settings(settings),
--- a/packages/zinnia_decisions/once/partition_holder.h
+++ b/packages/zinnia_decisions/once/partition_holder.h
@@ -41,7 +41,7 @@
                   const OnceSettings& settings,
                   std::uint32_t partition,
                   double writes_per_second,
-                  TakenPartition taken,
+                  RecoveredPartition taken,
                   std::function<void()> ended);
   ~PartitionHolder();
 
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -149,10 +149,11 @@
   m_takeover = std::make_unique<PartitionTakeover>(
       m_parts, m_settings, m_partition, m_takeovers,
       [this](const PartitionHead& head) { return MayTakeOver(head); });
-  m_takeover->Start([this](Result<TakenPartition> result) { OnTakeoverDone(std::move(result)); });
+  m_takeover->Start(
+      [this](Result<RecoveredPartition> result) { OnTakeoverDone(std::move(result)); });
 }
 
-void PartitionRole::OnTakeoverDone(Result<TakenPartition> result) {
+void PartitionRole::OnTakeoverDone(Result<RecoveredPartition> result) {
   const std::unique_ptr<PartitionTakeover> takeover = std::move(m_takeover);
   m_slot.reset();
   if (takeover->SeenHead() && (!m_head || m_head->epoch < takeover->SeenHead()->epoch)) {
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -81,7 +81,7 @@
   bool IsHolderFailing(const PartitionHead& head) const;
   std::optional<Instance> Preferred(const PartitionHead& head,
                                     const std::set<InstanceName>& left_out = {}) const;
-  void OnTakeoverDone(Result<TakenPartition> result);
+  void OnTakeoverDone(Result<RecoveredPartition> result);
   void OnHolderEnded();
 
   OnceParts m_parts;
--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -199,7 +199,7 @@
   m_timer = m_parts.scheduler.ScheduleAfter(m_settings.store_pause, [this] { ListSegments(); });
 }
 
-void PartitionTakeover::Finish(Result<TakenPartition> result) {
+void PartitionTakeover::Finish(Result<RecoveredPartition> result) {
   std::exchange(m_callback, nullptr)(std::move(result));
 }
 
--- a/packages/zinnia_decisions/once/partition_takeover.h
+++ b/packages/zinnia_decisions/once/partition_takeover.h
@@ -17,7 +17,7 @@
 
 /** What a new holder starts from: its head, its empty open segment, all that was granted before,
     and when each older segment was last written. */
-struct TakenPartition {
+struct RecoveredPartition {
   PartitionHead head;
   std::uint64_t head_version = 0;
   std::uint64_t segment_version = 0;
@@ -45,7 +45,7 @@
 class PartitionTakeover {
  public:
   using MayTakeOver = std::function<bool(const PartitionHead&)>;
-  using Callback = std::function<void(Result<TakenPartition>)>;
+  using Callback = std::function<void(Result<RecoveredPartition>)>;
 
   PartitionTakeover(const OnceParts& parts,
                     const OnceSettings& settings,
@@ -72,7 +72,7 @@
   void Seal(const std::string& key);
   void FinishTaken();
   void RetryLater();
-  void Finish(Result<TakenPartition> result);
+  void Finish(Result<RecoveredPartition> result);
   std::string SegmentKey(const std::string& id) const;
 
   OnceParts m_parts;
@@ -84,7 +84,7 @@
   SettledWriter m_writer;
   std::optional<PartitionHead> m_seen_head;
   std::uint64_t m_old_head_version = 0;
-  TakenPartition m_taken;
+  RecoveredPartition m_taken;
   std::map<std::string, Segment> m_segments;
   std::map<std::string, std::uint64_t> m_versions;
   std::unique_ptr<ScheduledCall> m_timer;
