--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -164,7 +164,7 @@
       return Seal(id);
     }
   }
-  FinishTaken();
+  BuildIndexAndFinish();
 }
 
 void PartitionTakeover::Seal(const std::string& id) {
@@ -180,7 +180,7 @@
                  });
 }
 
-void PartitionTakeover::FinishTaken() {
+void PartitionTakeover::BuildIndexAndFinish() {
   for (const std::string& id : m_taken.head.segments) {
     const auto found = m_segments.find(id);
     if (found == m_segments.end()) {
--- a/packages/zinnia_decisions/once/partition_takeover.h
+++ b/packages/zinnia_decisions/once/partition_takeover.h
@@ -70,7 +70,7 @@
   void DeleteOrphan(const StoreRecord& record);
   void SealNext();
   void Seal(const std::string& key);
-  void FinishTaken();
+  void BuildIndexAndFinish();
   void RetryLater();
   void Finish(Result<RecoveredPartition> result);
   std::string SegmentKey(const std::string& id) const;
