--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -94,7 +94,7 @@
   void OnCallLate(const AskPointer& ask);
   void OnCallTimeout(const AskPointer& ask);
   void OnHolderSilent(const Instance& holder);
-  void LookWhoHolds(const AskPointer& ask);
+  void CheckForNewHolder(const AskPointer& ask);
   void AskAgain(const AskPointer& ask);
   void RetryLater(const AskPointer& ask);
   void OnDeadline(const AskPointer& ask);
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -165,7 +165,7 @@
   const std::set<AskPointer> asks = m_asks;
   for (const AskPointer& ask : asks) {
     if (ask->callback && ask->asked && IsSameStart(*ask->asked, holder)) {
-      lost ? AskAgain(ask) : LookWhoHolds(ask);
+      lost ? AskAgain(ask) : CheckForNewHolder(ask);
     }
   }
 }
@@ -173,7 +173,7 @@
 /** What fails without it: an instance that has not asked the lost holder before waits as long as
    the first one did, although the partition was taken over meanwhile. One read for each booking
    that meets a silent holder. */
-void OnceCoordinator::LookWhoHolds(const AskPointer& ask) {
+void OnceCoordinator::CheckForNewHolder(const AskPointer& ask) {
   if (std::exchange(ask->looked_who_holds, true)) {
     return;
   }
