--- a/packages/zinnia_decisions/once/once_ask.h
+++ b/packages/zinnia_decisions/once/once_ask.h
@@ -21,7 +21,7 @@
   bool needs_refresh = false;
   bool in_flight = false;
   std::optional<Instance> asked;
-  bool looked_who_holds = false;
+  bool checked_for_new_holder = false;
   TimePoint sent_at{};
   bool may_be_recorded = false;
   std::unique_ptr<ScheduledCall> deadline;
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -174,7 +174,7 @@
    the first one did, although the partition was taken over meanwhile. One read for each booking
    that meets a silent holder. */
 void OnceCoordinator::CheckForNewHolder(const AskPointer& ask) {
-  if (std::exchange(ask->looked_who_holds, true)) {
+  if (std::exchange(ask->checked_for_new_holder, true)) {
     return;
   }
   PartitionRole* role = RoleOf(ask->request.partition);
