--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -105,7 +105,7 @@
         }
         if (kind != ErrorKind::kOutcomeUnknown) {
           Peer& peer = PeerOf(instance);
-          peer.signs_of_life.Add(m_parts.clock.Now() - sent_at);
+          peer.probe_reply_times.Add(m_parts.clock.Now() - sent_at);
           EndSuspicion(peer);
         }
       }));
@@ -141,7 +141,7 @@
   if (peer.refused) {
     return m_settings.refused_takeover_after;
   }
-  return std::clamp<Duration>(kPatienceFactor * peer.signs_of_life.Deadline(),
+  return std::clamp<Duration>(kPatienceFactor * peer.probe_reply_times.Deadline(),
                               m_settings.silent_takeover_after, m_settings.takeover_after);
 }
 
--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -62,7 +62,7 @@
   struct Peer {
     Instance instance;
     ReplyTimes replies;
-    ReplyTimes signs_of_life;
+    ReplyTimes probe_reply_times;
     std::optional<TimePoint> missing_since;
     std::optional<TimePoint> lost_since;
     bool refused = false;
