--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -129,7 +129,7 @@
     return EndSuspicion(peer);
   }
   const Instance instance = peer.instance;
-  if (!peer.lost_since && now - *peer.missing_since >= Patience(peer)) {
+  if (!peer.lost_since && now - *peer.missing_since >= SilenceTimeout(peer)) {
     peer.lost_since = now;
   }
   CheckLater(peer, m_settings.sign_of_life_interval);
@@ -137,7 +137,7 @@
   m_on_silent(instance);
 }
 
-Duration HolderWatch::Patience(const Peer& peer) const {
+Duration HolderWatch::SilenceTimeout(const Peer& peer) const {
   if (peer.refused) {
     return m_settings.refused_takeover_after;
   }
--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -77,7 +77,7 @@
   void AskForSignOfLife(const Instance& instance);
   void CheckLater(Peer& peer, Duration delay);
   void Check(const std::string& name);
-  Duration Patience(const Peer& peer) const;
+  Duration SilenceTimeout(const Peer& peer) const;
 
   OnceParts m_parts;
   const OnceSettings& m_settings;
