--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -23,7 +23,7 @@
 constexpr std::chrono::milliseconds kOverslept{100};
 
 /** Signs of life slower than usual by this factor are still waited for. */
-constexpr int kPatienceFactor = 4;
+constexpr int kSilenceTimeoutFactor = 4;
 
 /** A lost instance is forgotten after this long, so that it is not asked for ever. */
 constexpr std::chrono::seconds kForgetLostAfter{30};
@@ -141,7 +141,7 @@
   if (peer.refused) {
     return m_settings.refused_takeover_after;
   }
-  return std::clamp<Duration>(kPatienceFactor * peer.probe_reply_times.Deadline(),
+  return std::clamp<Duration>(kSilenceTimeoutFactor * peer.probe_reply_times.Deadline(),
                               m_settings.silent_takeover_after, m_settings.takeover_after);
 }
 
