--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -20,7 +20,7 @@
 constexpr std::chrono::milliseconds kFirstCheck{40};
 
 /** A check that runs this much late means that this instance itself was asleep. */
-constexpr std::chrono::milliseconds kOverslept{100};
+constexpr std::chrono::milliseconds kSuspendedAfter{100};
 
 /** Signs of life slower than usual by this factor are still waited for. */
 constexpr int kSilenceTimeoutFactor = 4;
@@ -122,7 +122,7 @@
   const TimePoint now = m_parts.clock.Now();
   // What fails without it: this instance's machine was suspended; when it goes on, the answers that
   // are still on their way look like a long silence, and it takes what living holders hold.
-  if (now - peer.check_due > kOverslept) {
+  if (now - peer.check_due > kSuspendedAfter) {
     peer.missing_since = now;
   }
   if (peer.lost_since && now - *peer.lost_since > kForgetLostAfter) {
