--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds kMostReplyDeadline{350};
 
 /** How long the first sign of life is waited for before the partition's head is read again. */
-constexpr std::chrono::milliseconds kFirstCheck{40};
+constexpr std::chrono::milliseconds kFirstCheckDelay{40};
 
 /** A check that runs this much late means that this instance itself was asleep. */
 constexpr std::chrono::milliseconds kSuspendedAfter{100};
@@ -81,7 +81,7 @@
   if (!peer.missing_since) {
     peer.missing_since = sent_at;
     AskForSignOfLife(instance);
-    CheckLater(peer, std::min<Duration>(kFirstCheck, m_settings.sign_of_life_interval));
+    CheckLater(peer, std::min<Duration>(kFirstCheckDelay, m_settings.sign_of_life_interval));
   }
 }
 
