--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -14,7 +14,7 @@
 
 /** An answer later than this is worth a sign of life, however slow answers were before. */
 constexpr std::chrono::milliseconds kMinReplyDeadline{20};
-constexpr std::chrono::milliseconds kMostReplyDeadline{350};
+constexpr std::chrono::milliseconds kMaxReplyDeadline{350};
 
 /** How long the first sign of life is waited for before the partition's head is read again. */
 constexpr std::chrono::milliseconds kFirstCheckDelay{40};
@@ -61,7 +61,7 @@
 Duration HolderWatch::ReplyDeadline(const Instance& instance) const {
   const Peer* peer = Find(instance);
   return std::clamp<Duration>(peer != nullptr ? peer->replies.Deadline() : Duration::zero(),
-                              kMinReplyDeadline, kMostReplyDeadline);
+                              kMinReplyDeadline, kMaxReplyDeadline);
 }
 
 void HolderWatch::NoteReply(const Instance& instance, TimePoint sent_at) {
