--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -16,7 +16,7 @@
 
 /** Grants that are remembered so that their outcome can be reported. Beyond, the oldest is
     forgotten; its key then stays "outcome unknown". */
-constexpr std::size_t kMostGrants = 65'536;
+constexpr std::size_t kMaxOpenGrants = 65'536;
 
 std::string GrantName(const OrganisationName& organisation,
                       const std::string& key,
@@ -126,7 +126,7 @@
 
 void OnceCoordinator::RememberGrant(const Ask& ask) {
   const IntentRequest& request = ask.request;
-  if (m_grants.size() >= kMostGrants) {
+  if (m_grants.size() >= kMaxOpenGrants) {
     m_grants_by_request.erase(m_grants.front().name);
     m_grants.pop_front();
   }
