--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -46,7 +46,7 @@
 
 HolderWatch::Peer& HolderWatch::PeerOf(const Instance& instance) {
   if (m_peers.size() >= kMostPeers) {
-    std::erase_if(m_peers, [](const auto& item) { return !item.second.missing_since; });
+    std::erase_if(m_peers, [](const auto& item) { return !item.second.suspected_since; });
   }
   Peer& peer = m_peers[NameOf(instance)];
   peer.instance = instance;
@@ -78,15 +78,15 @@
 void HolderWatch::NoteMissing(const Instance& instance, TimePoint sent_at, bool refused) {
   Peer& peer = PeerOf(instance);
   peer.refused = refused;
-  if (!peer.missing_since) {
-    peer.missing_since = sent_at;
+  if (!peer.suspected_since) {
+    peer.suspected_since = sent_at;
     AskForSignOfLife(instance);
     CheckLater(peer, std::min<Duration>(kFirstCheckDelay, m_settings.sign_of_life_interval));
   }
 }
 
 void HolderWatch::EndSuspicion(Peer& peer) {
-  peer.missing_since.reset();
+  peer.suspected_since.reset();
   peer.lost_since.reset();
   peer.timer.reset();
   peer.refused = false;
@@ -123,13 +123,13 @@
   // What fails without it: this instance's machine was suspended; when it goes on, the answers that
   // are still on their way look like a long silence, and it takes what living holders hold.
   if (now - peer.check_due > kSuspendedAfter) {
-    peer.missing_since = now;
+    peer.suspected_since = now;
   }
   if (peer.lost_since && now - *peer.lost_since > kForgetLostAfter) {
     return EndSuspicion(peer);
   }
   const Instance instance = peer.instance;
-  if (!peer.lost_since && now - *peer.missing_since >= SilenceTimeout(peer)) {
+  if (!peer.lost_since && now - *peer.suspected_since >= SilenceTimeout(peer)) {
     peer.lost_since = now;
   }
   CheckLater(peer, m_settings.sign_of_life_interval);
--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -63,7 +63,7 @@
     Instance instance;
     ReplyTimes replies;
     ReplyTimes probe_reply_times;
-    std::optional<TimePoint> missing_since;
+    std::optional<TimePoint> suspected_since;
     std::optional<TimePoint> lost_since;
     bool refused = false;
     TimePoint check_due{};
