--- a/packages/zinnia_decisions/once/reply_times.h
+++ b/packages/zinnia_decisions/once/reply_times.h
@@ -22,7 +22,7 @@
       return;
     }
     const Duration difference = time - m_mean;
-    m_mean += difference / kMeanShare;
+    m_mean += difference / kMeanDivisor;
     m_deviation += (std::max(difference, -difference) - m_deviation) / kDeviationShare;
   }
 
@@ -30,7 +30,7 @@
   Duration Deadline() const { return m_mean + kDeviations * m_deviation; }
 
  private:
-  static constexpr int kMeanShare = 8;
+  static constexpr int kMeanDivisor = 8;
   static constexpr int kDeviationShare = 4;
   static constexpr int kDeviations = 4;
 
