--- a/packages/zinnia_decisions/once/reply_times.h
+++ b/packages/zinnia_decisions/once/reply_times.h
@@ -23,7 +23,7 @@
     }
     const Duration difference = time - m_mean;
     m_mean += difference / kMeanDivisor;
-    m_deviation += (std::max(difference, -difference) - m_deviation) / kDeviationShare;
+    m_deviation += (std::max(difference, -difference) - m_deviation) / kDeviationDivisor;
   }
 
   /** Zero while nothing was learned. */
@@ -31,7 +31,7 @@
 
  private:
   static constexpr int kMeanDivisor = 8;
-  static constexpr int kDeviationShare = 4;
+  static constexpr int kDeviationDivisor = 4;
   static constexpr int kDeviations = 4;
 
   Duration m_mean{};
