--- a/packages/zinnia_decisions/once/reply_times.h
+++ b/packages/zinnia_decisions/once/reply_times.h
@@ -27,12 +27,12 @@
   }
 
   /** Zero while nothing was learned. */
-  Duration Deadline() const { return m_mean + kDeviations * m_deviation; }
+  Duration Deadline() const { return m_mean + kDeviationFactor * m_deviation; }
 
  private:
   static constexpr int kMeanDivisor = 8;
   static constexpr int kDeviationDivisor = 4;
-  static constexpr int kDeviations = 4;
+  static constexpr int kDeviationFactor = 4;
 
   Duration m_mean{};
   Duration m_deviation{};
