--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -9,7 +9,7 @@
 
 #include "zinnia_decisions/once/once_parts.h"
 #include "zinnia_decisions/once/once_settings.h"
-#include "zinnia_decisions/once/reply_times.h"
+#include "zinnia_decisions/once/reply_time_estimator.h"
 #include "zinnia_world/fleet/instance.h"
 
 namespace zinnia {
@@ -32,7 +32,7 @@
     `refused_takeover_after` if connections are refused. Wrong belief costs a takeover, never
    safety.
 
-    @see PartitionRole, ReplyTimes
+    @see PartitionRole, ReplyTimeEstimator
 */
 class HolderWatch {
  public:
@@ -61,8 +61,8 @@
  private:
   struct Peer {
     Instance instance;
-    ReplyTimes replies;
-    ReplyTimes probe_reply_times;
+    ReplyTimeEstimator replies;
+    ReplyTimeEstimator probe_reply_times;
     std::optional<TimePoint> suspected_since;
     std::optional<TimePoint> lost_since;
     bool refused = false;
--- a/packages/zinnia_decisions/once/reply_times.h
+++ b/packages/zinnia_decisions/once/reply_time_estimator.h
@@ -13,7 +13,7 @@
 
     @see HolderWatch
 */
-class ReplyTimes {
+class ReplyTimeEstimator {
  public:
   void Add(Duration time) {
     if (m_mean == Duration::zero()) {
