--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -69,7 +69,7 @@
   }
   const TimePoint now = m_parts.clock.Now();
   if (!m_failing_since || !m_head || head.epoch != m_head->epoch ||
-      now - m_last_unserved > kFailureWindowFactor * m_settings.takeover_after) {
+      now - m_last_failure_at > kFailureWindowFactor * m_settings.takeover_after) {
     return false;
   }
   const auto patience = m_refused ? m_settings.refused_takeover_after : m_settings.takeover_after;
@@ -205,12 +205,12 @@
   }
   // A failure of long ago says nothing of now: without this, one lost call followed by a quiet hour
   // would move the partition at the next failure.
-  const bool goes_on =
-      m_failing_since && since - m_last_unserved < kFailureWindowFactor * m_settings.takeover_after;
+  const bool goes_on = m_failing_since &&
+                       since - m_last_failure_at < kFailureWindowFactor * m_settings.takeover_after;
   // Counted from when the first failure was noticed, not from its call: an asker whose machine
   // slept notices late, and the holder may have answered at once.
   m_failing_since = goes_on ? *m_failing_since : m_parts.clock.Now();
-  m_last_unserved = m_parts.clock.Now();
+  m_last_failure_at = m_parts.clock.Now();
   m_refused = refused;
 }
 
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -99,7 +99,7 @@
   std::vector<RefreshCallback> m_waiting;
   std::optional<TimePoint> m_last_taken;
   std::optional<TimePoint> m_failing_since;
-  TimePoint m_last_unserved{};
+  TimePoint m_last_failure_at{};
   bool m_refused = false;
   std::set<InstanceName> m_excluded_targets;
   bool m_leaving = false;
