--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -80,7 +80,7 @@
   peer.refused = refused;
   if (!peer.suspected_since) {
     peer.suspected_since = sent_at;
-    AskForSignOfLife(instance);
+    ProbeInstance(instance);
     CheckLater(peer, std::min<Duration>(kFirstCheckDelay, m_settings.sign_of_life_interval));
   }
 }
@@ -92,7 +92,7 @@
   peer.refused = false;
 }
 
-void HolderWatch::AskForSignOfLife(const Instance& instance) {
+void HolderWatch::ProbeInstance(const Instance& instance) {
   IntentOutcome nothing;
   nothing.partition = kNoPartition;
   const TimePoint sent_at = m_parts.clock.Now();
@@ -133,7 +133,7 @@
     peer.lost_since = now;
   }
   CheckLater(peer, m_settings.sign_of_life_interval);
-  AskForSignOfLife(instance);
+  ProbeInstance(instance);
   m_on_silent(instance);
 }
 
--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -74,7 +74,7 @@
   const Peer* Find(const Instance& instance) const;
   void NoteMissing(const Instance& instance, TimePoint sent_at, bool refused);
   void EndSuspicion(Peer& peer);
-  void AskForSignOfLife(const Instance& instance);
+  void ProbeInstance(const Instance& instance);
   void CheckLater(Peer& peer, Duration delay);
   void Check(const std::string& name);
   Duration SilenceTimeout(const Peer& peer) const;
