--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -75,7 +75,7 @@
   return peer != nullptr ? peer->lost_since : std::nullopt;
 }
 
-void HolderWatch::NoteMissing(const Instance& instance, TimePoint sent_at, bool refused) {
+void HolderWatch::SuspectInstance(const Instance& instance, TimePoint sent_at, bool refused) {
   Peer& peer = PeerOf(instance);
   peer.refused = refused;
   if (!peer.suspected_since) {
--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -49,10 +49,10 @@
   /** An answer came, whatever it says. */
   void NoteReply(const Instance& instance, TimePoint sent_at);
   void NoteLate(const Instance& instance, TimePoint sent_at) {
-    NoteMissing(instance, sent_at, false);
+    SuspectInstance(instance, sent_at, false);
   }
   void NoteRefused(const Instance& instance, TimePoint sent_at) {
-    NoteMissing(instance, sent_at, true);
+    SuspectInstance(instance, sent_at, true);
   }
 
   /** Since when the instance counts as lost; nothing if it does not. */
@@ -72,7 +72,7 @@
 
   Peer& PeerOf(const Instance& instance);
   const Peer* Find(const Instance& instance) const;
-  void NoteMissing(const Instance& instance, TimePoint sent_at, bool refused);
+  void SuspectInstance(const Instance& instance, TimePoint sent_at, bool refused);
   void EndSuspicion(Peer& peer);
   void ProbeInstance(const Instance& instance);
   void CheckLater(Peer& peer, Duration delay);
