--- a/packages/zinnia_decisions/once/partition_holder.cc
+++ b/packages/zinnia_decisions/once/partition_holder.cc
@@ -12,8 +12,7 @@
 namespace zinnia {
 namespace {
 
-/** A lost answer is normally settled within a few store calls; only after this long does it count
-    as a failing store, so that one lost answer does not turn callers away. */
+/** Time to resolve a write with an unknown outcome before Begin starts refusing requests. */
 constexpr std::chrono::milliseconds kSettlingGrace{250};
 constexpr std::chrono::milliseconds kSweepInterval{100};
 
@@ -50,7 +49,7 @@
     return callback(StaleEpoch());
   }
   if (const auto decided = DecideNow(request)) {
-    // A recorded answer stays true; that a key is taken may have ended since.
+    // A recorded answer never changes, but a started intent may have been closed by a new holder.
     const bool may_be_stale = *decided && ((*decided)->verdict == IntentVerdict::kStarted ||
                                            (*decided)->verdict == IntentVerdict::kKeyReused);
     return may_be_stale ? VerifyThenAnswer(std::move(request), std::move(callback))
@@ -73,9 +72,10 @@
   Enqueue(std::move(operation));
 }
 
-/** What fails without it: a holder that lost the partition and has had nothing to write since says
-    "outcome unknown" of a key that the new holder has answered or freed. One read, shared by all
-    who wait for it, tells. If it fails, "outcome unknown" is still true of what is known here. */
+/** Reads the head to check that this instance still holds the partition, and then answers. An idle
+    holder that lost the partition would otherwise return kStarted for a key that the new holder has
+    answered or freed. Concurrent requests share one read. If the read fails, the verdict from the
+    local index is returned. */
 void PartitionHolder::VerifyThenAnswer(IntentRequest request, BeginCallback callback) {
   auto operation = std::make_shared<Operation>();
   operation->begin = std::move(request);
@@ -169,8 +169,9 @@
   }
 }
 
-/** Answers whoever waited too long: a call is never left without an answer, however long the store
-    takes. An intent that is still queued is in no write; one in a write is withdrawn. */
+/** Fails operations that have waited too long, so that every call gets an answer even if the store
+    does not respond. A queued operation is removed; an intent that is being written is withdrawn.
+ */
 void PartitionHolder::Sweep() {
   m_sweep_timer.reset();
   const TimePoint oldest = m_parts.clock.Now() - m_settings.begin_timeout * 3 / 4;
@@ -197,8 +198,8 @@
   }
 }
 
-/** Answers the caller, once and later, so that a caller who calls back in cannot disturb a loop
-    here. A withdrawn or internal operation has no caller. */
+/** Schedules the operation's callback, at most once. The callback runs asynchronously because it
+   may call into this object again. Withdrawn and internal operations have no callback. */
 void PartitionHolder::Answer(Operation& operation, const Result<IntentReply>& result) {
   if (auto callback = std::exchange(operation.begin_callback, nullptr)) {
     m_answers.emplace_back([callback = std::move(callback), result] { callback(result); });
