--- a/packages/zinnia_decisions/once/partition_holder.h
+++ b/packages/zinnia_decisions/once/partition_holder.h
@@ -14,21 +14,20 @@
 
 namespace zinnia {
 
-/** One partition while this instance holds it: decides intents and commits them in groups.
+/** Decides the intents of one partition that this instance holds and commits them in batches.
 
-    One write is under way at a time; what arrives meanwhile goes into the next. A verdict that
-    grants is given only after its write is known to have taken effect; verdicts that grant nothing
-    come straight from the index. A refused write (kStoreConflict) means that another instance took
-    over: every waiting call gets kStaleEpoch, and `ended` is called. Nothing is granted while the
-    store does not answer: a grant that is not durable would be unknown to the next holder.
+    At most one write is in flight; operations that arrive meanwhile go into the next batch. A
+    grant is returned only after its write has taken effect; other verdicts are returned from the
+    index. A write that fails with kStoreConflict means that another instance has taken over: all
+    pending calls fail with kStaleEpoch, and `ended` is called. Nothing is granted while the store
+    is unavailable, since the next holder would not know of the grant.
 
-    An intent whose caller was told "not run" while its write was still uncertain is freed by a
-    later write of this same holder, so that the key does not stay blocked. That is safe because no
-    reply that grants it was or will be sent (IntentIndex refuses the attempt once it is freed, and
-    this class refuses it as soon as it is withdrawn).
+    If a call fails while the outcome of its write is unknown, the intent is withdrawn: a later
+    write frees the key. This is safe because a withdrawn attempt is never granted, neither by this
+    class nor, after the key is freed, by IntentIndex.
 
-    Callbacks of what was queued run from a scheduled call of their own, never from inside another
-    method. `ended` may be called from inside one: don't destroy the holder there.
+    Callbacks of queued operations run asynchronously, never from within another method. `ended`
+    may be called from within a method, so it must not destroy the holder.
 
     @see PartitionTakeover, OnceCoordinator
 */
@@ -48,7 +47,7 @@
   void Begin(IntentRequest request, BeginCallback callback);
   void Report(IntentOutcome outcome, ReportCallback callback);
 
-  /** Writes what is queued, marks the head as released and ends. */
+  /** Writes the queued operations, marks the head as released and calls `ended`. */
   void HandOver();
 
   const PartitionHead& Head() const { return m_head; }
