--- a/packages/zinnia_decisions/once/partition_holder_commits.cc
+++ b/packages/zinnia_decisions/once/partition_holder_commits.cc
@@ -4,8 +4,7 @@
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/once/partition_holder.h"
 
-/** The part of PartitionHolder that makes intents and outcomes durable: batches of them, written
-   when the budget allows, and what each write's result means for them. */
+/** The part of PartitionHolder that writes batches of intents and outcomes to the open segment. */
 namespace zinnia {
 
 void PartitionHolder::Pump() {
@@ -35,8 +34,8 @@
   m_pump_timer = m_parts.scheduler.ScheduleAfter(delay, [this] { Pump(); });
 }
 
-/** How long to wait before the next write: for the write budget, after a refusal by the store, and
-    with outcomes only, for an intent to share the write with. */
+/** Returns the delay before the next write: from the rate limit, the pause after a store error,
+   and, if only outcomes are queued, the time to wait for an intent to share the write with. */
 Duration PartitionHolder::CommitDelay() {
   using Seconds = std::chrono::duration<double>;
   const TimePoint now = m_parts.clock.Now();
@@ -68,7 +67,7 @@
   m_queue.insert(m_queue.end(), queue.begin(), queue.end());
 }
 
-/** Returns false if the operation has to wait for another one on the same key. */
+/** Returns false if the batch already contains an operation on the same key. */
 bool PartitionHolder::AddToBatch(const OperationPointer& operation) {
   const auto& begin = operation->begin;
   const std::string key =
@@ -83,7 +82,7 @@
   return true;
 }
 
-/** Returns true if the intent needs a write; otherwise it has been answered. */
+/** Returns false if the intent was answered without a write. */
 bool PartitionHolder::AddIntent(const OperationPointer& operation) {
   const IntentRequest& request = *operation->begin;
   if (const auto decided = DecideNow(request)) {
@@ -100,8 +99,8 @@
   const IntentRecord* known = m_index.Find(outcome.organisation, outcome.key);
   const bool is_own = known != nullptr && known->attempt == outcome.request_id;
   const bool is_open = is_own && known->state == IntentState::kStarted;
-  // An unused attempt without a record: its intent may still be on its way here. The record keeps
-  // it from being granted to nobody, which would block the key.
+  // The intent of an unused attempt may still be in flight. Recording it as free prevents a later
+  // grant that nobody would use and that would block the key.
   const bool closes_early = known == nullptr && !outcome.answer;
   if (!is_open && !closes_early) {
     const bool repeated = is_own && outcome.answer.has_value() == known->answer.has_value();
@@ -200,7 +199,7 @@
   }
 }
 
-/** Frees the key of an intent that took effect after its caller was told "not run". */
+/** Frees the key of an intent whose write took effect after its call had failed. */
 void PartitionHolder::Withdraw(const OperationPointer& operation) {
   auto withdrawal = std::make_shared<Operation>();
   const IntentRequest& request = *operation->begin;
