--- a/packages/zinnia_decisions/once/partition_holder_segments.cc
+++ b/packages/zinnia_decisions/once/partition_holder_segments.cc
@@ -5,7 +5,7 @@
 #include "zinnia_base/time/clock.h"
 #include "zinnia_decisions/once/partition_holder.h"
 
-/** The part of PartitionHolder that changes the head: new segments, expiry, and the release. */
+/** The part of PartitionHolder that updates the head: new segments, expiry and release. */
 namespace zinnia {
 
 bool PartitionHolder::NeedsRoll() const {
@@ -18,7 +18,7 @@
   return newest != m_sealed_newest_unix_ms.end() && newest->second + kept < UnixMilliseconds();
 }
 
-/** Drops expired segments from the head, and names a new open one if the present one is full. */
+/** Removes expired segments from the head and, if the open segment is full, adds a new one. */
 void PartitionHolder::Roll() {
   m_writing = true;
   m_write_started = m_parts.clock.Now();
@@ -33,8 +33,8 @@
   CreateSegment(head);
 }
 
-/** Makes the next segment before the head names it, as PartitionTakeover does and for its reason:
-    each later write to it expects a version above 0. */
+/** Creates the next segment before the head lists it, so that every later write to it expects a
+    version above 0 and cannot recreate a deleted segment. */
 void PartitionHolder::CreateSegment(const PartitionHead& head) {
   m_writer.Write(SegmentPrefix(m_partition) + head.segments.back(), 0,
                  EncodeSegmentHeader({.epoch = m_head.epoch}),
@@ -53,7 +53,7 @@
                  });
 }
 
-/** After a refusal the new segment stays behind; the next takeover deletes it. */
+/** If the swap fails, the new segment is orphaned; the next takeover deletes it. */
 void PartitionHolder::OnHeadSwapped(const Result<std::uint64_t>& result,
                                     const PartitionHead& head,
                                     std::uint64_t segment_version) {
@@ -93,7 +93,7 @@
   });
 }
 
-/** Best effort: what stays behind is deleted by the next takeover. */
+/** Best effort: the next takeover deletes segments that remain. */
 void PartitionHolder::DeleteSegment(const std::string& segment) {
   m_sealed_newest_unix_ms.erase(segment);
   m_parts.store.Get(SegmentPrefix(m_partition) + segment,
