--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -13,10 +13,10 @@
 namespace zinnia {
 namespace {
 
-/** Failures further apart than this many times `takeover_after` are not taken together. */
+/** Failures further apart than this multiple of `takeover_after` are unrelated. */
 constexpr int kFailureWindowFactor = 4;
 
-/** Whoever has more than this many instances before it waits no longer for them. */
+/** Bounds the takeover delay in large fleets. */
 constexpr int kMaxStaggerSteps = 8;
 
 bool IsSame(const Instance& left, const Instance& right) {
@@ -41,8 +41,8 @@
 PartitionRole::~PartitionRole() = default;
 
 std::optional<Instance> PartitionRole::Target(bool trust_membership) const {
-  // An instance that gives its roles up cannot take the partition itself, so it goes on asking, by
-  // turns the preferred instance and the holder, which may be well after all.
+  // A stopping instance cannot take the partition over, so it keeps asking the preferred instance
+  // and the current holder alternately.
   const bool unserved = m_head && IsHolderFailing(*m_head);
   if (!m_head || (unserved && !m_leaving)) {
     return std::nullopt;
@@ -55,7 +55,7 @@
   return is_self ? std::nullopt : target;
 }
 
-/** Whether the head names a holder that, as far as this instance knows, is alive. */
+/** Returns true if the head is not released and membership lists its holder as live. */
 bool PartitionRole::IsUsable(const PartitionHead& head) const {
   const std::vector<Instance> live = m_parts.membership.LiveInstances();
   return !head.released && std::any_of(live.begin(), live.end(), [&](const Instance& instance) {
@@ -76,7 +76,8 @@
   return now - *m_failing_since >= patience;
 }
 
-/** The preferred live instance, leaving out the one that released or lost the partition. */
+/** Returns the preferred live instance, excluding the holder that released or lost the partition.
+ */
 std::optional<Instance> PartitionRole::Preferred(const PartitionHead& head,
                                                  const std::set<InstanceName>& left_out) const {
   std::optional<Instance> best;
@@ -98,8 +99,8 @@
   return Hash64(fmt::format("{}/{}", instance.name, instance.start), m_partition);
 }
 
-/** What fails without it: all instances see a holder's silence at the same time and each of them
-    spends store calls on each of its partitions, of which all but one are in vain. */
+/** Staggers takeovers by order of preference. Otherwise all instances that detect a lost holder at
+    the same time would compete for its partitions, wasting store calls. */
 bool PartitionRole::IsTakeoverDelayOver(const PartitionHead& head) const {
   const std::optional<TimePoint> lost_since = m_watch.LostSince(head.holder);
   if (!lost_since) {
@@ -196,19 +197,18 @@
 }
 
 void PartitionRole::NoteCallFailure(const Instance& target, TimePoint since, bool refused) {
-  // What fails without it: a call to a paused holder is given up seconds after others have taken
-  // the partition; counted against the new holder, it is at once old enough to take it away again,
-  // and the partition goes from instance to instance. And a stopping instance that asks a third one
-  // by turns would believe for ever that the living holder serves nobody.
+  // A late failure of a previous holder must not count against the current one, or the partition
+  // would move from instance to instance. The same holds for failures of the preferred instance,
+  // which a stopping instance asks alternately with the holder.
   if (m_head && IsUsable(*m_head) && !IsSame(target, m_head->holder)) {
     return;
   }
-  // A failure of long ago says nothing of now: without this, one lost call followed by a quiet hour
-  // would move the partition at the next failure.
+  // Old failures expire: a single lost call must not cause a takeover at the next, unrelated
+  // failure.
   const bool goes_on = m_failing_since &&
                        since - m_last_failure_at < kFailureWindowFactor * m_settings.takeover_after;
-  // Counted from when the first failure was noticed, not from its call: an asker whose machine
-  // slept notices late, and the holder may have answered at once.
+  // Starts when the failure is detected rather than when the call was sent: after this instance was
+  // suspended, the holder may have replied at once.
   m_failing_since = goes_on ? *m_failing_since : m_parts.clock.Now();
   m_last_failure_at = m_parts.clock.Now();
   m_refused = refused;
