--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -15,19 +15,19 @@
 
 class HolderWatch;
 
-/** What one instance knows of one partition: its head as last read, whom to ask, and the holder's
-    part if that is this instance.
+/** This instance's view of one partition: the head as last read, the instance to send requests to,
+    and the PartitionHolder if this instance holds the partition.
 
-    Who should hold a partition is agreed without messages: the live instance with the highest hash
-    of (name, start, partition) tries first. Views differ for a while; then two may try, and the
-    swap of the head lets one win. A living holder is left alone, preferred or not, so that roles
-    do not move back and forth.
+    The preferred holder is found by rendezvous hashing: the live instance with the highest hash of
+    (name, start, partition). While instances disagree on the membership, several may attempt a
+    takeover; the compare-and-swap of the head lets one succeed. A live holder keeps the partition
+    even if another instance is preferred, so that partitions do not move back and forth.
 
     @see PartitionTakeover, OnceCoordinator
 */
 class PartitionRole {
  public:
-  /** Told when a refresh is over: this instance holds the partition, or the head has been read. */
+  /** Called when this instance holds the partition, or when the head has been read. */
   using RefreshCallback = std::function<void(Result<void>)>;
 
   PartitionRole(const OnceParts& parts,
@@ -38,38 +38,39 @@
                 std::uint32_t partitions);
   ~PartitionRole();
 
-  /** Null if this instance does not hold the partition. */
+  /** Returns null if this instance does not hold the partition. */
   PartitionHolder* Holder() { return m_holder.get(); }
 
-  /** The head as it was last read; nothing if it was not, or if this instance gave it up. */
+  /** Returns the head as last read, or nullopt if it is unknown or this instance released it. */
   const std::optional<PartitionHead>& KnownHead() const { return m_head; }
 
-  /** Whom to ask; nothing if Refresh has to come first. Without `trust_membership` the head's
-      holder is asked even if it is believed dead: the belief may be wrong. */
+  /** Returns the instance to send requests to, or nullopt if Refresh must be called first. Without
+      `trust_membership`, returns the head's holder even if membership does not list it as live. */
   std::optional<Instance> Target(bool trust_membership) const;
 
-  /** Reads the head and takes the partition over if that is this instance's part. Calls made while
-      one is under way share it. */
+  /** Reads the head and takes the partition over if this instance should hold it. Concurrent calls
+      share one read. */
   void Refresh(RefreshCallback callback);
 
-  /** Refreshes if the partition lacks a holder and this instance should be it. */
+  /** Calls Refresh if the partition has no holder and this instance should take it over. */
   void TakeOverIfPreferred();
 
-  /** `target` has not served a call made at `since`; `refused` if that is certain, because
-      the instance could not be reached or said that it holds nothing. If this goes on, the instance
-      takes the partition over, preferred or not. */
+  /** Records that a call sent to `target` at `since` failed. `refused` means that the connection
+      failed or `target` does not hold the partition, rather than that no reply came. If failures
+      persist, this instance takes the partition over even if another one is preferred. */
   void NoteCallFailure(const Instance& target, TimePoint since, bool refused);
   void NoteCallSuccess() { m_failing_since.reset(); }
 
-  /** `target` said that it holds nothing: the next one in the order of preference is asked. */
+  /** Excludes `target`, which did not serve a call, so that Target returns the next preference. */
   void ExcludeTarget(const Instance& target);
 
-  /** A peer asked this instance, which does not hold the partition. If the head has no living
-     holder either, whoever is preferred is not doing its part (it may be stopping). Otherwise the
-      peer may have found the holder silent, so it is asked for a sign of life. */
+  /** Records that a peer's call could not be served because this instance does not hold the
+      partition. Without a live holder, this counts as a failure of the preferred instance, which
+      may be stopping. Otherwise the holder is probed, since the peer may have got no reply from
+      it. */
   void NoteUnservedPeerCall();
 
-  /** Gives the partition up in good order; `done` runs when that is over. */
+  /** Releases the partition; calls `done` when finished. */
   void HandOver(std::function<void()> done);
 
  private:
