--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -152,8 +152,8 @@
   return {};
 }
 
-/** A segment of an older epoch that the head does not list was made for a swap of the head that
-    never took effect, and never will since the head has moved on. */
+/** Deletes a segment of an older epoch that the head does not list: the head swap that it was
+    created for failed. */
 void PartitionTakeover::DeleteOrphan(const StoreRecord& record) {
   m_parts.store.Delete(record.key, record.version, [](const Result<std::uint64_t>&) {});
 }
@@ -174,8 +174,8 @@
   m_writer.Write(SegmentKey(id), m_versions.at(id),
                  EncodeSegmentHeader(segment.header) + segment.body,
                  [this](const Result<std::uint64_t>& result) {
-                   // A conflict: the old holder wrote once more, or a newer one sealed it first.
-                   // The list tells which.
+                   // On a conflict, the old holder wrote once more or a newer holder sealed the
+                   // segment first. Listing again shows which.
                    result ? SealNext() : RetryLater();
                  });
 }
