--- a/packages/zinnia_decisions/once/partition_takeover.h
+++ b/packages/zinnia_decisions/once/partition_takeover.h
@@ -15,8 +15,9 @@
 
 namespace zinnia {
 
-/** What a new holder starts from: its head, its empty open segment, all that was granted before,
-    and when each older segment was last written. */
+/** The state of a partition after a takeover: the new head, the versions of the head and of the
+    empty open segment, the index of recorded intents, and the newest record time of each older
+    segment. */
 struct RecoveredPartition {
   PartitionHead head;
   std::uint64_t head_version = 0;
@@ -25,22 +26,21 @@
   IntentIndex index;
 };
 
-/** Takes a partition over from its holder, which may be dead, paused, or alive and mistaken for
-    dead. Nothing here relies on time.
+/** Takes a partition over from its holder, which may have crashed, be paused, or still be running.
+    Correctness does not depend on clocks.
 
-    1. Create an empty segment of its own. From then on every write that may grant something
-       expects a version above 0, so that a segment that was deleted can never come back.
-    2. Swap the head: epoch + 1, this instance, the new segment last. Of two that race, one loses.
-    3. List the segments and seal each that is open. What fails without it: the old holder, paused
-       with a write on its way, would write a grant after the new one has read the log, and both
-       would grant one key. Sealing moves the version on, so that its next write is refused; what it
-       wrote before the seal is in the log that is read.
-    4. Build the index from the sealed log.
+    1. Create an empty segment. Every later write to it expects a version above 0 and so cannot
+       recreate a deleted segment.
+    2. Swap the head: increment the epoch, set this instance as the holder, append the new segment.
+       Of concurrent takeovers, only one succeeds.
+    3. List the segments and seal the open ones. Sealing changes the version, so that a delayed
+       write of the old holder fails instead of granting a key that the new holder grants too.
+    4. Build the index from the sealed segments.
 
-    `sequence` must differ between all takeovers of one running instance: it makes the name of the
-    new segment unique. A failure of the store after step 2 is retried until it succeeds or another
-   instance takes over. Destroy it to stop. The callback gets kStaleEpoch if the head's holder is to
-   be left alone or another instance was faster.
+    `sequence` must be unique among the takeovers of one running instance, since it is part of the
+    new segment's name. Store errors after step 2 are retried until the takeover succeeds or another
+    instance takes over; destroying the object cancels it. The callback gets kStaleEpoch if
+    `may_take_over` refuses or another instance took the partition first.
 */
 class PartitionTakeover {
  public:
@@ -56,7 +56,7 @@
 
   void Start(Callback callback);
 
-  /** The head that was read, if the takeover ended because of it. */
+  /** Returns the head that was read, or nullopt if it is unknown. */
   const std::optional<PartitionHead>& SeenHead() const { return m_seen_head; }
 
  private:
