--- a/packages/zinnia_decisions/once/alive_guard.h
+++ b/packages/zinnia_decisions/once/alive_guard.h
@@ -5,8 +5,8 @@
 
 namespace zinnia {
 
-/** Wraps a callback so that it does nothing once `alive` is gone. An object that hands callbacks to
-    ports keeps `alive` as a member, so that an answer that comes after its end is dropped. */
+/** Wraps a callback so that it does nothing after `alive` is destroyed. An object that passes
+    callbacks to ports owns `alive`, so that replies after its destruction are dropped. */
 template <typename Callback>
 auto WhileAlive(const std::shared_ptr<bool>& alive, Callback callback) {
   return [token = std::weak_ptr<bool>(alive), callback = std::move(callback)](auto... arguments) {
