--- a/packages/zinnia_decisions/once/dispatch_window.h
+++ b/packages/zinnia_decisions/once/dispatch_window.h
@@ -7,16 +7,16 @@
 
 namespace zinnia {
 
-/** Whether a granted request may still be dispatched.
+/** Determines whether a granted request may still be dispatched.
 
-    Construct it on the traffic thread before OnceGate::Begin is called, and ask MayDispatch as the
-    last thing before the first byte is sent. If it says no, report the grant as unused instead.
-    Counting from before Begin, on this instance's own steady clock, makes the window end no later
-    than the holder can assume, whatever the delays between them.
+    Construct it on the traffic thread before calling OnceGate::Begin, and call MayDispatch
+    immediately before sending the first byte. If it returns false, report the grant as unused. The
+    window starts before Begin, on this instance's steady clock, so that network delays cannot
+    extend it.
 
-    It bounds how long after its caller gave up a request may still run, and keeps a request from
-    being dispatched when its key is about to be forgotten. At most once does not rest on it while
-    the key is remembered: nobody else is granted the key however late this one is dispatched.
+    This bounds how late a request can run after its caller has timed out, and prevents a dispatch
+    after the key's retention has expired. Within the retention, at-most-once execution does not
+    depend on it.
 */
 class DispatchWindow {
  public:
