--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_watch.cc
@@ -12,23 +12,23 @@
 namespace zinnia {
 namespace {
 
-/** An answer later than this is worth a sign of life, however slow answers were before. */
+/** Bounds of the reply deadline, which is learned from earlier replies. */
 constexpr std::chrono::milliseconds kMinReplyDeadline{20};
 constexpr std::chrono::milliseconds kMaxReplyDeadline{350};
 
-/** How long the first sign of life is waited for before the partition's head is read again. */
+/** Delay from the first probe to the first check, which reads the partition's head again. */
 constexpr std::chrono::milliseconds kFirstCheckDelay{40};
 
-/** A check that runs this much late means that this instance itself was asleep. */
+/** A check that is later than this means that this instance was suspended. */
 constexpr std::chrono::milliseconds kSuspendedAfter{100};
 
-/** Signs of life slower than usual by this factor are still waited for. */
+/** The silence timeout as a multiple of the usual deadline for probe replies. */
 constexpr int kSilenceTimeoutFactor = 4;
 
-/** A lost instance is forgotten after this long, so that it is not asked for ever. */
+/** Stops probing an instance this long after it was lost. */
 constexpr std::chrono::seconds kForgetLostAfter{30};
 
-/** Instances that are remembered without being suspected. */
+/** When this many instances are tracked, those that are not suspected are dropped. */
 constexpr std::size_t kMostPeers = 2'048;
 
 std::string NameOf(const Instance& instance) {
@@ -120,8 +120,8 @@
 void HolderWatch::Check(const std::string& name) {
   Peer& peer = m_peers.at(name);
   const TimePoint now = m_parts.clock.Now();
-  // What fails without it: this instance's machine was suspended; when it goes on, the answers that
-  // are still on their way look like a long silence, and it takes what living holders hold.
+  // After this instance was suspended, replies that are still in flight would look like silence,
+  // and partitions would be taken from live holders.
   if (now - peer.check_due > kSuspendedAfter) {
     peer.suspected_since = now;
   }
