--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_watch.h
@@ -16,37 +16,34 @@
 
 class ScheduledCall;
 
-/** The partition that a sign of life is asked for with: a report on it is answered at once and from
-    memory by any running instance, whatever the store does. */
+/** The partition used in probes. Every running instance replies to a report on it immediately,
+    without a store call. */
 inline constexpr std::uint32_t kNoPartition = UINT32_MAX;
 
-/** What this instance knows of the silence of others; one for all partitions.
+/** Failure detector for the holders of partitions, shared by all partitions, so that each partition
+    of a failed holder need not detect the failure on its own.
 
-    What fails without it: each partition of a lost holder gathers its own evidence, so that
-   bookings fail for seconds, or a shorter patience takes partitions from holders whose store is
-   slow.
-
-    Once an answer is late, or a call was refused, the instance is asked for signs of life, which
-    need no store. Any answer to any call ends the suspicion. Without one, the instance is lost
-   after `silent_takeover_after` (longer if its signs of life were slow before), or after
-    `refused_takeover_after` if connections are refused. Wrong belief costs a takeover, never
-   safety.
+    When a reply is late or a connection is refused, the instance is suspected and probed. Probes
+    need no store call, so a slow store does not delay their replies. Any reply ends the suspicion.
+    Without one, the instance counts as lost after `silent_takeover_after` (longer if its earlier
+    probe replies were slow), or after `refused_takeover_after` if it refuses connections. A false
+    detection causes an unnecessary takeover but does not affect correctness.
 
     @see PartitionRole, ReplyTimeEstimator
 */
 class HolderWatch {
  public:
-  /** `on_silent` is called at each sign of life that an instance misses; ask LostSince whether it
-      is lost by then. */
+  /** `on_silent` is called at each check that finds an instance still silent, before and after
+      LostSince reports it as lost. */
   HolderWatch(const OnceParts& parts,
               const OnceSettings& settings,
               std::function<void(const Instance&)> on_silent);
   ~HolderWatch();
 
-  /** When a call to `instance` is late, counted from when it was sent. */
+  /** Returns the time after which a reply from `instance` is late, counted from the sending. */
   Duration ReplyDeadline(const Instance& instance) const;
 
-  /** An answer came, whatever it says. */
+  /** Records a reply from `instance`, whether a result or an error. */
   void NoteReply(const Instance& instance, TimePoint sent_at);
   void NoteLate(const Instance& instance, TimePoint sent_at) {
     SuspectInstance(instance, sent_at, false);
@@ -55,7 +52,7 @@
     SuspectInstance(instance, sent_at, true);
   }
 
-  /** Since when the instance counts as lost; nothing if it does not. */
+  /** Returns the time since which `instance` counts as lost, or nullopt if it does not. */
   std::optional<TimePoint> LostSince(const Instance& instance) const;
 
  private:
