--- a/packages/zinnia_decisions/once/intent_handler.h
+++ b/packages/zinnia_decisions/once/intent_handler.h
@@ -7,8 +7,8 @@
 
 namespace zinnia {
 
-/** Answers the intents that peers ask this instance, as holder of a partition, to make durable.
-    Called on the control thread; `reply` may be called at once or later, exactly once.
+/** Handles intents and outcomes that peers send to this instance as the holder of a partition.
+    Called on the control thread; `reply` must be called exactly once, immediately or later.
 
     @see PeerListener, OnceGate
 */
