--- a/packages/zinnia_decisions/once/intent_index.cc
+++ b/packages/zinnia_decisions/once/intent_index.cc
@@ -26,8 +26,7 @@
   }
 }
 
-/** What fails without it: answers of some KB each for the whole retention take more memory than an
-    instance has, all the more on one that holds the partitions of several. */
+/** Bounds the memory for recorded answers, since an instance may hold many partitions. */
 void IntentIndex::DropOldestBodies() {
   while (m_body_bytes > m_most_body_bytes) {
     Entry& oldest = m_records.at(m_bodies.begin()->second);
