--- a/packages/zinnia_decisions/once/intent_index.h
+++ b/packages/zinnia_decisions/once/intent_index.h
@@ -12,33 +12,31 @@
 
 namespace zinnia {
 
-/** The durable state of a partition's keys, rebuilt from its segments or kept up by its holder.
+/** The state of a partition's keys, rebuilt from its segments and updated by its holder.
 
-    Holds only what is known to be in the store. Decide says what an intent gets without a write, or
-    that it needs one.
+    Contains only records known to be in the store.
 */
 class IntentIndex {
  public:
-  /** Keeps at most `most_body_bytes` of recorded answers: beyond, the oldest bodies are dropped and
-      their keys answered with `body_dropped`. */
+  /** Keeps at most `most_body_bytes` of recorded answers. Beyond that, the oldest bodies are
+     dropped and their answers marked with `body_dropped`. */
   IntentIndex(std::int64_t retention_ms, std::size_t most_body_bytes)
       : m_retention_ms(retention_ms), m_most_body_bytes(most_body_bytes) {}
 
   void Apply(IntentRecord record);
 
-  /** Nothing: the key is free, so the intent must be made durable first. Otherwise the verdict, or
-      kCancelled if this very attempt was withdrawn.
+  /** Returns the verdict for an intent, kCancelled if this attempt was withdrawn, or nullopt if the
+      key is free and the intent must be recorded first.
 
-      The attempt that holds the grant may ask again, because its asker has not yet told its caller
-      anything (@see OnceCoordinator): its first reply was lost, and it can only have been granted
-      to that one Begin.
+      Returns kGranted again to the attempt that has the grant: the reply was lost, and attempt ids
+      are unique to one call of OnceCoordinator::Begin.
   */
   std::optional<Result<IntentVerdict>> Decide(const IntentRequest& request,
                                               std::int64_t now_unix_ms) const;
 
   const IntentRecord* Find(const OrganisationName& organisation, const std::string& key) const;
 
-  /** Forgets keys whose retention is over. */
+  /** Removes the records whose retention has expired. */
   void DropExpired(std::int64_t now_unix_ms);
 
   std::size_t size() const { return m_records.size(); }
@@ -60,7 +58,7 @@
   std::size_t m_body_bytes = 0;
   std::uint64_t m_next_sequence = 0;
   std::unordered_map<std::string, Entry> m_records;
-  /** The keys whose answers have a body, oldest first. */
+  /** Keys of the answers that have a body, by sequence, oldest first. */
   std::map<std::uint64_t, std::string> m_bodies;
 };
 
