--- a/packages/zinnia_decisions/once/once_ask.h
+++ b/packages/zinnia_decisions/once/once_ask.h
@@ -10,7 +10,7 @@
 
 namespace zinnia {
 
-/** One call of Begin until its callback has run. */
+/** The state of a call of Begin whose callback has not run yet. */
 struct OnceCoordinator::Ask {
   IntentRequest request;
   TimePoint begun_at{};
