--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -14,8 +14,7 @@
 namespace zinnia {
 namespace {
 
-/** Grants that are remembered so that their outcome can be reported. Beyond, the oldest is
-    forgotten; its key then stays "outcome unknown". */
+/** Open grants kept for Report. When full, the oldest is dropped and its key stays kStarted. */
 constexpr std::size_t kMaxOpenGrants = 65'536;
 
 std::string GrantName(const OrganisationName& organisation,
@@ -115,8 +114,8 @@
   if (result && result->verdict == IntentVerdict::kGranted) {
     RememberGrant(*ask);
   } else if (ask->may_be_recorded || ask->in_flight) {
-    // Also after a verdict: an earlier call of this attempt may still wait at the holder and be
-    // granted once the key is free, to nobody; the key would be blocked for the whole retention.
+    // An earlier call of this attempt may still be queued at the holder. Reporting the attempt as
+    // unused prevents a later grant that nobody would use and that would block the key.
     const IntentRequest& request = ask->request;
     m_reporter->Add({request.partition, request.organisation, request.key, request.request_id, {}},
                     Ignore);
