--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -20,18 +20,18 @@
 
 namespace zinnia {
 
-/** At most once for requests with an idempotency key; one on each instance.
+/** Provides at-most-once execution for requests with an idempotency key. Each instance has one.
 
-    Begin finds the holder of the key's partition, which makes the intent durable in the platform's
-    store, and answers within `begin_timeout`. Every error from Begin says was_run "no", and that is
-    a promise: the grant, if one was recorded, was never given to the caller and never will be, and
-    is reported as unused until its key is free again.
+    Begin sends the intent to the holder of the key's partition, which records it in the platform's
+    store, and calls back within `begin_timeout`. Every error from Begin has WasRun::kNo: a grant
+    that may have been recorded is never returned to the caller, and is reported as unused until the
+    key is free again or `report_for` has passed.
 
-    Each call of Begin gets an attempt id of its own, whatever request_id it carries. If the
-    holder's reply is lost, the same attempt asks again and may be granted again: nothing has been
-    told to the caller yet, and the callback runs once.
+    Each call of Begin gets its own attempt id, independent of its request_id. If the holder's reply
+    is lost, the attempt is sent again and may be granted again, since the caller has got no result
+    yet. The callback runs once.
 
-    Create, Start, and on a planned stop HandOver. Lives on the control thread.
+    Call Start after Create, and HandOver before a planned stop. Use it on the control thread only.
 
     @see DispatchWindow, PartitionHolder, OutcomeReporter
 */
@@ -43,27 +43,29 @@
                                                          std::uint64_t seed);
   ~OnceCoordinator() override;
 
-  /** Reads the layout and takes the partitions that lack a holder and prefer this instance. */
+  /** Reads the layout and takes over the partitions without a holder that this instance should
+   * hold. */
   void Start();
 
-  /** `request.partition` and `asking_instance` are filled in here. */
+  /** Sets `request.partition` and `request.asking_instance` itself. */
   void Begin(IntentRequest request, std::function<void(Result<IntentReply>)> callback) override;
 
-  /** `outcome` names the request as Begin did; the callback runs when it is durable or given up. */
+  /** `outcome` has the same request_id as in Begin. The callback runs when the outcome is recorded
+     or reporting it has finally failed. */
   void Report(IntentOutcome outcome, std::function<void(Result<void>)> callback) override;
 
   void OnBeginIntent(IntentRequest request,
                      std::function<void(Result<IntentReply>)> callback) override;
   void OnReportOutcome(IntentOutcome outcome, std::function<void(Result<void>)> callback) override;
 
-  /** Gives up all partitions in good order. Begin goes on to work, through the other instances.
-      `done` runs within `hand_over_timeout`, also while the store is down: what was not released by
-      then is taken over as from an instance that died. */
+  /** Releases all partitions. Begin continues to work through the other instances. `done` runs
+      within `hand_over_timeout`, even if the store is unavailable; partitions not released by then
+      are taken over as those of a failed instance. */
   void HandOver(std::function<void()> done);
 
   std::size_t HeldPartitions();
 
-  /** Grants given whose outcome was not reported, and outcomes not yet recorded. */
+  /** Returns the number of grants without a reported outcome. */
   std::size_t OpenGrants() const { return m_grants.size(); }
   std::size_t PendingReports() const;
 
