--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -7,8 +7,7 @@
 #include "zinnia_decisions/once/once_coordinator.h"
 #include "zinnia_decisions/ports/peer_transport.h"
 
-/** The part of OnceCoordinator that finds the holder for one Begin and asks it, again if need be.
- */
+/** The part of OnceCoordinator that sends a Begin to the partition's holder and retries it. */
 namespace zinnia {
 namespace {
 
@@ -29,8 +28,8 @@
   if (role->Holder() != nullptr) {
     return AskLocally(ask);
   }
-  // By turns the head's holder and the one that should hold it. Rounds do not count: each second
-  // one only reads the head, and one of the two would never be asked.
+  // Alternates between the head's holder and the preferred instance. Counts calls to peers rather
+  // than rounds: every second round only reads the head, so one of the two would never be asked.
   const std::optional<Instance> target = role->Target(ask->peers_asked % 2 == 0);
   if (!target || std::exchange(ask->needs_refresh, false)) {
     return RefreshFor(ask);
@@ -80,7 +79,7 @@
       }));
 }
 
-/** Learns from what a peer said, or did not say, about its being there and about the partition. */
+/** Updates the failure detection of `target` and of the partition from the result of a call. */
 void OnceCoordinator::NoteReply(std::uint32_t partition,
                                 const Instance& target,
                                 TimePoint sent_at,
@@ -92,7 +91,7 @@
   } else if (kind != ErrorKind::kOutcomeUnknown) {
     m_watch.NoteReply(target, sent_at);
   }
-  // A holder that the head still names and that says it holds nothing will not serve either.
+  // kStaleEpoch counts as a refusal: a holder that the head lists may have lost the partition.
   const bool refused = kind == ErrorKind::kPeerUnavailable || kind == ErrorKind::kStaleEpoch;
   if (refused || kind == ErrorKind::kOutcomeUnknown) {
     role->NoteCallFailure(target, sent_at, refused);
@@ -102,8 +101,8 @@
   }
 }
 
-/** Takes the answer of the newest call only. A grant that comes later than that is not lost: the
-    same attempt asks again and gets it again, or reports it as unused. */
+/** Ignores replies to any but the latest call. A grant in an ignored reply is not lost: the attempt
+    either gets it again or is reported as unused. */
 void OnceCoordinator::OnReply(const AskPointer& ask,
                               std::uint32_t round,
                               Result<IntentReply> result) {
@@ -148,15 +147,15 @@
   AskAgain(ask);
 }
 
-/** The call under way may still be answered, or its intent recorded; its answer is not taken. */
+/** Retries at once. The pending call's reply will be ignored, but its intent may be recorded. */
 void OnceCoordinator::AskAgain(const AskPointer& ask) {
   ask->may_be_recorded = true;
   ask->needs_refresh = true;
   Step(ask);
 }
 
-/** Once the holder is lost, takes what is this instance's part of all that it had, and lets nobody
-    wait for it any longer. Before that, looks whether others have taken it already. */
+/** If `holder` is lost, takes its partitions over where this instance should, and retries the calls
+    that wait for it. If it is only suspected, checks whether its partitions have a new holder. */
 void OnceCoordinator::OnHolderSilent(const Instance& holder) {
   const bool lost = m_watch.LostSince(holder).has_value();
   if (lost) {
@@ -170,9 +169,8 @@
   }
 }
 
-/** What fails without it: an instance that has not asked the lost holder before waits as long as
-   the first one did, although the partition was taken over meanwhile. One read for each booking
-   that meets a silent holder. */
+/** Reads the head once per request to find a new holder without waiting until the silent one counts
+    as lost. */
 void OnceCoordinator::CheckForNewHolder(const AskPointer& ask) {
   if (std::exchange(ask->checked_for_new_holder, true)) {
     return;
