--- a/packages/zinnia_decisions/once/once_coordinator_records.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_records.cc
@@ -6,8 +6,8 @@
 #include "zinnia_decisions/once/once_ask.h"
 #include "zinnia_decisions/once/once_coordinator.h"
 
-/** The part of OnceCoordinator that says what was decided about a request: a fixed number of
-   records for each request with a key, on the instance that its caller asked. */
+/** The part of OnceCoordinator that writes decision records. The number of records per request is
+    bounded, and they are written only on the instance that received the request. */
 namespace zinnia {
 namespace {
 
@@ -82,7 +82,7 @@
                            {{"error", std::string(NameOf(error.kind))}}});
 }
 
-/** Wraps `callback` so that what became of the outcome is recorded before it runs. */
+/** Returns a callback that writes a decision record about the outcome and then calls `callback`. */
 std::function<void(Result<void>)> OnceCoordinator::RecordingOutcome(
     const std::string& request_id,
     bool has_answer,
