--- a/packages/zinnia_decisions/once/once_coordinator_roles.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_roles.cc
@@ -6,7 +6,7 @@
 #include "zinnia_decisions/once/alive_guard.h"
 #include "zinnia_decisions/once/once_coordinator.h"
 
-/** The part of OnceCoordinator that holds partitions: layout, takeovers, hand-over, peers' calls.
+/** The part of OnceCoordinator that manages partitions: layout, takeovers, hand-over, peers' calls.
  */
 namespace zinnia {
 
@@ -24,9 +24,8 @@
   OnMembershipChanged();
 }
 
-/** The number of partitions is read from the store, never from settings alone. What fails without
-    it: two instances with different settings would put one key into two partitions, and both would
-    grant it. */
+/** Reads the number of partitions from the store, because instances with different settings would
+    map one key to different partitions and grant it twice. */
 void OnceCoordinator::ReadLayout() {
   if (std::exchange(m_layout_under_way, true)) {
     return;
@@ -51,7 +50,7 @@
   }
 }
 
-/** Whatever becomes of the write, the record is read afterwards. */
+/** Another instance may write the layout first, so it is read again afterwards. */
 void OnceCoordinator::WriteLayout() {
   m_layout_under_way = true;
   m_parts.store.CompareAndSwap(kOnceLayoutKey, 0, EncodeLayout(m_settings.partitions), std::nullopt,
@@ -97,8 +96,8 @@
   });
 }
 
-/** Serves a peer: as the holder, or after taking the partition over if that is this instance's
-    part. */
+/** Calls `callback` with the partition's holder, first taking the partition over if this instance
+    should hold it. */
 void OnceCoordinator::WithHolder(std::uint32_t partition, const HolderCallback& callback) {
   PartitionRole* role = RoleOf(partition);
   const Error not_held =
@@ -134,8 +133,7 @@
       once();
     }
   };
-  // What fails without it: the store is down, no head can be marked as released, and a planned stop
-  // hangs for as long as the outage lasts.
+  // Without this timeout, a planned stop would block until a store outage ends.
   m_hand_over_timer = m_parts.scheduler.ScheduleAfter(m_settings.hand_over_timeout, [this, once] {
     m_parts.recorder.Record({m_parts.clock.Now(),
                              "once_hand_over",
