--- a/packages/zinnia_decisions/once/once_gate.h
+++ b/packages/zinnia_decisions/once/once_gate.h
@@ -7,11 +7,11 @@
 
 namespace zinnia {
 
-/** The gate that every non-idempotent request with a key passes before it is dispatched.
+/** Admits non-idempotent requests with an idempotency key.
 
-    Dispatch only after kGranted, and only if less than the reply's `valid_for_ms` passed since
-    Begin was called: whoever sleeps longer must report the grant as unused instead. An error from
-    Begin means that the request was not and will not be dispatched.
+    Call Begin for each such request, and dispatch it only if the verdict is kGranted and less than
+    the reply's `valid_for_ms` has passed since the call of Begin. Otherwise report the grant as
+    unused. If Begin fails, the request must not be dispatched.
 
     @see OnceCoordinator, IntentVerdict
 */
