--- a/packages/zinnia_decisions/once/once_parts.h
+++ b/packages/zinnia_decisions/once/once_parts.h
@@ -9,7 +9,7 @@
 class PlatformStore;
 class Scheduler;
 
-/** The objects that the at-most-once protocol works with. All must outlive it. */
+/** The dependencies of the at-most-once protocol. All must outlive it. */
 struct OnceParts {
   Clock& clock;
   Scheduler& scheduler;
