--- a/packages/zinnia_decisions/once/once_records.cc
+++ b/packages/zinnia_decisions/once/once_records.cc
@@ -28,7 +28,7 @@
   return "started";
 }
 
-/** An unknown name counts as started: the state that never runs anything again. */
+/** Maps unknown names to kStarted, the state in which a request is never run again. */
 IntentState StateFromName(std::string_view name) {
   for (const auto& [value, known] : kStateNames) {
     if (known == name) {
@@ -48,7 +48,8 @@
   return value;
 }
 
-/** JSON carries text only, so a body of other bytes is written as hexadecimal digits. */
+/** Returns whether `body` can be stored as a JSON string. Other bodies are stored in hexadecimal.
+ */
 bool IsJsonText(const std::string& body) {
   boost::system::error_code error;
   json::parse(json::serialize(json::string(body)), error);
@@ -108,7 +109,7 @@
   return record;
 }
 
-/** Runs `decode`, turning what the JSON library throws into one typed error. */
+/** Runs `decode` and converts exceptions of the JSON library to an Error. */
 template <typename Decode>
 auto Decoded(const char* what, Decode decode) -> Result<decltype(decode())> {
   try {
