--- a/packages/zinnia_decisions/once/once_records.h
+++ b/packages/zinnia_decisions/once/once_records.h
@@ -11,8 +11,8 @@
 
 namespace zinnia {
 
-/** Who holds a partition, and the segments that make up its log, oldest first; the last is open.
-    Stored under HeadKey. Each takeover raises `epoch`. */
+/** The holder of a partition and the segments of its log, oldest first; the last one is open.
+    Stored under HeadKey. Each takeover increments `epoch`. */
 struct PartitionHead {
   std::uint64_t epoch = 0;
   bool released = false;
@@ -20,11 +20,12 @@
   std::vector<std::string> segments;
 };
 
-/** Whether a key stands for a request that may have run, one that ran, or one that never will. */
+/** kStarted: the request may have run. kAnswered: it ran and its answer is recorded. kFree: it has
+    not run and never will. */
 enum class IntentState { kStarted, kAnswered, kFree };
 
-/** The whole state of one key. A segment is a log of these: the last one for a key counts.
-    `attempt` names the one Begin that was granted; only it may report the outcome. */
+/** The state of one key. Segments are logs of these; the last record of a key is the valid one.
+    `attempt` identifies the call of Begin that was granted; only it may report the outcome. */
 struct IntentRecord {
   OrganisationName organisation;
   std::string key;
@@ -35,15 +36,15 @@
   std::optional<RecordedAnswer> answer;
 };
 
-/** The first line of a segment. `serial` makes each written value distinct, so that a writer can
-    tell its own write when it reads back; a sealed segment is never written again. */
+/** The first line of a segment. `serial` makes each written value unique, so that a writer can
+    recognise its own write. A sealed segment is never written again. */
 struct SegmentHeader {
   std::uint64_t epoch = 0;
   std::uint64_t serial = 0;
   bool sealed = false;
 };
 
-/** A parsed segment. `body` is the text of the records, as stored. */
+/** A parsed segment. `body` is the stored text of the records. */
 struct Segment {
   SegmentHeader header;
   std::string body;
@@ -62,7 +63,7 @@
 std::string EncodeHead(const PartitionHead& head);
 Result<PartitionHead> DecodeHead(const std::string& text);
 
-/** Segments are JSON lines, so that appending a record does not encode the others again. */
+/** Segments are JSON lines, so that a record can be appended without encoding the others again. */
 std::string EncodeSegmentHeader(const SegmentHeader& header);
 std::string EncodeIntentRecord(const IntentRecord& record);
 Result<Segment> DecodeSegment(const std::string& text);
