--- a/packages/zinnia_decisions/once/once_settings.cc
+++ b/packages/zinnia_decisions/once/once_settings.cc
@@ -10,12 +10,11 @@
   if (!(settings.store_writes_per_second > 0.0) || !(settings.write_burst >= 1.0)) {
     return refuse("once.store_writes_per_second must be above 0 and once.write_burst at least 1");
   }
-  // A key that is forgotten while its request can still be dispatched could be granted twice.
+  // A key that expires before its request can no longer be dispatched could be granted twice.
   if (settings.retention < 10 * settings.valid_for) {
     return refuse("once.retention must be at least ten times once.valid_for");
   }
-  // A holder that is asked too seldom, or not waited for, would lose its partitions to one lost
-  // reply.
+  // A single lost reply must not make a holder lose its partitions.
   if (settings.sign_of_life_interval.count() <= 0 ||
       settings.silent_takeover_after < 4 * settings.sign_of_life_interval ||
       settings.takeover_after < settings.silent_takeover_after) {
