--- a/packages/zinnia_decisions/once/outcome_reporter.cc
+++ b/packages/zinnia_decisions/once/outcome_reporter.cc
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds kFirstPause{50};
 constexpr std::chrono::milliseconds kLongestPause{2'000};
 
-/** Whether offering the outcome again cannot change the answer. */
+/** Returns whether retrying cannot change the result. */
 bool IsFinal(const Result<void>& result) {
   return result || result.error().kind == ErrorKind::kNotFound;
 }
@@ -64,7 +64,7 @@
   if (PartitionHolder* holder = role->Holder()) {
     return holder->Report(report->outcome, offered_to(m_parts.membership.Self()));
   }
-  // By turns, as OnceCoordinator asks; only what was sent to a peer counts as a turn.
+  // Alternates between the head's holder and the preferred instance, as OnceCoordinator does.
   const std::optional<Instance> target = role->Target(report->peers_offered % 2 == 0);
   if (target && !std::exchange(report->needs_refresh, false)) {
     report->peers_offered += 1;
@@ -77,7 +77,7 @@
 void OutcomeReporter::OnOffered(const ReportPointer& report,
                                 const Instance& target,
                                 const Result<void>& result) {
-  // Whoever says that it holds nothing, or cannot be reached, is as good as no holder.
+  // A target that cannot be reached or does not hold the partition counts as a failed holder.
   PartitionRole* role = m_role_of(report->outcome.partition);
   const ErrorKind kind = result ? ErrorKind::kNotFound : result.error().kind;
   if (kind == ErrorKind::kStaleEpoch || kind == ErrorKind::kPeerUnavailable) {
