--- a/packages/zinnia_decisions/once/outcome_reporter.h
+++ b/packages/zinnia_decisions/once/outcome_reporter.h
@@ -12,11 +12,11 @@
 
 namespace zinnia {
 
-/** Brings outcomes to the holders of their partitions, again and again until they are recorded.
+/** Sends outcomes to the holders of their partitions and retries until they are recorded or
+    `report_for` has passed.
 
-    What fails without it: the store is down, or the holder changes, when the answer of a request
-    that ran comes in or when a recorded grant was not used. The key would answer "outcome unknown"
-    until it expires. Offering an outcome twice is harmless: the holder compares the attempt.
+    Without retries, a store outage or a change of the holder would leave the key in kStarted until
+    it expires. Sending an outcome twice is harmless, since the holder compares the attempt.
 
     @see OnceCoordinator
 */
@@ -30,8 +30,8 @@
                   std::uint64_t seed);
   ~OutcomeReporter();
 
-  /** `outcome` has its partition and its attempt filled in. Fails with kOverloaded at once when too
-      many wait already. */
+  /** `outcome` must contain the partition and, as request_id, the attempt id. Fails immediately
+     with kOverloaded if too many outcomes are pending. */
   void Add(IntentOutcome outcome, Callback callback);
 
   std::size_t size() const { return m_reports.size(); }
