--- a/packages/zinnia_decisions/once/reply_time_estimator.h
+++ b/packages/zinnia_decisions/once/reply_time_estimator.h
@@ -6,10 +6,11 @@
 
 namespace zinnia {
 
-/** How long an instance takes to answer, learned from its answers: a moving mean and deviation.
+/** Estimates an instance's reply time by exponential moving averages of its mean and deviation, as
+    TCP does for retransmission timeouts.
 
-    Use Deadline for when an answer is late. Bound it below: a few fast answers say nothing of the
-    next one.
+    Callers should apply a minimum to Deadline, since a few fast replies do not predict the next
+    one.
 
     @see HolderWatch
 */
@@ -26,7 +27,7 @@
     m_deviation += (std::max(difference, -difference) - m_deviation) / kDeviationDivisor;
   }
 
-  /** Zero while nothing was learned. */
+  /** Returns the time after which a reply is late, or zero before the first reply. */
   Duration Deadline() const { return m_mean + kDeviationFactor * m_deviation; }
 
  private:
