--- a/packages/zinnia_decisions/once/settled_writer.cc
+++ b/packages/zinnia_decisions/once/settled_writer.cc
@@ -19,7 +19,7 @@
                           std::uint64_t expected_version,
                           std::string value,
                           PlatformStore::WriteCallback callback) {
-  // The write before this one must have called back.
+  // Only one write at a time.
   assert(!m_callback);
   m_key = std::move(key);
   m_expected_version = expected_version;
