--- a/packages/zinnia_decisions/once/settled_writer.h
+++ b/packages/zinnia_decisions/once/settled_writer.h
@@ -14,16 +14,15 @@
 class ScheduledCall;
 class Scheduler;
 
-/** Compare-and-swap whose outcome is always known in the end: one write at a time.
+/** Compare-and-swap that resolves unknown outcomes. Handles one write at a time.
 
-    What fails: the store's answer is lost after the write took effect, or the write takes effect
-    after its caller gave up (kStoreOutcomeUnknown). Reading back once is not enough, since a write
-    can take effect after the read. So the same value is written again at the same expected version
-    until one of the two is seen to have taken effect, or the record has moved on and neither can.
+    After kStoreOutcomeUnknown, the write may have taken effect or may still do so, possibly after
+    the record is read back. The writer therefore repeats the write with the same expected version
+    until either a write has taken effect or the record has another version, so that neither can.
 
-    The callback gets the new version, kStoreConflict (not in force, and never will be) or
-    kStoreUnavailable (never took effect); it is dropped when the writer is destroyed. No two
-    writers may write the same value to the same key: put an epoch and a serial into it.
+    The callback gets the new version, kStoreConflict (another value was written) or
+    kStoreUnavailable (the write did not take effect); it is dropped if the writer is destroyed.
+    Values written to one key must be unique, for example by an epoch and a serial.
 */
 class SettledWriter {
  public:
@@ -35,7 +34,7 @@
              std::string value,
              PlatformStore::WriteCallback callback);
 
-  /** Whether a write is under way whose answer was lost. */
+  /** Returns whether the outcome of the current write is unknown. */
   bool IsUncertain() const { return m_uncertain; }
 
  private:
