--- a/packages/zinnia_decisions/once/takeover_slots.h
+++ b/packages/zinnia_decisions/once/takeover_slots.h
@@ -5,9 +5,9 @@
 
 namespace zinnia {
 
-/** Bounds how many partitions of lost holders this instance takes over at once.
+/** Limits the number of concurrent takeovers from lost holders.
 
-    Take gives a slot, or null if all are taken; let go of the slot when the takeover is over.
+    Take returns a slot, or null if none is free. Destroy the slot when the takeover has finished.
 */
 class TakeoverSlots {
  public:
@@ -24,7 +24,7 @@
 
  private:
   const std::size_t m_most;
-  /** One use is this class's own; each other is a slot. */
+  /** Its reference count is the number of slots in use plus one. */
   std::shared_ptr<void> m_taken = std::make_shared<char>();
 };
 
