--- a/packages/zinnia_decisions/once/settled_writer.h
+++ b/packages/zinnia_decisions/once/settled_writer.h
@@ -20,9 +20,9 @@
     the record is read back. The writer therefore repeats the write with the same expected version
     until either a write has taken effect or the record has another version, so that neither can.
 
-    The callback gets the new version, kStoreConflict (another value was written) or
-    kStoreUnavailable (the write did not take effect); it is dropped if the writer is destroyed.
-    Values written to one key must be unique, for example by an epoch and a serial.
+    The callback gets the new version, kStoreConflict (the record changed, so the write cannot take
+   effect) or kStoreUnavailable (the write did not take effect); it is dropped if the writer is
+   destroyed. Values written to one key must be unique, for example by an epoch and a serial.
 */
 class SettledWriter {
  public:
