--- a/tests/once/fake_instance.h
+++ b/tests/once/fake_instance.h
@@ -9,7 +9,7 @@
 
 namespace zinnia {
 
-/** Posts calls that nobody wants to cancel. */
+/** Schedules calls that are never cancelled. */
 class Postman {
  public:
   explicit Postman(VirtualTime& time) : m_time(time) {}
@@ -22,8 +22,8 @@
   std::vector<std::unique_ptr<ScheduledCall>> m_calls;
 };
 
-/** The thread of one fake process. While it is paused, everything that should run on it waits; once
-    it is killed, nothing runs any more. It is the scheduler of the objects that live in it. */
+/** The thread and scheduler of one fake process. Calls are deferred while it is paused and dropped
+    after it was killed. */
 class FakeThread final : public Scheduler {
  public:
   explicit FakeThread(VirtualTime& time) : m_time(time) {}
