--- a/tests/once/fake_store.h
+++ b/tests/once/fake_store.h
@@ -12,12 +12,11 @@
 
 namespace zinnia {
 
-/** How the fake store fails at the moment. Probabilities are for each call. */
+/** The delays and faults that the fake store injects. Probabilities apply to each call. */
 struct StoreFaults {
   Duration one_way = std::chrono::microseconds(1'500);
   bool outage = false;
-  /** The answer is lost; the write took effect, takes effect up to `longest_late` later, or never.
-   */
+  /** The reply is lost. The write takes effect at once, up to `longest_late` later, or never. */
   double lose_answer = 0.0;
   double effect_late = 0.3;
   double effect_never = 0.3;
@@ -71,7 +70,7 @@
   }
 };
 
-/** One instance's way to the fake store. */
+/** One instance's client of the fake store. */
 class FakeStoreClient final : public PlatformStore {
  public:
   FakeStoreClient(FakeStore& store, FakeThread& thread) : m_store(store), m_thread(thread) {}
