--- a/tests/once/once_property_test.cc
+++ b/tests/once/once_property_test.cc
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kPropertySeed = 20'260'312;
 constexpr int kSchedules = 3'000;
 
-/** Empty if no schedule violates anything, otherwise rapidcheck's report with the seed. */
+/** Returns rapidcheck's report with the seed of a failed schedule, or an empty string. */
 std::string CheckSchedules() {
   rc::detail::TestParams params;
   params.seed = kPropertySeed;
@@ -34,19 +34,14 @@
 
 TEST_GROUP(OnceProperty){};
 
-// Symptom: a bed is booked twice, or a caller is told something that the service's ledger denies.
-// Events: any mix of paused, killed, replaced and handed-over instances, lost, late and refused
-// store answers, slow store, lost peer replies, wrong membership, late dispatch, resent keys.
-// Cause: whichever step of the protocol does not hold; the seed replays it.
+// Runs random schedules of instance, store, peer and membership faults. No key may run twice, and
+// no caller's result may contradict the service's ledger.
 TEST(OnceProperty, NoScheduleRunsAKeyTwiceOrMisleadsACaller) {
   STRCMP_EQUAL("", CheckSchedules().c_str());
 }
 
-// Symptom: a key that is free again answers "unknown" or "reused" for the whole retention (66197,
-// 76643); a stopping instance never reaches the next holder (42460, 45341).
-// Events: 66197: the first call of a Begin is delayed at the holder, the second is told that the
-// key is taken by another attempt; that one is freed, and the delayed call is granted after all.
-// Cause: only a Begin that ended in an error reported its attempt as unused.
+// Regressions: a delayed call was granted to nobody and blocked its key (66197, 76643); a stopping
+// instance never reached the next holder (42460, 45341).
 TEST(OnceProperty, SchedulesThatFailedOnceHold) {
   for (const std::uint64_t seed : {17'248, 42'460, 45'341, 66'197, 76'643}) {
     const std::vector<std::string> violations = OnceSchedule(seed).Run();
