--- a/tests/once/once_schedule.h
+++ b/tests/once/once_schedule.h
@@ -7,14 +7,14 @@
 
 namespace zinnia {
 
-/** Runs one seeded schedule of calls and failures, heals everything, and checks what callers were
-    told against the service's ledger. */
+/** Runs a random schedule of calls and faults, repairs all faults, and checks the callers' results
+    against the service's ledger. */
 class OnceSchedule {
  public:
   explicit OnceSchedule(std::uint64_t seed)
       : m_random(seed), m_world(seed, 3 + RandomBelow(m_random, 2), Settings()) {}
 
-  /** Returns what was violated; empty if nothing. */
+  /** Returns the violations, or an empty list. */
   std::vector<std::string> Run() {
     const std::uint64_t steps = 10 + RandomBelow(m_random, 15);
     for (std::uint64_t step = 0; step < steps; ++step) {
@@ -128,8 +128,8 @@
     }
   }
 
-  /** After healing every instance serves new keys, and a key that never ran is free unless an
-      instance died that may have held its grant. */
+  /** After the repair, every instance must serve new keys, and a key that never ran must be free
+      unless an instance that may have had its grant was killed. */
   void CheckAvailable() {
     std::vector<std::shared_ptr<CallerRequest>> fresh;
     for (std::size_t i = 0; i < m_world.instances.size(); ++i) {
