--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -51,10 +51,7 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: a booking made twice by a caller who lost patience.
-// Events: the service is still busy with the request; the caller resends it through another
-// instance.
-// Cause: the second instance cannot know of the first but through the recorded intent.
+// A retry through another instance must not run while the first request is still running.
 TEST(Once, AResendThroughAnotherInstanceWhileTheFirstRunsIsNotRun) {
   world.service_time = seconds(5);
   const auto first = CallAndWait(*holder, "k", seconds(1));
@@ -65,9 +62,7 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: as above, after the instance that ran the request died.
-// Events: the instance is killed after dispatch, before the answer came; the caller resends.
-// Cause: nobody knows the outcome; only "unknown" is honest.
+// The outcome is unknown if the instance is killed between the dispatch and the answer.
 TEST(Once, AResendAfterAKillAfterDispatchIsUnknown) {
   world.service_time = seconds(5);
   CallAndWait(*other, "k", seconds(1));
@@ -77,8 +72,8 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Events: the instance is killed after the grant, before dispatch; the caller resends.
-// Cause: from outside this is the same as the case above, so it must not run either.
+// A kill between grant and dispatch cannot be told from one after dispatch, so the retry must not
+// run either.
 TEST(Once, AResendAfterAKillBeforeDispatchIsUnknownAndNotRun) {
   world.dispatch_delay = seconds(5);
   CallAndWait(*other, "k", seconds(1));
@@ -88,10 +83,7 @@
   LONGS_EQUAL(0, RunsOf("k"));
 }
 
-// Symptom: two instances run one key.
-// Events: the holder is paused, another takes over and grants a key; the old holder wakes and is
-// asked for the same key, by a caller it would have granted.
-// Cause: the old holder still believes that it holds the partition.
+// A holder that was paused during a takeover must not grant a key that the new holder granted.
 TEST(Once, AHolderThatWakesGrantsNothing) {
   CHECK(CallAndWait(*other, "warm-up")->told == Told::kAnswered);
   holder->thread().Pause();
@@ -104,9 +96,8 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: a booking refused as "unknown" although it never ran, or run twice.
-// Events: the store's answer is lost after the write took effect.
-// Cause: the holder must settle the write by reading back before it answers.
+// The holder must resolve a write whose reply was lost before it answers; otherwise a request could
+// be refused although it never ran, or run twice.
 TEST(Once, ALostStoreAnswerAfterTheEffectIsSettled) {
   world.store.faults.lose_answer = 0.9;
   world.store.faults.effect_late = 0.0;
@@ -119,10 +110,8 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: a key that never ran stays "unknown" for the whole retention.
-// Events: the store loses answers and writes for longer than Begin waits; the caller is told "not
-// run"; the write takes effect afterwards.
-// Cause: an intent that nobody will use is in the log until it is withdrawn.
+// An intent whose write takes effect after Begin failed must be withdrawn, or its key stays blocked
+// for the whole retention.
 TEST(Once, AnIntentThatTakesEffectAfterTheRefusalIsFreedAgain) {
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
@@ -134,8 +123,7 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Events: as above, but the asking instance dies as well, and can report nothing.
-// Cause: the holder told the asker "not run" itself, so it can free the key itself.
+// As above, but the calling instance is killed and cannot report the attempt as unused.
 TEST(Once, AHolderFreesALateIntentWithoutItsAsker) {
   CallAndWait(*other, "warm-up");
   world.store.faults.lose_answer = 1.0;
@@ -148,9 +136,7 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: callers hang while the store is down.
-// Events: a long outage; every instance is asked.
-// Cause: nothing can be granted without the store, so the refusal must come at once, as not run.
+// Callers must not wait for the end of a store outage.
 TEST(Once, WithoutTheStoreEveryRequestIsRefusedAtOnceAndNotRun) {
   world.store.faults.outage = true;
   for (int i = 0; i < 60; ++i) {
@@ -165,8 +151,7 @@
   LONGS_EQUAL(1, RunsOf("k0"));
 }
 
-// Events: the answer of a request comes while the store is down.
-// Cause: without offering it again, the key would say "unknown" although the answer was known.
+// An answer that cannot be recorded must be reported again, or its key stays unknown.
 TEST(Once, AnAnswerThatComesDuringAnOutageIsRecordedAfterwards) {
   world.service_time = seconds(2);
   const auto request = CallAndWait(*other, "k", seconds(1));
@@ -187,9 +172,8 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: the same request id twice runs twice.
-// Events: a caller's own X-Request-Id is used as request id, and the caller repeats it.
-// Cause: an attempt may get its grant again after a lost reply; two Begins must not be one attempt.
+// A caller may repeat its X-Request-Id. Only the same attempt may get its grant again, so each call
+// of Begin must be an attempt of its own.
 TEST(Once, TwoBeginsWithOneRequestIdAreTwoAttempts) {
   int granted = 0;
   for (int i = 0; i < 2; ++i) {
@@ -203,8 +187,7 @@
   LONGS_EQUAL(1, granted);
 }
 
-// Events: the holder's reply to Begin is lost; the asker asks again.
-// Cause: nothing was dispatched yet, so the same attempt may have its grant.
+// Nothing was dispatched when the holder's reply is lost, so the same attempt may get its grant.
 TEST(Once, ALostReplyOfTheHolderIsAskedForAgain) {
   world.lose_reply = 1.0;
   const auto request = other->Call("k", "body");
@@ -215,8 +198,7 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Events: the membership wrongly says that the holder is dead; another takes the partition over
-// while the holder lives, and both are asked.
+// A takeover from a live holder that membership lists as dead must not grant a key twice.
 TEST(Once, AHolderWronglyBelievedDeadDoesNoHarm) {
   world.believed_dead.insert(holder->Self().name);
   for (int i = 0; i < 20; ++i) {
@@ -232,9 +214,7 @@
   LONGS_EQUAL(20, world.ledger.runs.size());
 }
 
-// Symptom: a partition moves for one instance's mistake.
-// Events: one instance alone believes that the holder is dead; a third is preferred.
-// Cause: an instance that only follows its own list would take the partition from a living holder.
+// A wrong membership view of a single instance must not move a partition from a live holder.
 TEST(Once, OneMistakenInstanceStillReachesTheHolder) {
   const auto rank = [](FakeInstance& instance) {
     return Hash64(instance.Self().name + "/" + std::to_string(instance.Self().start), 0);
@@ -252,8 +232,8 @@
   LONGS_EQUAL(1, holder->coordinator().HeldPartitions());
 }
 
-// Events: an instance's thread sleeps between the grant and the dispatch, past the window.
-// Cause: its caller has long gone; the request must not run, and its key must become free.
+// A request whose dispatch is delayed beyond the dispatch window must not run, and its key must
+// become free.
 TEST(Once, AGrantThatIsTooOldIsNotDispatchedAndFreesTheKey) {
   world.dispatch_delay = seconds(11);
   const auto late = CallAndWait(*other, "k", seconds(15));
@@ -276,9 +256,7 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: keys of some partitions are refused as long as stopped instances are listed as live.
-// Events: two of three instances have given their roles up and still serve callers.
-// Cause: each waits for the preferred instance, which is one that has given up.
+// Stopping instances are still listed as live, but must not be waited for as preferred holders.
 TEST(Once, TheLastInstanceTakesWhatStoppingOnesWereToTake) {
   OnceWorld stopping(9, 3);
   stopping.Advance(seconds(1));
@@ -292,9 +270,8 @@
   }
 }
 
-// Symptom: bookings through an instance that is being stopped fail until it is gone.
-// Events: it gives its roles up; afterwards the holder dies. It asks the dead holder at each turn.
-// Cause: the turns of asking the preferred instance fell on rounds that only read the head.
+// A stopping instance must alternate between the killed holder and the preferred instance.
+// Regression: the preferred instance's turn always fell on a round that only reads the head.
 TEST(Once, AStoppingInstanceReachesTheNextHolderAfterAKill) {
   for (std::size_t i = 0; i < 2 * world.instances.size(); ++i) {
     const auto& leaving = world.instances[i / 2];
@@ -316,8 +293,8 @@
   }
 }
 
-// Events: an instance starts with another number of partitions in its settings.
-// Cause: it would look for a key in another partition and grant it again.
+// An instance with another number of partitions in its settings must not map a key to another
+// partition and grant it again.
 TEST(Once, TheStoreDecidesTheNumberOfPartitions) {
   CHECK(CallAndWait(*other, "k")->told == Told::kAnswered);
   world.settings.partitions = 32;
@@ -337,9 +314,7 @@
   CHECK(segment->header.sealed);
 }
 
-// Symptom: an instance that holds many partitions runs out of memory.
-// Events: answers of some KB each are recorded for the whole retention.
-// Cause: only their number was bounded.
+// The memory for recorded answers must be bounded by size, not only by their number.
 TEST(Once, TheOldestBodiesOfRecordedAnswersAreDroppedAndSaidToBe) {
   IntentIndex index(1'000, 250);
   for (int i = 0; i < 4; ++i) {
@@ -358,7 +333,7 @@
   LONGS_EQUAL(0, index.body_bytes());
 }
 
-// Symptom: `explain request` of a booking says nothing of why it ran or was refused.
+// `explain request` must show why a request ran or was refused.
 TEST(Once, TheDecisionsAboutABookingAreRecordedInOrder) {
   const auto decisions_about = [](FakeInstance& instance, const std::string& id) {
     std::string decisions;
