--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -15,7 +15,7 @@
 
 namespace zinnia {
 
-/** What a caller was told in the end. kNothing: its connection died with the instance. */
+/** The result that a caller received. kNothing: the connection closed with the instance. */
 enum class Told { kNothing, kNotRun, kAnswered, kUnknown, kReused };
 
 struct CallerRequest {
@@ -28,7 +28,7 @@
   TimePoint told_at{};
 };
 
-/** The service behind the gate: every run it sees, by key, with the request that caused it. */
+/** The backend service's log of runs: for each key, the requests that caused a run. */
 struct ServiceLedger {
   std::map<std::string, std::vector<std::string>> runs;
   std::set<std::string> request_ids;
@@ -57,7 +57,8 @@
   void RemoveListener(MembershipListener&) override {}
   void Record(DecisionRecord record) override { decisions.push_back(std::move(record)); }
 
-  /** A caller's request arrives: passes the gate, runs the service if granted, tells the caller. */
+  /** Handles a caller's request: calls Begin, runs the service if granted and returns the result.
+   */
   std::shared_ptr<CallerRequest> Call(const std::string& key, const std::string& body);
 
   OnceCoordinator& coordinator() { return *m_coordinator; }
@@ -89,7 +90,7 @@
   std::unique_ptr<OnceCoordinator> m_coordinator;
 };
 
-/** A handful of instances, the store between them and the service behind them. */
+/** Several instances with a shared store and a backend service. */
 class OnceWorld {
  public:
   OnceWorld(std::uint64_t seed, std::size_t instances, OnceSettings settings = {})
@@ -118,7 +119,7 @@
   FakeInstance& operator[](std::size_t index) { return *instances[index]; }
   void Advance(std::chrono::milliseconds duration) { time.AdvanceBy(duration); }
 
-  /** The instance that holds most partitions, or the first. */
+  /** Returns a running instance that holds partitions, or the first instance. */
   FakeInstance& Holder() {
     FakeInstance* best = instances.front().get();
     for (const auto& instance : instances) {
@@ -130,7 +131,7 @@
     return *best;
   }
 
-  /** How many decisions of this name all instances together have taken. */
+  /** Returns the number of decision records with this name on all instances. */
   std::size_t Count(const std::string& decision) const {
     std::size_t count = 0;
     for (const auto& instance : instances) {
@@ -151,7 +152,7 @@
   std::uint64_t started = 0;
   std::uint64_t next_request = 0;
 
-  /** Faults of the network and of the membership views. */
+  /** Delays and faults of the network. */
   double lose_reply = 0.0;
   double refuse_call = 0.0;
   Duration peer_one_way = std::chrono::microseconds(300);
@@ -161,7 +162,7 @@
   std::set<std::string> believed_dead;
   bool sees_killed_as_live = false;
 
-  /** Only `mistaken_instance` believes that `missed_instance` is dead. */
+  /** Only `mistaken_instance` has `missed_instance` missing in its membership view. */
   std::string mistaken_instance;
   std::string missed_instance;
 };
