--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -17,7 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** An engine that takes loads. `checks` engines refuse a lower epoch than they have seen. */
+/** An engine that accepts load orders. With `checks`, it refuses epochs lower than the highest
+ * seen. */
 struct FakeEngine {
   EngineState state;
   bool checks = true;
@@ -25,7 +26,7 @@
   std::vector<TimePoint> taken_at;
 };
 
-/** Engines and the orders on their way to them; shared by all instances. */
+/** The engines and the orders in flight to them, shared by all instances. */
 struct FakePool {
   VirtualTime time;
   FakeStore store{time, 3};
@@ -58,7 +59,7 @@
   }
 };
 
-/** One instance's reconciler with all it needs. */
+/** One instance's reconciler with its dependencies. */
 class FakeOrderer final : public EngineOrders,
                           public SnapshotSource,
                           public MembershipView,
@@ -161,9 +162,8 @@
   }
 }
 
-// Symptom: two models load side by side and both stay unusable for twice as long.
-// Events: many engines are empty; the weight store is rate limited.
-// Cause: loads must be few at a time, those first that complete a pipeline.
+// The weight store is rate limited, so the number of concurrent loads is limited, and those that
+// complete a pipeline come first.
 TEST(Orders, LoadsAreFewAndThoseThatCompleteAPipelineComeFirst) {
   for (const char* spare : {"c", "d", "e", "f", "g", "h", "i"}) {
     Want(spare, "v1", 0, 2);
@@ -177,9 +177,7 @@
   CHECK(pool.most_loading <= OrderSettings{}.most_loads);
 }
 
-// Symptom: an upgrade takes the model away.
-// Events: the new version is ordered on every server at once.
-// Cause: each stage's last ready replica must stay until another is ready.
+// During an upgrade, each stage's last ready replica must stay until another one is ready.
 TEST(Orders, AnUpgradeKeepsACompletePipelineAllTheTime) {
   for (const auto& [name, begin] :
        std::map<std::string, int>{{"a1", 0}, {"a2", 0}, {"b1", 2}, {"b2", 2}}) {
@@ -189,7 +187,7 @@
   }
   first.Start(Fleet());
   for (int i = 0; i < 600; ++i) {
-    if (i == 300) {  // The last servers of v1 wait until the model itself is at v2.
+    if (i == 300) {  // The last servers of v1 are upgraded only after the model's version is v2.
       entries["model/m"].value = R"({"version":"v2","layers":4})";
       first.Use(Fleet());
     }
@@ -211,10 +209,8 @@
   }
 }
 
-// Symptom: an engine loads an old version although a newer one was ordered.
-// Events: the holder is paused past its lease, about to order v2; another takes over and orders v3;
-// the old holder wakes.
-// Cause: a lease that lapsed is not noticed by a holder that sleeps.
+// A holder that is paused until its lease has expired must not replace the new holder's order when
+// it resumes.
 TEST(Orders, AHolderThatWakesIsRefusedByEnginesThatCheckAndStaysSilentToTheOthers) {
   for (const bool checks : {true, false}) {
     const std::string name = checks ? "checking" : "trusting";
@@ -225,7 +221,7 @@
   pool.time.AdvanceBy(seconds(20));
   FakeOrderer& old_holder = first.HoldsRole() ? first : second;
   FakeOrderer& new_holder = first.HoldsRole() ? second : first;
-  entries.erase("model/m");  // Nothing keeps the engines from loading in place.
+  entries.erase("model/m");  // Allows the engines to load in place.
   Want("checking", "v2", 0, 4);
   Want("trusting", "v2", 0, 4);
   old_holder.Use(Fleet());
@@ -244,9 +240,8 @@
   }
 }
 
-// Symptom: an order of the old holder undoes one of the new holder at an engine that does not
-// check. Events: the old holder's last order is slow on its way; its lease ends; a new holder takes
-// over. Cause: the new holder must wait until what was sent before can no longer arrive.
+// A new holder must wait until no order of the old holder can still arrive at an engine that does
+// not check epochs.
 TEST(Orders, ANewHolderWaitsOutOrdersInFlightToEnginesThatDoNotCheck) {
   Want("trusting", "v1", 0, 4);
   pool.engines["trusting"].checks = false;
@@ -268,9 +263,8 @@
   STRCMP_EQUAL("v2", engine.state.loaded->version.c_str());
 }
 
-// Events: an engine has seen a higher epoch than the store tells of (the store was restored from a
-// backup).
-// Cause: the refused holder must step down and come back with a higher epoch.
+// After the store was restored from a backup, engines may have seen a higher epoch. The refused
+// holder must release its role and acquire it again with a higher epoch.
 TEST(Orders, ARefusedHolderStepsDownAndComesBackAboveTheEngine) {
   Want("a", "v1", 0, 4);
   pool.engines["a"].state.highest_epoch = 40;
