--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -24,14 +24,15 @@
     world.Advance(seconds(3));
   }
 
-  /** Enough keys that every partition gets some. */
+  /** Sends enough keys to reach every partition. */
   void CallAll(FakeInstance & instance, const std::string& prefix) {
     for (int i = 0; i < 100; ++i) {
       instance.Call(prefix + std::to_string(i), "body");
     }
   }
 
-  /** A booking every 50 ms through all instances but `left_out`; how many were not answered. */
+  /** Sends a request every 50 ms through all instances but `left_out`; returns the number that
+   * failed. */
   int RefusedOf(int bookings, const FakeInstance* left_out) {
     std::vector<std::shared_ptr<CallerRequest>> requests;
     for (int i = 0; i < bookings; ++i) {
@@ -55,9 +56,8 @@
   }
 };
 
-// Symptom: bookings fail for seconds after an instance was killed.
-// Events: the holder of several partitions is killed and still listed as live; one booking meets
-// it. Cause: each partition waits until it has been asked for often enough itself.
+// A failure detected by one request must cause the takeover of all partitions of a killed holder
+// that membership still lists as live.
 TEST(OnceTakeover, OneBookingIsEnoughToTakeAllPartitionsOfAKilledHolder) {
   CHECK(holder->coordinator().HeldPartitions() > 1);
   world.sees_killed_as_live = true;
@@ -70,17 +70,14 @@
   LONGS_EQUAL(16, HeldByLiving());
 }
 
-// Events: as above, but the holder is paused and 20 bookings a second arrive everywhere.
-// Cause: without shared evidence and signs of life, some wait longer than their caller.
+// As above with a paused holder and 20 requests a second: no request may time out.
 TEST(OnceTakeover, NoBookingIsRefusedBecauseAHolderSleeps) {
   holder->thread().Pause();
   LONGS_EQUAL(0, RefusedOf(100, holder));
 }
 
-// Symptom: partitions move for no reason while the store is slow.
-// Events: each store call goes from 3 ms to `slow`; nobody is lost.
-// Cause: a holder that waits for the store answers late; only its signs of life tell it from a
-// silent one.
+// Holders that reply late because of a slow store still reply to probes and must keep their
+// partitions.
 TEST(OnceTakeover, ASlowStoreMovesNoPartition) {
   for (const milliseconds slow : {milliseconds(3), milliseconds(50), milliseconds(300)}) {
     world.store.faults.one_way = Duration(slow) / 2;
@@ -90,7 +87,7 @@
   }
 }
 
-// Events: as above, with store calls so slow that no booking is answered in time.
+// As above, with a store so slow that no request is answered in time.
 TEST(OnceTakeover, AStoreTooSlowForBookingsMovesNoPartition) {
   world.store.faults.one_way = milliseconds(400);
   const std::size_t before = world.Count("take_over");
@@ -98,9 +95,8 @@
   LONGS_EQUAL(before, world.Count("take_over"));
 }
 
-// Symptom: bookings through some instances hang long after the others are served again.
-// Events: a holder is paused and its partitions are taken over; then an instance asks the old one.
-// Cause: it waits as long as the first one did, although it could have read the head.
+// An instance that sends a request to the old holder after a takeover must find the new holder by
+// reading the head, not only after the takeover timeout.
 TEST(OnceTakeover, WhoeverMissedATakeoverFindsTheNewHolderSoon) {
   FakeInstance* late = nullptr;
   for (const auto& instance : world.instances) {
@@ -124,9 +120,7 @@
   }
 }
 
-// Symptom: the store is flooded by takeovers when a holder of many partitions is lost.
-// Events: one instance of two is killed, both are listed as live.
-// Cause: all its partitions are taken over at the same time.
+// The loss of a holder of many partitions must not flood the store with concurrent takeovers.
 TEST(OnceTakeover, FewPartitionsAreTakenOverAtOnce) {
   OnceSettings settings;
   settings.most_takeovers = 2;
@@ -149,9 +143,7 @@
   CHECK(pair.store.most_writes_under_way <= 2);
 }
 
-// Symptom: a lost holder costs the store several times what its partitions need.
-// Events: all instances meet a paused holder at the same moment.
-// Cause: each of them tries to take each partition, and all but one lose.
+// Instances that detect a lost holder at the same time must not all attempt every takeover.
 TEST(OnceTakeover, InstancesTakeTurnsAtALostHoldersPartitions) {
   const std::size_t held = holder->coordinator().HeldPartitions();
   holder->thread().Pause();
@@ -163,9 +155,7 @@
   LONGS_EQUAL(held, world.store.creations - before);
 }
 
-// Symptom: a partition goes round all instances after its holder slept once.
-// Events: the holder is paused; calls to it are given up seconds later, when others hold already.
-// Cause: the old failures counted against the new holder.
+// Calls to a paused holder that time out after a takeover must not count against the new holder.
 TEST(OnceTakeover, LateFailuresOfTheOldHolderDoNotMoveThePartitionAgain) {
   const std::size_t held = holder->coordinator().HeldPartitions();
   const std::size_t before = world.Count("take_over");
@@ -174,9 +164,8 @@
   LONGS_EQUAL(before + held, world.Count("take_over"));
 }
 
-// Symptom: an instance takes everything when its machine wakes.
-// Events: the machines of a holder and of an asker are suspended for 3 s with calls on their way.
-// Cause: to the timers of the asker the silence looks as long as the suspension.
+// After a suspension of its own machine, an instance must not take replies that are still in flight
+// for a silent holder.
 TEST(OnceTakeover, AnAskerThatSleptItselfTakesNothing) {
   const std::size_t before = world.Count("take_over");
   holder->thread().Pause();
@@ -191,9 +180,7 @@
   LONGS_EQUAL(before, world.Count("take_over"));
 }
 
-// Symptom: a planned stop hangs.
-// Events: the store is down when the instance is stopped.
-// Cause: the release of its partitions cannot be written.
+// A planned stop must end although the release of its partitions cannot be written.
 TEST(OnceTakeover, APlannedStopDuringAnOutageEnds) {
   world.store.faults.outage = true;
   int done = 0;
