--- a/tests/once/once_schedule.h
+++ b/tests/once/once_schedule.h
@@ -118,9 +118,10 @@
     }
     for (const auto& request : m_requests) {
       const bool ran = m_world.ledger.request_ids.contains(request->id);
-      Expect(!ran || request->told == Told::kAnswered || request->told == Told::kNothing,
+      Expect(!ran || request->told == CallerResult::kAnswered ||
+                 request->told == CallerResult::kNothing,
              request->id + " ran, but its caller was told otherwise");
-      if (request->told == Told::kAnswered) {
+      if (request->told == CallerResult::kAnswered) {
         const auto& runs = m_world.ledger.runs[request->key];
         Expect(!runs.empty() && request->answer == "booked by " + runs.front(),
                request->id + " got an answer that no run gave");
@@ -145,7 +146,7 @@
     }
     m_world.Advance(std::chrono::seconds(5));
     for (const auto& request : fresh) {
-      Expect(request->told == Told::kAnswered,
+      Expect(request->told == CallerResult::kAnswered,
              request->key + " is not served after healing: told " +
                  std::to_string(static_cast<int>(request->told)) + " " + request->error);
     }
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -16,13 +16,13 @@
 namespace zinnia {
 
 /** The result that a caller received. kNothing: the connection closed with the instance. */
-enum class Told { kNothing, kNotRun, kAnswered, kUnknown, kReused };
+enum class CallerResult { kNothing, kNotRun, kAnswered, kUnknown, kReused };
 
 struct CallerRequest {
   std::string id;
   std::string key;
   std::string body;
-  Told told = Told::kNothing;
+  CallerResult told = CallerResult::kNothing;
   std::string answer;
   std::string error;
   TimePoint told_at{};
@@ -81,7 +81,7 @@
   void Dispatch(const std::shared_ptr<CallerRequest>& request,
                 const DispatchWindow& window,
                 const IntentReply& reply);
-  void Tell(CallerRequest& request, Told told, std::string answer = "");
+  void Tell(CallerRequest& request, CallerResult told, std::string answer = "");
 
   OnceWorld& m_world;
   Instance m_self;
@@ -273,15 +273,16 @@
                                     const Result<IntentReply>& result) {
   if (!result) {
     request->error = Describe(result.error());
-    return Tell(*request, result.error().was_run == WasRun::kNo ? Told::kNotRun : Told::kUnknown);
+    return Tell(*request, result.error().was_run == WasRun::kNo ? CallerResult::kNotRun
+                                                                : CallerResult::kUnknown);
   }
   switch (result->verdict) {
     case IntentVerdict::kAnswered:
-      return Tell(*request, Told::kAnswered, result->answer->body);
+      return Tell(*request, CallerResult::kAnswered, result->answer->body);
     case IntentVerdict::kStarted:
-      return Tell(*request, Told::kUnknown);
+      return Tell(*request, CallerResult::kUnknown);
     case IntentVerdict::kKeyReused:
-      return Tell(*request, Told::kReused);
+      return Tell(*request, CallerResult::kReused);
     case IntentVerdict::kGranted:
       break;
   }
@@ -296,7 +297,7 @@
   IntentOutcome outcome{0, "kitanda", request->key, request->id, std::nullopt};
   if (!window.MayDispatch(reply)) {
     m_coordinator->Report(outcome, [](const Result<void>&) {});
-    return Tell(*request, Told::kNotRun);
+    return Tell(*request, CallerResult::kNotRun);
   }
   m_world.ledger.runs[request->key].push_back(request->id);
   m_world.ledger.request_ids.insert(request->id);
@@ -304,12 +305,12 @@
     m_thread.Run([this, request, outcome]() mutable {
       outcome.answer = RecordedAnswer{201, "text/plain", "booked by " + request->id};
       m_coordinator->Report(outcome, [](const Result<void>&) {});
-      Tell(*request, Told::kAnswered, outcome.answer->body);
+      Tell(*request, CallerResult::kAnswered, outcome.answer->body);
     });
   });
 }
 
-inline void FakeInstance::Tell(CallerRequest& request, Told told, std::string answer) {
+inline void FakeInstance::Tell(CallerRequest& request, CallerResult told, std::string answer) {
   request.told = told;
   request.answer = std::move(answer);
   request.told_at = m_world.time.Now();
--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -42,9 +42,9 @@
       world.Advance(milliseconds(50));
     }
     world.Advance(seconds(5));
-    return static_cast<int>(
-        std::count_if(requests.begin(), requests.end(),
-                      [](const auto& request) { return request->told != Told::kAnswered; }));
+    return static_cast<int>(std::count_if(
+        requests.begin(), requests.end(),
+        [](const auto& request) { return request->told != CallerResult::kAnswered; }));
   }
 
   std::size_t HeldByLiving() {
@@ -115,7 +115,7 @@
   }
   world.Advance(seconds(3));
   for (const auto& request : requests) {
-    CHECK(request->told == Told::kAnswered);
+    CHECK(request->told == CallerResult::kAnswered);
     CHECK(request->told_at - asked_at < milliseconds(600));
   }
 }
