--- a/tests/once/fake_instance.h
+++ b/tests/once/fake_instance.h
@@ -10,9 +10,9 @@
 namespace zinnia {
 
 /** Schedules calls that are never cancelled. */
-class Postman {
+class CallScheduler {
  public:
-  explicit Postman(VirtualTime& time) : m_time(time) {}
+  explicit CallScheduler(VirtualTime& time) : m_time(time) {}
   void Post(Duration delay, std::function<void()> call) {
     m_calls.push_back(m_time.ScheduleAfter(delay, std::move(call)));
   }
--- a/tests/once/fake_store.h
+++ b/tests/once/fake_store.h
@@ -28,7 +28,7 @@
   FakeStore(VirtualTime& time, std::uint64_t seed) : time(time), postman(time), random(seed) {}
 
   VirtualTime& time;
-  Postman postman;
+  CallScheduler postman;
   RandomSource random;
   StoreFaults faults;
   std::map<std::string, StoreRecord> records;
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -145,7 +145,7 @@
   VirtualTime time;
   RandomSource random;
   FakeStore store;
-  Postman postman;
+  CallScheduler postman;
   OnceSettings settings;
   ServiceLedger ledger;
   std::vector<std::unique_ptr<FakeInstance>> instances;
--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -30,7 +30,7 @@
 struct FakePool {
   VirtualTime time;
   FakeStore store{time, 3};
-  Postman postman{time};
+  CallScheduler postman{time};
   std::map<BackendServerName, FakeEngine> engines;
   Duration load_time = seconds(4);
   Duration order_delay = milliseconds(1);
