--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -33,7 +33,7 @@
 
   /** Sends a request every 50 ms through all instances but `left_out`; returns the number that
    * failed. */
-  int RefusedOf(int bookings, const FakeInstance* left_out) {
+  int CountRefused(int bookings, const FakeInstance* left_out) {
     std::vector<std::shared_ptr<CallerRequest>> requests;
     for (int i = 0; i < bookings; ++i) {
       FakeInstance* instance = &world[i % world.instances.size()];
@@ -73,7 +73,7 @@
 // As above with a paused holder and 20 requests a second: no request may time out.
 TEST(OnceTakeover, NoBookingIsRefusedBecauseAHolderSleeps) {
   holder->thread().Pause();
-  LONGS_EQUAL(0, RefusedOf(100, holder));
+  LONGS_EQUAL(0, CountRefused(100, holder));
 }
 
 // Holders that reply late because of a slow store still reply to probes and must keep their
@@ -82,7 +82,7 @@
   for (const milliseconds slow : {milliseconds(3), milliseconds(50), milliseconds(300)}) {
     world.store.faults.one_way = Duration(slow) / 2;
     const std::size_t before = world.Count("take_over");
-    LONGS_EQUAL(0, RefusedOf(400, nullptr));
+    LONGS_EQUAL(0, CountRefused(400, nullptr));
     LONGS_EQUAL(before, world.Count("take_over"));
   }
 }
@@ -91,7 +91,7 @@
 TEST(OnceTakeover, AStoreTooSlowForBookingsMovesNoPartition) {
   world.store.faults.one_way = milliseconds(400);
   const std::size_t before = world.Count("take_over");
-  RefusedOf(200, nullptr);
+  CountRefused(200, nullptr);
   LONGS_EQUAL(before, world.Count("take_over"));
 }
 
@@ -160,7 +160,7 @@
   const std::size_t held = holder->coordinator().HeldPartitions();
   const std::size_t before = world.Count("take_over");
   holder->thread().Pause();
-  RefusedOf(400, holder);
+  CountRefused(400, holder);
   LONGS_EQUAL(before + held, world.Count("take_over"));
 }
 
