--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -47,7 +47,7 @@
         [](const auto& request) { return request->told != CallerResult::kAnswered; }));
   }
 
-  std::size_t HeldByLiving() {
+  std::size_t PartitionsHeldByLiveInstances() {
     std::size_t held = 0;
     for (const auto& instance : world.instances) {
       held += instance->thread().IsKilled() ? 0 : instance->coordinator().HeldPartitions();
@@ -63,11 +63,11 @@
   world.sees_killed_as_live = true;
   holder->Kill();
   int asked = 0;
-  while (HeldByLiving() < 16 && asked < 20) {
+  while (PartitionsHeldByLiveInstances() < 16 && asked < 20) {
     caller->Call("meets" + std::to_string(asked++), "body");
   }
   world.Advance(milliseconds(1'000));
-  LONGS_EQUAL(16, HeldByLiving());
+  LONGS_EQUAL(16, PartitionsHeldByLiveInstances());
 }
 
 // As above with a paused holder and 20 requests a second: no request may time out.
