--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -60,12 +60,12 @@
 };
 
 /** One instance's reconciler with its dependencies. */
-class FakeOrderer final : public EngineOrders,
-                          public SnapshotSource,
-                          public MembershipView,
-                          public DecisionRecorder {
+class FakeOrderInstance final : public EngineOrders,
+                                public SnapshotSource,
+                                public MembershipView,
+                                public DecisionRecorder {
  public:
-  FakeOrderer(FakePool& pool, std::string name) : m_pool(pool), m_self{std::move(name)} {}
+  FakeOrderInstance(FakePool& pool, std::string name) : m_pool(pool), m_self{std::move(name)} {}
 
   void Start(std::shared_ptr<const FleetSnapshot> fleet) {
     m_fleet = std::move(fleet);
@@ -118,8 +118,8 @@
 
 TEST_GROUP(Orders) {
   FakePool pool;
-  FakeOrderer first{pool, "i1"};
-  FakeOrderer second{pool, "i2"};
+  FakeOrderInstance first{pool, "i1"};
+  FakeOrderInstance second{pool, "i2"};
   std::map<std::string, ConfigurationEntry> entries;
 
   void setup() override {
@@ -219,8 +219,8 @@
   }
   StartBoth();
   pool.time.AdvanceBy(seconds(20));
-  FakeOrderer& old_holder = first.HoldsRole() ? first : second;
-  FakeOrderer& new_holder = first.HoldsRole() ? second : first;
+  FakeOrderInstance& old_holder = first.HoldsRole() ? first : second;
+  FakeOrderInstance& new_holder = first.HoldsRole() ? second : first;
   entries.erase("model/m");  // Allows the engines to load in place.
   Want("checking", "v2", 0, 4);
   Want("trusting", "v2", 0, 4);
