--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -40,7 +40,7 @@
   }
 };
 
-TEST(Once, ARequestRunsOnceAndItsAnswerIsGivenAgain) {
+TEST(Once, ARetryGetsTheRecordedAnswer) {
   const auto first = CallAndWait(*other, "k");
   CHECK(first->told == CallerResult::kAnswered);
   for (const auto& instance : world.instances) {
