--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -84,7 +84,7 @@
 }
 
 // A holder that was paused during a takeover must not grant a key that the new holder granted.
-TEST(Once, AHolderThatWakesGrantsNothing) {
+TEST(Once, AResumedHolderGrantsNothing) {
   CHECK(CallAndWait(*other, "warm-up")->told == CallerResult::kAnswered);
   holder->thread().Pause();
   const auto stale = holder->Call("k", "body");
