--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -98,7 +98,7 @@
 
 // The holder must resolve a write whose reply was lost before it answers; otherwise a request could
 // be refused although it never ran, or run twice.
-TEST(Once, ALostStoreAnswerAfterTheEffectIsSettled) {
+TEST(Once, AWriteWhoseReplyWasLostIsResolved) {
   world.store.faults.lose_answer = 0.9;
   world.store.faults.effect_late = 0.0;
   world.store.faults.effect_never = 0.0;
