--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -112,7 +112,7 @@
 
 // An intent whose write takes effect after Begin failed must be withdrawn, or its key stays blocked
 // for the whole retention.
-TEST(Once, AnIntentThatTakesEffectAfterTheRefusalIsFreedAgain) {
+TEST(Once, AnIntentWrittenAfterTheRefusalIsWithdrawn) {
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
   const auto refused = CallAndWait(*other, "k");
