--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -124,7 +124,7 @@
 }
 
 // As above, but the calling instance is killed and cannot report the attempt as unused.
-TEST(Once, AHolderFreesALateIntentWithoutItsAsker) {
+TEST(Once, AHolderWithdrawsALateIntentWithoutItsCaller) {
   CallAndWait(*other, "warm-up");
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
