--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -188,7 +188,7 @@
 }
 
 // Nothing was dispatched when the holder's reply is lost, so the same attempt may get its grant.
-TEST(Once, ALostReplyOfTheHolderIsAskedForAgain) {
+TEST(Once, ALostReplyOfTheHolderIsRetried) {
   world.lose_reply = 1.0;
   const auto request = other->Call("k", "body");
   world.Advance(milliseconds(20));
