--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -199,7 +199,7 @@
 }
 
 // A takeover from a live holder that membership lists as dead must not grant a key twice.
-TEST(Once, AHolderWronglyBelievedDeadDoesNoHarm) {
+TEST(Once, ATakeoverFromALiveHolderGrantsNoKeyTwice) {
   world.believed_dead.insert(holder->Self().name);
   for (int i = 0; i < 20; ++i) {
     const std::string key = "k" + std::to_string(i);
