--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -215,7 +215,7 @@
 }
 
 // A wrong membership view of a single instance must not move a partition from a live holder.
-TEST(Once, OneMistakenInstanceStillReachesTheHolder) {
+TEST(Once, AWrongMembershipViewMovesNoPartition) {
   const auto rank = [](FakeInstance& instance) {
     return Hash64(instance.Self().name + "/" + std::to_string(instance.Self().start), 0);
   };
