--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -234,7 +234,7 @@
 
 // A request whose dispatch is delayed beyond the dispatch window must not run, and its key must
 // become free.
-TEST(Once, AGrantThatIsTooOldIsNotDispatchedAndFreesTheKey) {
+TEST(Once, AnExpiredGrantIsNotDispatchedAndFreesTheKey) {
   world.dispatch_delay = seconds(11);
   const auto late = CallAndWait(*other, "k", seconds(15));
   CHECK(late->told == CallerResult::kNotRun);
