--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -257,7 +257,7 @@
 }
 
 // Stopping instances are still listed as live, but must not be waited for as preferred holders.
-TEST(Once, TheLastInstanceTakesWhatStoppingOnesWereToTake) {
+TEST(Once, TheLastRunningInstanceTakesThePartitionsOfStoppingOnes) {
   OnceWorld stopping(9, 3);
   stopping.Advance(seconds(1));
   stopping[0].coordinator().HandOver([] {});
