--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -315,7 +315,7 @@
 }
 
 // The memory for recorded answers must be bounded by size, not only by their number.
-TEST(Once, TheOldestBodiesOfRecordedAnswersAreDroppedAndSaidToBe) {
+TEST(Once, TheOldestBodiesOfRecordedAnswersAreDroppedAndMarked) {
   IntentIndex index(1'000, 250);
   for (int i = 0; i < 4; ++i) {
     IntentRecord record{"org", "k" + std::to_string(i), {}, "attempt", IntentState::kAnswered, 5};
