--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -334,7 +334,7 @@
 }
 
 // `explain request` must show why a request ran or was refused.
-TEST(Once, TheDecisionsAboutABookingAreRecordedInOrder) {
+TEST(Once, TheDecisionsAboutARequestAreRecordedInOrder) {
   const auto decisions_about = [](FakeInstance& instance, const std::string& id) {
     std::string decisions;
     for (const DecisionRecord& record : instance.decisions) {
