--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -58,7 +58,7 @@
 
 // A failure detected by one request must cause the takeover of all partitions of a killed holder
 // that membership still lists as live.
-TEST(OnceTakeover, OneBookingIsEnoughToTakeAllPartitionsOfAKilledHolder) {
+TEST(OnceTakeover, OneFailedRequestMovesAllPartitionsOfAKilledHolder) {
   CHECK(holder->coordinator().HeldPartitions() > 1);
   world.sees_killed_as_live = true;
   holder->Kill();
