--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -71,7 +71,7 @@
 }
 
 // As above with a paused holder and 20 requests a second: no request may time out.
-TEST(OnceTakeover, NoBookingIsRefusedBecauseAHolderSleeps) {
+TEST(OnceTakeover, NoRequestIsRefusedBecauseAHolderIsPaused) {
   holder->thread().Pause();
   LONGS_EQUAL(0, CountRefused(100, holder));
 }
