--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -88,7 +88,7 @@
 }
 
 // As above, with a store so slow that no request is answered in time.
-TEST(OnceTakeover, AStoreTooSlowForBookingsMovesNoPartition) {
+TEST(OnceTakeover, AStoreTooSlowForRequestsMovesNoPartition) {
   world.store.faults.one_way = milliseconds(400);
   const std::size_t before = world.Count("take_over");
   CountRefused(200, nullptr);
