--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -97,7 +97,7 @@
 
 // An instance that sends a request to the old holder after a takeover must find the new holder by
 // reading the head, not only after the takeover timeout.
-TEST(OnceTakeover, WhoeverMissedATakeoverFindsTheNewHolderSoon) {
+TEST(OnceTakeover, AnInstanceThatMissedATakeoverFindsTheNewHolderSoon) {
   FakeInstance* late = nullptr;
   for (const auto& instance : world.instances) {
     late = instance.get() != holder && instance.get() != caller ? instance.get() : late;
