--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -144,7 +144,7 @@
 }
 
 // Instances that detect a lost holder at the same time must not all attempt every takeover.
-TEST(OnceTakeover, InstancesTakeTurnsAtALostHoldersPartitions) {
+TEST(OnceTakeover, TakeoversOfALostHolderAreStaggered) {
   const std::size_t held = holder->coordinator().HeldPartitions();
   holder->thread().Pause();
   const std::uint64_t before = world.store.creations;
