--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -166,7 +166,7 @@
 
 // After a suspension of its own machine, an instance must not take replies that are still in flight
 // for a silent holder.
-TEST(OnceTakeover, AnAskerThatSleptItselfTakesNothing) {
+TEST(OnceTakeover, AnInstanceThatWasSuspendedTakesNothing) {
   const std::size_t before = world.Count("take_over");
   holder->thread().Pause();
   CallAll(*caller, "on its way");
