--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -150,7 +150,7 @@
   }
 };
 
-TEST(Orders, EnginesComeToHoldWhatIsConfigured) {
+TEST(Orders, EnginesLoadTheConfiguredLayers) {
   Want("a", "v1", 0, 2);
   Want("b", "v1", 2, 4);
   StartBoth();
