--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -211,7 +211,7 @@
 
 // A holder that is paused until its lease has expired must not replace the new holder's order when
 // it resumes.
-TEST(Orders, AHolderThatWakesIsRefusedByEnginesThatCheckAndStaysSilentToTheOthers) {
+TEST(Orders, AResumedHolderIsRefusedByCheckingEnginesAndSendsNothingToOthers) {
   for (const bool checks : {true, false}) {
     const std::string name = checks ? "checking" : "trusting";
     Want(name, "v1", 0, 4);
