--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -265,7 +265,7 @@
 
 // After the store was restored from a backup, engines may have seen a higher epoch. The refused
 // holder must release its role and acquire it again with a higher epoch.
-TEST(Orders, ARefusedHolderStepsDownAndComesBackAboveTheEngine) {
+TEST(Orders, ARefusedHolderReacquiresItsRoleWithAHigherEpoch) {
   Want("a", "v1", 0, 4);
   pool.engines["a"].state.highest_epoch = 40;
   first.Start(Fleet());
