--- a/tests/once/once_property_test.cc
+++ b/tests/once/once_property_test.cc
@@ -36,7 +36,7 @@
 
 // Runs random schedules of instance, store, peer and membership faults. No key may run twice, and
 // no caller's result may contradict the service's ledger.
-TEST(OnceProperty, NoScheduleRunsAKeyTwiceOrMisleadsACaller) {
+TEST(OnceProperty, NoScheduleRunsAKeyTwiceOrReturnsAWrongResult) {
   STRCMP_EQUAL("", CheckSchedules().c_str());
 }
 
