--- a/tests/once/once_property_test.cc
+++ b/tests/once/once_property_test.cc
@@ -42,7 +42,7 @@
 
 // Regressions: a delayed call was granted to nobody and blocked its key (66197, 76643); a stopping
 // instance never reached the next holder (42460, 45341).
-TEST(OnceProperty, SchedulesThatFailedOnceHold) {
+TEST(OnceProperty, RegressionSchedulesPass) {
   for (const std::uint64_t seed : {17'248, 42'460, 45'341, 66'197, 76'643}) {
     const std::vector<std::string> violations = OnceSchedule(seed).Run();
     STRCMP_EQUAL("", violations.empty() ? "" : violations.front().c_str());
