--- a/tests/once/fake_store.h
+++ b/tests/once/fake_store.h
@@ -25,10 +25,11 @@
 
 /** The records of the fake store, shared by the clients of all instances. */
 struct FakeStore {
-  FakeStore(VirtualTime& time, std::uint64_t seed) : time(time), postman(time), random(seed) {}
+  FakeStore(VirtualTime& time, std::uint64_t seed)
+      : time(time), call_scheduler(time), random(seed) {}
 
   VirtualTime& time;
-  CallScheduler postman;
+  CallScheduler call_scheduler;
   RandomSource random;
   StoreFaults faults;
   std::map<std::string, StoreRecord> records;
@@ -157,7 +158,7 @@
   template <typename Value>
   void Read(std::function<Value()> read, Answered<Value> callback) {
     m_store.reads += 1;
-    m_store.postman.Post(m_store.faults.one_way, [this, read, callback] {
+    m_store.call_scheduler.Post(m_store.faults.one_way, [this, read, callback] {
       m_store.EndLeases();
       const bool lost = RandomUnit(m_store.random) < m_store.faults.lose_answer;
       Answer<Value>(m_store.faults.outage ? Unavailable()
@@ -173,7 +174,7 @@
     m_store.writes_under_way += 1;
     m_store.most_writes_under_way =
         std::max(m_store.most_writes_under_way, m_store.writes_under_way);
-    m_store.postman.Post(m_store.faults.one_way, [this, write, callback] {
+    m_store.call_scheduler.Post(m_store.faults.one_way, [this, write, callback] {
       m_store.writes_under_way -= 1;
       m_store.EndLeases();
       if (m_store.faults.outage) {
@@ -185,7 +186,7 @@
       const double fate = RandomUnit(m_store.random);
       if (fate < m_store.faults.effect_late) {
         const auto late = RandomBelow(m_store.random, m_store.faults.longest_late.count());
-        m_store.postman.Post(Duration(late), [write] { write(); });
+        m_store.call_scheduler.Post(Duration(late), [write] { write(); });
       } else if (fate >= m_store.faults.effect_late + m_store.faults.effect_never) {
         write();
       }
@@ -195,7 +196,7 @@
 
   template <typename Value>
   void Answer(const Result<Value>& result, const Answered<Value>& callback) {
-    m_store.postman.Post(m_store.faults.one_way, [this, result, callback] {
+    m_store.call_scheduler.Post(m_store.faults.one_way, [this, result, callback] {
       m_thread.Run([result, callback] { callback(result); });
     });
   }
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -94,7 +94,7 @@
 class OnceWorld {
  public:
   OnceWorld(std::uint64_t seed, std::size_t instances, OnceSettings settings = {})
-      : random(seed), store(time, seed + 1), postman(time), settings(settings) {
+      : random(seed), store(time, seed + 1), call_scheduler(time), settings(settings) {
     for (std::size_t i = 0; i < instances; ++i) {
       Add();
     }
@@ -145,7 +145,7 @@
   VirtualTime time;
   RandomSource random;
   FakeStore store;
-  CallScheduler postman;
+  CallScheduler call_scheduler;
   OnceSettings settings;
   ServiceLedger ledger;
   std::vector<std::unique_ptr<FakeInstance>> instances;
@@ -211,19 +211,20 @@
   };
   FakeInstance* target = m_world.Find(to);
   if (target == nullptr || RandomUnit(m_world.random) < m_world.refuse_call) {
-    return m_world.postman.Post(m_world.peer_one_way, [answer] {
+    return m_world.call_scheduler.Post(m_world.peer_one_way, [answer] {
       answer(MakeError(ErrorKind::kPeerUnavailable, "refused"));
     });
   }
-  m_world.postman.Post(m_world.peer_timeout,
-                       [answer] { answer(MakeError(ErrorKind::kOutcomeUnknown, "no answer")); });
-  m_world.postman.Post(m_world.peer_one_way, [this, target, call, answer] {
+  m_world.call_scheduler.Post(m_world.peer_timeout, [answer] {
+    answer(MakeError(ErrorKind::kOutcomeUnknown, "no answer"));
+  });
+  m_world.call_scheduler.Post(m_world.peer_one_way, [this, target, call, answer] {
     target->m_thread.Run([this, target, call, answer] {
       call(*target->m_coordinator, [this, answer](Result<Reply> result) {
         if (RandomUnit(m_world.random) < m_world.lose_reply) {
           result = MakeError(ErrorKind::kOutcomeUnknown, "reply lost");
         }
-        m_world.postman.Post(m_world.peer_one_way, [answer, result] { answer(result); });
+        m_world.call_scheduler.Post(m_world.peer_one_way, [answer, result] { answer(result); });
       });
     });
   });
@@ -286,7 +287,7 @@
     case IntentVerdict::kGranted:
       break;
   }
-  m_world.postman.Post(m_world.dispatch_delay, [this, request, window, reply = *result] {
+  m_world.call_scheduler.Post(m_world.dispatch_delay, [this, request, window, reply = *result] {
     m_thread.Run([this, request, window, reply] { Dispatch(request, window, reply); });
   });
 }
@@ -301,7 +302,7 @@
   }
   m_world.ledger.runs[request->key].push_back(request->id);
   m_world.ledger.request_ids.insert(request->id);
-  m_world.postman.Post(m_world.service_time, [this, request, outcome]() mutable {
+  m_world.call_scheduler.Post(m_world.service_time, [this, request, outcome]() mutable {
     m_thread.Run([this, request, outcome]() mutable {
       outcome.answer = RecordedAnswer{201, "text/plain", "booked by " + request->id};
       m_coordinator->Report(outcome, [](const Result<void>&) {});
--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -30,7 +30,7 @@
 struct FakePool {
   VirtualTime time;
   FakeStore store{time, 3};
-  CallScheduler postman{time};
+  CallScheduler call_scheduler{time};
   std::map<BackendServerName, FakeEngine> engines;
   Duration load_time = seconds(4);
   Duration order_delay = milliseconds(1);
@@ -50,7 +50,7 @@
     engine.state.loading = order.target;
     engine.state.loaded.reset();
     most_loading = std::max(most_loading, ++loading);
-    postman.Post(load_time, [this, name, target = order.target] {
+    call_scheduler.Post(load_time, [this, name, target = order.target] {
       engines[name].state.loaded = target;
       engines[name].state.loading.reset();
       loading -= 1;
@@ -77,14 +77,14 @@
   void Order(const BackendServerName& server,
              LoadOrder order,
              std::function<void(Result<void>)> callback) override {
-    m_pool.postman.Post(m_pool.order_delay, [this, server, order, callback] {
+    m_pool.call_scheduler.Post(m_pool.order_delay, [this, server, order, callback] {
       const Result<void> result = m_pool.Take(server, order);
       m_thread.Run([callback, result] { callback(result); });
     });
   }
   void ReadState(const BackendServerName& server,
                  std::function<void(Result<EngineState>)> callback) override {
-    m_pool.postman.Post(milliseconds(2), [this, server, callback] {
+    m_pool.call_scheduler.Post(milliseconds(2), [this, server, callback] {
       EngineState state = m_pool.engines[server].state;
       state.checks_fencing = m_pool.engines[server].checks;
       m_thread.Run([callback, state] { callback(state); });
