--- a/bench/once/load.cc
+++ b/bench/once/load.cc
@@ -46,7 +46,7 @@
   LoadResult result;
   std::vector<double> latencies;
   for (const auto& [at, request] : requests) {
-    if (request->told == CallerResult::kAnswered) {
+    if (request->caller_result == CallerResult::kAnswered) {
       latencies.push_back(std::chrono::duration<double, std::milli>(request->told_at - at).count());
     }
   }
--- a/bench/once/outage.cc
+++ b/bench/once/outage.cc
@@ -24,7 +24,7 @@
   double refused = 0;
   double slowest_ms = 0;
   for (std::size_t i = 0; i < requests.size(); ++i) {
-    refused += requests[i]->told == CallerResult::kNotRun ? 1 : 0;
+    refused += requests[i]->caller_result == CallerResult::kNotRun ? 1 : 0;
     const auto took = requests[i]->told_at - asked_at[i];
     slowest_ms = std::max(slowest_ms, std::chrono::duration<double, std::milli>(took).count());
   }
--- a/bench/once/takeovers.cc
+++ b/bench/once/takeovers.cc
@@ -74,7 +74,7 @@
   world.Advance(milliseconds(5'000));
   Duration longest{};
   for (const Booking& booking : bookings) {
-    const bool failed = booking.request->told != CallerResult::kAnswered;
+    const bool failed = booking.request->caller_result != CallerResult::kAnswered;
     if (failed || booking.request->told_at - booking.asked_at > kPrompt + 4 * store_call) {
       longest = std::max<Duration>(longest, booking.request->told_at - lost_at);
     }
@@ -99,7 +99,7 @@
   const auto bookings = Book(world, nullptr, "slow", milliseconds(50), milliseconds(60'000));
   world.Advance(milliseconds(5'000));
   const auto answered = std::count_if(bookings.begin(), bookings.end(), [](const auto& booking) {
-    return booking.request->told == CallerResult::kAnswered;
+    return booking.request->caller_result == CallerResult::kAnswered;
   });
   fmt::print("once_needless_takeovers_in_60_s_at_{}_ms_store={}\n", store_call.count(),
              world.Count("take_over") - before);
--- a/tests/once/once_schedule.h
+++ b/tests/once/once_schedule.h
@@ -118,10 +118,10 @@
     }
     for (const auto& request : m_requests) {
       const bool ran = m_world.ledger.request_ids.contains(request->id);
-      Expect(!ran || request->told == CallerResult::kAnswered ||
-                 request->told == CallerResult::kNothing,
+      Expect(!ran || request->caller_result == CallerResult::kAnswered ||
+                 request->caller_result == CallerResult::kNothing,
              request->id + " ran, but its caller was told otherwise");
-      if (request->told == CallerResult::kAnswered) {
+      if (request->caller_result == CallerResult::kAnswered) {
         const auto& runs = m_world.ledger.runs[request->key];
         Expect(!runs.empty() && request->answer == "booked by " + runs.front(),
                request->id + " got an answer that no run gave");
@@ -146,9 +146,9 @@
     }
     m_world.Advance(std::chrono::seconds(5));
     for (const auto& request : fresh) {
-      Expect(request->told == CallerResult::kAnswered,
+      Expect(request->caller_result == CallerResult::kAnswered,
              request->key + " is not served after healing: told " +
-                 std::to_string(static_cast<int>(request->told)) + " " + request->error);
+                 std::to_string(static_cast<int>(request->caller_result)) + " " + request->error);
     }
     CheckTold();
   }
--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -42,10 +42,10 @@
 
 TEST(Once, ARetryGetsTheRecordedAnswer) {
   const auto first = CallAndWait(*other, "k");
-  CHECK(first->told == CallerResult::kAnswered);
+  CHECK(first->caller_result == CallerResult::kAnswered);
   for (const auto& instance : world.instances) {
     const auto again = CallAndWait(*instance, "k");
-    CHECK(again->told == CallerResult::kAnswered);
+    CHECK(again->caller_result == CallerResult::kAnswered);
     STRCMP_EQUAL(first->answer.c_str(), again->answer.c_str());
   }
   LONGS_EQUAL(1, RunsOf("k"));
@@ -56,9 +56,9 @@
   world.service_time = seconds(5);
   const auto first = CallAndWait(*holder, "k", seconds(1));
   const auto second = CallAndWait(*other, "k", seconds(1));
-  CHECK(second->told == CallerResult::kUnknown);
+  CHECK(second->caller_result == CallerResult::kUnknown);
   world.Advance(seconds(10));
-  CHECK(first->told == CallerResult::kAnswered);
+  CHECK(first->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -68,7 +68,7 @@
   CallAndWait(*other, "k", seconds(1));
   LONGS_EQUAL(1, RunsOf("k"));
   other->Kill();
-  CHECK(CallAndWait(*holder, "k")->told == CallerResult::kUnknown);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kUnknown);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -79,20 +79,20 @@
   CallAndWait(*other, "k", seconds(1));
   other->Kill();
   world.dispatch_delay = {};
-  CHECK(CallAndWait(*holder, "k")->told == CallerResult::kUnknown);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kUnknown);
   LONGS_EQUAL(0, RunsOf("k"));
 }
 
 // A holder that was paused during a takeover must not grant a key that the new holder granted.
 TEST(Once, AResumedHolderGrantsNothing) {
-  CHECK(CallAndWait(*other, "warm-up")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "warm-up")->caller_result == CallerResult::kAnswered);
   holder->thread().Pause();
   const auto stale = holder->Call("k", "body");
   CallAndWait(*other, "first", seconds(4));
-  CHECK(CallAndWait(*other, "k", seconds(4))->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k", seconds(4))->caller_result == CallerResult::kAnswered);
   holder->thread().Wake();
   world.Advance(seconds(3));
-  CHECK(stale->told == CallerResult::kAnswered);
+  CHECK(stale->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -106,7 +106,7 @@
   world.Advance(milliseconds(100));
   world.store.faults.lose_answer = 0.0;
   world.Advance(seconds(3));
-  CHECK(request->told == CallerResult::kAnswered);
+  CHECK(request->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -116,10 +116,10 @@
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
   const auto refused = CallAndWait(*other, "k");
-  CHECK(refused->told == CallerResult::kNotRun);
+  CHECK(refused->caller_result == CallerResult::kNotRun);
   world.store.faults = {};
   world.Advance(seconds(15));
-  CHECK(CallAndWait(*other, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -128,11 +128,11 @@
   CallAndWait(*other, "warm-up");
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
-  CHECK(CallAndWait(*other, "k")->told == CallerResult::kNotRun);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kNotRun);
   other->Kill();
   world.store.faults = {};
   world.Advance(seconds(15));
-  CHECK(CallAndWait(*holder, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -142,12 +142,12 @@
   for (int i = 0; i < 60; ++i) {
     const auto request = world[i % 3].Call("k" + std::to_string(i), "body");
     world.Advance(milliseconds(500));
-    CHECK(request->told == CallerResult::kNotRun);
+    CHECK(request->caller_result == CallerResult::kNotRun);
     STRCMP_CONTAINS("store_unavailable", request->error.c_str());
   }
   world.store.faults.outage = false;
   world.Advance(seconds(1));
-  CHECK(CallAndWait(*other, "k0")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k0")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k0"));
 }
 
@@ -160,7 +160,7 @@
   world.store.faults.outage = false;
   world.Advance(seconds(10));
   const auto again = CallAndWait(*holder, "k");
-  CHECK(again->told == CallerResult::kAnswered);
+  CHECK(again->caller_result == CallerResult::kAnswered);
   STRCMP_EQUAL(request->answer.c_str(), again->answer.c_str());
 }
 
@@ -168,7 +168,7 @@
   CallAndWait(*other, "k");
   const auto reused = holder->Call("k", "another body");
   world.Advance(seconds(1));
-  CHECK(reused->told == CallerResult::kReused);
+  CHECK(reused->caller_result == CallerResult::kReused);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -194,7 +194,7 @@
   world.Advance(milliseconds(20));
   world.lose_reply = 0.0;
   world.Advance(seconds(3));
-  CHECK(request->told == CallerResult::kAnswered);
+  CHECK(request->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -228,7 +228,7 @@
   world.missed_instance = holder->Self().name;
   const auto request = mistaken->Call("k", "body");
   world.Advance(milliseconds(300));
-  CHECK(request->told == CallerResult::kAnswered);
+  CHECK(request->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, holder->coordinator().HeldPartitions());
 }
 
@@ -237,22 +237,22 @@
 TEST(Once, AnExpiredGrantIsNotDispatchedAndFreesTheKey) {
   world.dispatch_delay = seconds(11);
   const auto late = CallAndWait(*other, "k", seconds(15));
-  CHECK(late->told == CallerResult::kNotRun);
+  CHECK(late->caller_result == CallerResult::kNotRun);
   world.dispatch_delay = {};
-  CHECK(CallAndWait(*holder, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
 TEST(Once, APlannedStopHandsThePartitionOver) {
-  CHECK(CallAndWait(*other, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   bool done = false;
   holder->coordinator().HandOver([&] { done = true; });
   world.Advance(milliseconds(50));
   CHECK(done);
   const auto next = other->Call("next", "body");
   world.Advance(milliseconds(700));
-  CHECK(next->told == CallerResult::kAnswered);
-  CHECK(CallAndWait(*other, "k")->told == CallerResult::kAnswered);
+  CHECK(next->caller_result == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -266,7 +266,7 @@
   for (int i = 0; i < 60; ++i) {
     const auto request = stopping[i % 2].Call("k" + std::to_string(i), "body");
     stopping.Advance(seconds(3));
-    CHECK(request->told == CallerResult::kAnswered);
+    CHECK(request->caller_result == CallerResult::kAnswered);
   }
 }
 
@@ -289,18 +289,18 @@
     holds.Kill();
     const auto request = asker->Call("k", "body");
     stopping.Advance(seconds(3));
-    CHECK(request->told == CallerResult::kAnswered);
+    CHECK(request->caller_result == CallerResult::kAnswered);
   }
 }
 
 // An instance with another number of partitions in its settings must not map a key to another
 // partition and grant it again.
 TEST(Once, TheStoreDecidesTheNumberOfPartitions) {
-  CHECK(CallAndWait(*other, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   world.settings.partitions = 32;
   FakeInstance& late = world.Add();
   world.Advance(seconds(1));
-  CHECK(CallAndWait(late, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(late, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -363,7 +363,7 @@
   CallAndWait(*other, "k2");
   const std::size_t records = world.store.records.size();
   world.Advance(seconds(2 * 3'600));
-  CHECK(CallAndWait(*other, "k")->told == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(2, RunsOf("k"));
   CHECK(world.store.records.size() <= records + 1);
 }
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -22,7 +22,7 @@
   std::string id;
   std::string key;
   std::string body;
-  CallerResult told = CallerResult::kNothing;
+  CallerResult caller_result = CallerResult::kNothing;
   std::string answer;
   std::string error;
   TimePoint told_at{};
@@ -81,7 +81,7 @@
   void Dispatch(const std::shared_ptr<CallerRequest>& request,
                 const DispatchWindow& window,
                 const IntentReply& reply);
-  void Tell(CallerRequest& request, CallerResult told, std::string answer = "");
+  void Tell(CallerRequest& request, CallerResult caller_result, std::string answer = "");
 
   OnceWorld& m_world;
   Instance m_self;
@@ -311,8 +311,10 @@
   });
 }
 
-inline void FakeInstance::Tell(CallerRequest& request, CallerResult told, std::string answer) {
-  request.told = told;
+inline void FakeInstance::Tell(CallerRequest& request,
+                               CallerResult caller_result,
+                               std::string answer) {
+  request.caller_result = caller_result;
   request.answer = std::move(answer);
   request.told_at = m_world.time.Now();
 }
--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -44,7 +44,7 @@
     world.Advance(seconds(5));
     return static_cast<int>(std::count_if(
         requests.begin(), requests.end(),
-        [](const auto& request) { return request->told != CallerResult::kAnswered; }));
+        [](const auto& request) { return request->caller_result != CallerResult::kAnswered; }));
   }
 
   std::size_t PartitionsHeldByLiveInstances() {
@@ -115,7 +115,7 @@
   }
   world.Advance(seconds(3));
   for (const auto& request : requests) {
-    CHECK(request->told == CallerResult::kAnswered);
+    CHECK(request->caller_result == CallerResult::kAnswered);
     CHECK(request->told_at - asked_at < milliseconds(600));
   }
 }
