--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -72,8 +72,8 @@
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// A kill between grant and dispatch cannot be told from one after dispatch, so the retry must not
-// run either.
+// A kill between grant and dispatch cannot be distinguished from one after dispatch, so the retry
+// must not run either.
 TEST(Once, AResendAfterAKillBeforeDispatchIsUnknownAndNotRun) {
   world.dispatch_delay = seconds(5);
   CallAndWait(*other, "k", seconds(1));
