--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -79,7 +79,7 @@
   Step(MakeAsk(std::move(request), std::move(callback)));
 }
 
-OnceCoordinator::AskPointer OnceCoordinator::MakeAsk(
+OnceCoordinator::PendingBeginPointer OnceCoordinator::MakeAsk(
     IntentRequest request,
     std::function<void(Result<IntentReply>)> callback) {
   const Instance& self = m_parts.membership.Self();
@@ -99,7 +99,7 @@
   return ask;
 }
 
-void OnceCoordinator::Finish(const AskPointer& ask, Result<IntentReply> result) {
+void OnceCoordinator::Finish(const PendingBeginPointer& ask, Result<IntentReply> result) {
   const auto callback = std::exchange(ask->callback, nullptr);
   ask->deadline.reset();
   ask->timer.reset();
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -72,7 +72,7 @@
  private:
   struct Ask;
   struct Grant;
-  using AskPointer = std::shared_ptr<Ask>;
+  using PendingBeginPointer = std::shared_ptr<Ask>;
   using HolderCallback = std::function<void(Result<PartitionHolder*>)>;
 
   OnceCoordinator(OnceParts parts, OnceSettings settings, std::uint64_t seed);
@@ -83,24 +83,25 @@
   void UseLayout(std::uint32_t partitions);
   void Tick();
 
-  AskPointer MakeAsk(IntentRequest request, std::function<void(Result<IntentReply>)> callback);
-  void Step(const AskPointer& ask);
-  void RefreshFor(const AskPointer& ask);
-  void AskLocally(const AskPointer& ask);
-  void AskPeer(const AskPointer& ask, const Instance& target);
+  PendingBeginPointer MakeAsk(IntentRequest request,
+                              std::function<void(Result<IntentReply>)> callback);
+  void Step(const PendingBeginPointer& ask);
+  void RefreshFor(const PendingBeginPointer& ask);
+  void AskLocally(const PendingBeginPointer& ask);
+  void AskPeer(const PendingBeginPointer& ask, const Instance& target);
   void NoteReply(std::uint32_t partition,
                  const Instance& target,
                  TimePoint sent_at,
                  const Result<IntentReply>& result);
-  void OnReply(const AskPointer& ask, std::uint32_t round, Result<IntentReply> result);
-  void OnCallLate(const AskPointer& ask);
-  void OnCallTimeout(const AskPointer& ask);
+  void OnReply(const PendingBeginPointer& ask, std::uint32_t round, Result<IntentReply> result);
+  void OnCallLate(const PendingBeginPointer& ask);
+  void OnCallTimeout(const PendingBeginPointer& ask);
   void OnHolderSilent(const Instance& holder);
-  void CheckForNewHolder(const AskPointer& ask);
-  void AskAgain(const AskPointer& ask);
-  void RetryLater(const AskPointer& ask);
-  void OnDeadline(const AskPointer& ask);
-  void Finish(const AskPointer& ask, Result<IntentReply> result);
+  void CheckForNewHolder(const PendingBeginPointer& ask);
+  void AskAgain(const PendingBeginPointer& ask);
+  void RetryLater(const PendingBeginPointer& ask);
+  void OnDeadline(const PendingBeginPointer& ask);
+  void Finish(const PendingBeginPointer& ask, Result<IntentReply> result);
   void RememberGrant(const Ask& ask);
   void RecordBegin(const Ask& ask);
   void RecordVerdict(const Ask& ask, const Result<IntentReply>& result);
@@ -125,7 +126,7 @@
   std::unique_ptr<OutcomeReporter> m_reporter;
   std::list<Grant> m_grants;
   std::map<std::string, std::list<Grant>::iterator> m_grants_by_request;
-  std::set<AskPointer> m_asks;
+  std::set<PendingBeginPointer> m_asks;
   std::size_t m_waiting_for_role = 0;
   std::uint64_t m_next_attempt = 1;
   bool m_layout_under_way = false;
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void OnceCoordinator::Step(const AskPointer& ask) {
+void OnceCoordinator::Step(const PendingBeginPointer& ask) {
   if (!ask || !ask->callback) {
     return;
   }
@@ -37,7 +37,7 @@
   AskPeer(ask, *target);
 }
 
-void OnceCoordinator::RefreshFor(const AskPointer& ask) {
+void OnceCoordinator::RefreshFor(const PendingBeginPointer& ask) {
   PartitionRole* role = RoleOf(ask->request.partition);
   role->Refresh([this, ask, role](const Result<void>& result) {
     if (!ask->callback) {
@@ -51,7 +51,7 @@
   });
 }
 
-void OnceCoordinator::AskLocally(const AskPointer& ask) {
+void OnceCoordinator::AskLocally(const PendingBeginPointer& ask) {
   ask->in_flight = true;
   const std::uint32_t round = ask->round;
   RoleOf(ask->request.partition)
@@ -61,7 +61,7 @@
               }));
 }
 
-void OnceCoordinator::AskPeer(const AskPointer& ask, const Instance& target) {
+void OnceCoordinator::AskPeer(const PendingBeginPointer& ask, const Instance& target) {
   ask->in_flight = true;
   ask->asked = target;
   ask->peers_asked += 1;
@@ -103,7 +103,7 @@
 
 /** Ignores replies to any but the latest call. A grant in an ignored reply is not lost: the attempt
     either gets it again or is reported as unused. */
-void OnceCoordinator::OnReply(const AskPointer& ask,
+void OnceCoordinator::OnReply(const PendingBeginPointer& ask,
                               std::uint32_t round,
                               Result<IntentReply> result) {
   if (!ask->callback || round != ask->round) {
@@ -129,7 +129,7 @@
   }
 }
 
-void OnceCoordinator::OnCallLate(const AskPointer& ask) {
+void OnceCoordinator::OnCallLate(const PendingBeginPointer& ask) {
   if (!ask || !ask->callback) {
     return;
   }
@@ -139,7 +139,7 @@
       [this, weak = std::weak_ptr<Ask>(ask)] { OnCallTimeout(weak.lock()); });
 }
 
-void OnceCoordinator::OnCallTimeout(const AskPointer& ask) {
+void OnceCoordinator::OnCallTimeout(const PendingBeginPointer& ask) {
   if (!ask || !ask->callback) {
     return;
   }
@@ -148,7 +148,7 @@
 }
 
 /** Retries at once. The pending call's reply will be ignored, but its intent may be recorded. */
-void OnceCoordinator::AskAgain(const AskPointer& ask) {
+void OnceCoordinator::AskAgain(const PendingBeginPointer& ask) {
   ask->may_be_recorded = true;
   ask->needs_refresh = true;
   Step(ask);
@@ -161,8 +161,8 @@
   if (lost) {
     OnMembershipChanged();
   }
-  const std::set<AskPointer> asks = m_asks;
-  for (const AskPointer& ask : asks) {
+  const std::set<PendingBeginPointer> asks = m_asks;
+  for (const PendingBeginPointer& ask : asks) {
     if (ask->callback && ask->asked && IsSameStart(*ask->asked, holder)) {
       lost ? AskAgain(ask) : CheckForNewHolder(ask);
     }
@@ -171,7 +171,7 @@
 
 /** Reads the head once per request to find a new holder without waiting until the silent one counts
     as lost. */
-void OnceCoordinator::CheckForNewHolder(const AskPointer& ask) {
+void OnceCoordinator::CheckForNewHolder(const PendingBeginPointer& ask) {
   if (std::exchange(ask->checked_for_new_holder, true)) {
     return;
   }
@@ -187,13 +187,13 @@
   });
 }
 
-void OnceCoordinator::RetryLater(const AskPointer& ask) {
+void OnceCoordinator::RetryLater(const PendingBeginPointer& ask) {
   ask->timer = m_parts.scheduler.ScheduleAfter(
       Jittered(m_settings.retry_pause),
       [this, weak = std::weak_ptr<Ask>(ask)] { Step(weak.lock()); });
 }
 
-void OnceCoordinator::OnDeadline(const AskPointer& ask) {
+void OnceCoordinator::OnDeadline(const PendingBeginPointer& ask) {
   if (ask && ask->callback) {
     Finish(ask, Refusal(ErrorKind::kPeerUnavailable,
                         "the holder of the key's partition did not answer in time"));
