--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -76,10 +76,10 @@
     RecordRefusal(request.request_id, error);
     return callback(error);
   }
-  Step(MakeAsk(std::move(request), std::move(callback)));
+  Step(MakePendingBegin(std::move(request), std::move(callback)));
 }
 
-OnceCoordinator::PendingBeginPointer OnceCoordinator::MakeAsk(
+OnceCoordinator::PendingBeginPointer OnceCoordinator::MakePendingBegin(
     IntentRequest request,
     std::function<void(Result<IntentReply>)> callback) {
   const Instance& self = m_parts.membership.Self();
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -83,8 +83,8 @@
   void UseLayout(std::uint32_t partitions);
   void Tick();
 
-  PendingBeginPointer MakeAsk(IntentRequest request,
-                              std::function<void(Result<IntentReply>)> callback);
+  PendingBeginPointer MakePendingBegin(IntentRequest request,
+                                       std::function<void(Result<IntentReply>)> callback);
   void Step(const PendingBeginPointer& ask);
   void RefreshFor(const PendingBeginPointer& ask);
   void AskLocally(const PendingBeginPointer& ask);
