--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -71,7 +71,7 @@
     RecordRefusal(request.request_id, error);
     return callback(error);
   }
-  if (m_asks.size() >= m_settings.most_queued) {
+  if (m_pending_begins.size() >= m_settings.most_queued) {
     const Error error = Refusal(ErrorKind::kOverloaded, "too many non-idempotent requests at once");
     RecordRefusal(request.request_id, error);
     return callback(error);
@@ -95,7 +95,7 @@
   ask->deadline = m_parts.scheduler.ScheduleAfter(
       m_settings.begin_timeout,
       [this, weak = std::weak_ptr<Ask>(ask)] { OnDeadline(weak.lock()); });
-  m_asks.insert(ask);
+  m_pending_begins.insert(ask);
   return ask;
 }
 
@@ -103,7 +103,7 @@
   const auto callback = std::exchange(ask->callback, nullptr);
   ask->deadline.reset();
   ask->timer.reset();
-  m_asks.erase(ask);
+  m_pending_begins.erase(ask);
   RecordVerdict(*ask, result);
   if (!result) {
     Error error = result.error();
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -126,7 +126,7 @@
   std::unique_ptr<OutcomeReporter> m_reporter;
   std::list<Grant> m_grants;
   std::map<std::string, std::list<Grant>::iterator> m_grants_by_request;
-  std::set<PendingBeginPointer> m_asks;
+  std::set<PendingBeginPointer> m_pending_begins;
   std::size_t m_waiting_for_role = 0;
   std::uint64_t m_next_attempt = 1;
   bool m_layout_under_way = false;
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -161,7 +161,7 @@
   if (lost) {
     OnMembershipChanged();
   }
-  const std::set<PendingBeginPointer> asks = m_asks;
+  const std::set<PendingBeginPointer> asks = m_pending_begins;
   for (const PendingBeginPointer& ask : asks) {
     if (ask->callback && ask->asked && IsSameStart(*ask->asked, holder)) {
       lost ? AskAgain(ask) : CheckForNewHolder(ask);
