--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -87,7 +87,7 @@
                                        std::function<void(Result<IntentReply>)> callback);
   void Step(const PendingBeginPointer& ask);
   void RefreshFor(const PendingBeginPointer& ask);
-  void AskLocally(const PendingBeginPointer& ask);
+  void SendToLocalHolder(const PendingBeginPointer& ask);
   void AskPeer(const PendingBeginPointer& ask, const Instance& target);
   void NoteReply(std::uint32_t partition,
                  const Instance& target,
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -26,7 +26,7 @@
   ask->asked.reset();
   ask->timer.reset();
   if (role->Holder() != nullptr) {
-    return AskLocally(ask);
+    return SendToLocalHolder(ask);
   }
   // Alternates between the head's holder and the preferred instance. Counts calls to peers rather
   // than rounds: every second round only reads the head, so one of the two would never be asked.
@@ -51,7 +51,7 @@
   });
 }
 
-void OnceCoordinator::AskLocally(const PendingBeginPointer& ask) {
+void OnceCoordinator::SendToLocalHolder(const PendingBeginPointer& ask) {
   ask->in_flight = true;
   const std::uint32_t round = ask->round;
   RoleOf(ask->request.partition)
