--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -88,7 +88,7 @@
   void Step(const PendingBeginPointer& ask);
   void RefreshFor(const PendingBeginPointer& ask);
   void SendToLocalHolder(const PendingBeginPointer& ask);
-  void AskPeer(const PendingBeginPointer& ask, const Instance& target);
+  void SendToPeer(const PendingBeginPointer& ask, const Instance& target);
   void NoteReply(std::uint32_t partition,
                  const Instance& target,
                  TimePoint sent_at,
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -34,7 +34,7 @@
   if (!target || std::exchange(ask->needs_refresh, false)) {
     return RefreshFor(ask);
   }
-  AskPeer(ask, *target);
+  SendToPeer(ask, *target);
 }
 
 void OnceCoordinator::RefreshFor(const PendingBeginPointer& ask) {
@@ -61,7 +61,7 @@
               }));
 }
 
-void OnceCoordinator::AskPeer(const PendingBeginPointer& ask, const Instance& target) {
+void OnceCoordinator::SendToPeer(const PendingBeginPointer& ask, const Instance& target) {
   ask->in_flight = true;
   ask->asked = target;
   ask->peers_asked += 1;
