--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -98,7 +98,7 @@
   void OnCallTimeout(const PendingBeginPointer& ask);
   void OnHolderSilent(const Instance& holder);
   void CheckForNewHolder(const PendingBeginPointer& ask);
-  void AskAgain(const PendingBeginPointer& ask);
+  void RetryNow(const PendingBeginPointer& ask);
   void RetryLater(const PendingBeginPointer& ask);
   void OnDeadline(const PendingBeginPointer& ask);
   void Finish(const PendingBeginPointer& ask, Result<IntentReply> result);
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -144,11 +144,11 @@
     return;
   }
   RoleOf(ask->request.partition)->NoteCallFailure(*ask->asked, ask->sent_at, false);
-  AskAgain(ask);
+  RetryNow(ask);
 }
 
 /** Retries at once. The pending call's reply will be ignored, but its intent may be recorded. */
-void OnceCoordinator::AskAgain(const PendingBeginPointer& ask) {
+void OnceCoordinator::RetryNow(const PendingBeginPointer& ask) {
   ask->may_be_recorded = true;
   ask->needs_refresh = true;
   Step(ask);
@@ -164,7 +164,7 @@
   const std::set<PendingBeginPointer> asks = m_pending_begins;
   for (const PendingBeginPointer& ask : asks) {
     if (ask->callback && ask->asked && IsSameStart(*ask->asked, holder)) {
-      lost ? AskAgain(ask) : CheckForNewHolder(ask);
+      lost ? RetryNow(ask) : CheckForNewHolder(ask);
     }
   }
 }
@@ -182,7 +182,7 @@
     }
     const std::optional<Instance> target = role->Target(true);
     if (role->Holder() != nullptr || (target && !IsSameStart(*target, *ask->asked))) {
-      AskAgain(ask);
+      RetryNow(ask);
     }
   });
 }
