--- a/packages/zinnia_decisions/once/once_ask.h
+++ b/packages/zinnia_decisions/once/once_ask.h
@@ -17,7 +17,7 @@
   std::string caller_request_id;
   std::function<void(Result<IntentReply>)> callback;
   std::uint32_t round = 0;
-  std::uint32_t peers_asked = 0;
+  std::uint32_t peer_calls = 0;
   bool needs_refresh = false;
   bool in_flight = false;
   std::optional<Instance> asked;
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -30,7 +30,7 @@
   }
   // Alternates between the head's holder and the preferred instance. Counts calls to peers rather
   // than rounds: every second round only reads the head, so one of the two would never be asked.
-  const std::optional<Instance> target = role->Target(ask->peers_asked % 2 == 0);
+  const std::optional<Instance> target = role->Target(ask->peer_calls % 2 == 0);
   if (!target || std::exchange(ask->needs_refresh, false)) {
     return RefreshFor(ask);
   }
@@ -64,7 +64,7 @@
 void OnceCoordinator::SendToPeer(const PendingBeginPointer& ask, const Instance& target) {
   ask->in_flight = true;
   ask->asked = target;
-  ask->peers_asked += 1;
+  ask->peer_calls += 1;
   ask->sent_at = m_parts.clock.Now();
   const std::uint32_t round = ask->round;
   const TimePoint sent_at = ask->sent_at;
