--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -8,7 +8,7 @@
 #include "zinnia_base/decisions/decision_record.h"
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/once/alive_guard.h"
-#include "zinnia_decisions/once/once_ask.h"
+#include "zinnia_decisions/once/pending_begin.h"
 #include "zinnia_decisions/ports/peer_transport.h"
 
 namespace zinnia {
@@ -83,7 +83,7 @@
     IntentRequest request,
     std::function<void(Result<IntentReply>)> callback) {
   const Instance& self = m_parts.membership.Self();
-  auto ask = std::make_shared<Ask>();
+  auto ask = std::make_shared<PendingBegin>();
   ask->caller_request_id = request.request_id;
   ask->request = std::move(request);
   ask->request.partition = PartitionOf(ask->request.organisation, ask->request.key);
@@ -94,7 +94,7 @@
   RecordBegin(*ask);
   ask->deadline = m_parts.scheduler.ScheduleAfter(
       m_settings.begin_timeout,
-      [this, weak = std::weak_ptr<Ask>(ask)] { OnDeadline(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(ask)] { OnDeadline(weak.lock()); });
   m_pending_begins.insert(ask);
   return ask;
 }
@@ -123,7 +123,7 @@
   callback(std::move(result));
 }
 
-void OnceCoordinator::RememberGrant(const Ask& ask) {
+void OnceCoordinator::RememberGrant(const PendingBegin& ask) {
   const IntentRequest& request = ask.request;
   if (m_grants.size() >= kMaxOpenGrants) {
     m_grants_by_request.erase(m_grants.front().name);
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -70,9 +70,9 @@
   std::size_t PendingReports() const;
 
  private:
-  struct Ask;
+  struct PendingBegin;
   struct Grant;
-  using PendingBeginPointer = std::shared_ptr<Ask>;
+  using PendingBeginPointer = std::shared_ptr<PendingBegin>;
   using HolderCallback = std::function<void(Result<PartitionHolder*>)>;
 
   OnceCoordinator(OnceParts parts, OnceSettings settings, std::uint64_t seed);
@@ -102,9 +102,9 @@
   void RetryLater(const PendingBeginPointer& ask);
   void OnDeadline(const PendingBeginPointer& ask);
   void Finish(const PendingBeginPointer& ask, Result<IntentReply> result);
-  void RememberGrant(const Ask& ask);
-  void RecordBegin(const Ask& ask);
-  void RecordVerdict(const Ask& ask, const Result<IntentReply>& result);
+  void RememberGrant(const PendingBegin& ask);
+  void RecordBegin(const PendingBegin& ask);
+  void RecordVerdict(const PendingBegin& ask, const Result<IntentReply>& result);
   void RecordRefusal(const std::string& request_id, const Error& error);
   std::function<void(Result<void>)> RecordingOutcome(const std::string& request_id,
                                                      bool has_answer,
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -3,8 +3,8 @@
 
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/once/alive_guard.h"
-#include "zinnia_decisions/once/once_ask.h"
 #include "zinnia_decisions/once/once_coordinator.h"
+#include "zinnia_decisions/once/pending_begin.h"
 #include "zinnia_decisions/ports/peer_transport.h"
 
 /** The part of OnceCoordinator that sends a Begin to the partition's holder and retries it. */
@@ -70,7 +70,7 @@
   const TimePoint sent_at = ask->sent_at;
   ask->timer = m_parts.scheduler.ScheduleAfter(
       m_watch.ReplyDeadline(target),
-      [this, weak = std::weak_ptr<Ask>(ask)] { OnCallLate(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(ask)] { OnCallLate(weak.lock()); });
   m_parts.peers.BeginIntent(
       target.peer_address, ask->request,
       WhileAlive(m_alive, [this, ask, round, target, sent_at](Result<IntentReply> result) {
@@ -136,7 +136,7 @@
   m_watch.NoteLate(*ask->asked, ask->sent_at);
   ask->timer = m_parts.scheduler.ScheduleAfter(
       ask->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
-      [this, weak = std::weak_ptr<Ask>(ask)] { OnCallTimeout(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(ask)] { OnCallTimeout(weak.lock()); });
 }
 
 void OnceCoordinator::OnCallTimeout(const PendingBeginPointer& ask) {
@@ -190,7 +190,7 @@
 void OnceCoordinator::RetryLater(const PendingBeginPointer& ask) {
   ask->timer = m_parts.scheduler.ScheduleAfter(
       Jittered(m_settings.retry_pause),
-      [this, weak = std::weak_ptr<Ask>(ask)] { Step(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(ask)] { Step(weak.lock()); });
 }
 
 void OnceCoordinator::OnDeadline(const PendingBeginPointer& ask) {
--- a/packages/zinnia_decisions/once/once_coordinator_records.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_records.cc
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "zinnia_base/decisions/decision_record.h"
-#include "zinnia_decisions/once/once_ask.h"
 #include "zinnia_decisions/once/once_coordinator.h"
+#include "zinnia_decisions/once/pending_begin.h"
 
 /** The part of OnceCoordinator that writes decision records. The number of records per request is
     bounded, and they are written only on the instance that received the request. */
@@ -48,7 +48,7 @@
   return role->KnownHead() ? role->KnownHead()->holder.name : "not_known_yet";
 }
 
-void OnceCoordinator::RecordBegin(const Ask& ask) {
+void OnceCoordinator::RecordBegin(const PendingBegin& ask) {
   m_parts.recorder.Record({m_parts.clock.Now(),
                            Subject(ask.caller_request_id),
                            "begin_once",
@@ -57,7 +57,7 @@
                             {"holder", HolderName(ask.request.partition)}}});
 }
 
-void OnceCoordinator::RecordVerdict(const Ask& ask, const Result<IntentReply>& result) {
+void OnceCoordinator::RecordVerdict(const PendingBegin& ask, const Result<IntentReply>& result) {
   const VerdictText text = result ? TextOf(result->verdict) : VerdictText{"refuse_once", ""};
   DecisionRecord record{m_parts.clock.Now(),
                         Subject(ask.caller_request_id),
--- a/packages/zinnia_decisions/once/once_ask.h
+++ b/packages/zinnia_decisions/once/pending_begin.h
@@ -11,7 +11,7 @@
 namespace zinnia {
 
 /** The state of a call of Begin whose callback has not run yet. */
-struct OnceCoordinator::Ask {
+struct OnceCoordinator::PendingBegin {
   IntentRequest request;
   TimePoint begun_at{};
   std::string caller_request_id;
