--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -83,28 +83,28 @@
     IntentRequest request,
     std::function<void(Result<IntentReply>)> callback) {
   const Instance& self = m_parts.membership.Self();
-  auto ask = std::make_shared<PendingBegin>();
-  ask->caller_request_id = request.request_id;
-  ask->request = std::move(request);
-  ask->request.partition = PartitionOf(ask->request.organisation, ask->request.key);
-  ask->request.asking_instance = self.name;
-  ask->request.request_id = fmt::format("{}/{}/{}", self.name, self.start, m_next_attempt++);
-  ask->callback = std::move(callback);
-  ask->begun_at = m_parts.clock.Now();
-  RecordBegin(*ask);
-  ask->deadline = m_parts.scheduler.ScheduleAfter(
+  auto pending = std::make_shared<PendingBegin>();
+  pending->caller_request_id = request.request_id;
+  pending->request = std::move(request);
+  pending->request.partition = PartitionOf(pending->request.organisation, pending->request.key);
+  pending->request.asking_instance = self.name;
+  pending->request.request_id = fmt::format("{}/{}/{}", self.name, self.start, m_next_attempt++);
+  pending->callback = std::move(callback);
+  pending->begun_at = m_parts.clock.Now();
+  RecordBegin(*pending);
+  pending->deadline = m_parts.scheduler.ScheduleAfter(
       m_settings.begin_timeout,
-      [this, weak = std::weak_ptr<PendingBegin>(ask)] { OnDeadline(weak.lock()); });
-  m_pending_begins.insert(ask);
-  return ask;
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnDeadline(weak.lock()); });
+  m_pending_begins.insert(pending);
+  return pending;
 }
 
-void OnceCoordinator::Finish(const PendingBeginPointer& ask, Result<IntentReply> result) {
-  const auto callback = std::exchange(ask->callback, nullptr);
-  ask->deadline.reset();
-  ask->timer.reset();
-  m_pending_begins.erase(ask);
-  RecordVerdict(*ask, result);
+void OnceCoordinator::Finish(const PendingBeginPointer& pending, Result<IntentReply> result) {
+  const auto callback = std::exchange(pending->callback, nullptr);
+  pending->deadline.reset();
+  pending->timer.reset();
+  m_pending_begins.erase(pending);
+  RecordVerdict(*pending, result);
   if (!result) {
     Error error = result.error();
     error.was_run = WasRun::kNo;
@@ -112,24 +112,24 @@
     result = std::move(error);
   }
   if (result && result->verdict == IntentVerdict::kGranted) {
-    RememberGrant(*ask);
-  } else if (ask->may_be_recorded || ask->in_flight) {
+    RememberGrant(*pending);
+  } else if (pending->may_be_recorded || pending->in_flight) {
     // An earlier call of this attempt may still be queued at the holder. Reporting the attempt as
     // unused prevents a later grant that nobody would use and that would block the key.
-    const IntentRequest& request = ask->request;
+    const IntentRequest& request = pending->request;
     m_reporter->Add({request.partition, request.organisation, request.key, request.request_id, {}},
                     Ignore);
   }
   callback(std::move(result));
 }
 
-void OnceCoordinator::RememberGrant(const PendingBegin& ask) {
-  const IntentRequest& request = ask.request;
+void OnceCoordinator::RememberGrant(const PendingBegin& pending) {
+  const IntentRequest& request = pending.request;
   if (m_grants.size() >= kMaxOpenGrants) {
     m_grants_by_request.erase(m_grants.front().name);
     m_grants.pop_front();
   }
-  std::string name = GrantName(request.organisation, request.key, ask.caller_request_id);
+  std::string name = GrantName(request.organisation, request.key, pending.caller_request_id);
   if (const auto older = m_grants_by_request.find(name); older != m_grants_by_request.end()) {
     m_grants.erase(older->second);
   }
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -85,26 +85,26 @@
 
   PendingBeginPointer MakePendingBegin(IntentRequest request,
                                        std::function<void(Result<IntentReply>)> callback);
-  void Step(const PendingBeginPointer& ask);
-  void RefreshFor(const PendingBeginPointer& ask);
-  void SendToLocalHolder(const PendingBeginPointer& ask);
-  void SendToPeer(const PendingBeginPointer& ask, const Instance& target);
+  void Step(const PendingBeginPointer& pending);
+  void RefreshFor(const PendingBeginPointer& pending);
+  void SendToLocalHolder(const PendingBeginPointer& pending);
+  void SendToPeer(const PendingBeginPointer& pending, const Instance& target);
   void NoteReply(std::uint32_t partition,
                  const Instance& target,
                  TimePoint sent_at,
                  const Result<IntentReply>& result);
-  void OnReply(const PendingBeginPointer& ask, std::uint32_t round, Result<IntentReply> result);
-  void OnCallLate(const PendingBeginPointer& ask);
-  void OnCallTimeout(const PendingBeginPointer& ask);
+  void OnReply(const PendingBeginPointer& pending, std::uint32_t round, Result<IntentReply> result);
+  void OnCallLate(const PendingBeginPointer& pending);
+  void OnCallTimeout(const PendingBeginPointer& pending);
   void OnHolderSilent(const Instance& holder);
-  void CheckForNewHolder(const PendingBeginPointer& ask);
-  void RetryNow(const PendingBeginPointer& ask);
-  void RetryLater(const PendingBeginPointer& ask);
-  void OnDeadline(const PendingBeginPointer& ask);
-  void Finish(const PendingBeginPointer& ask, Result<IntentReply> result);
-  void RememberGrant(const PendingBegin& ask);
-  void RecordBegin(const PendingBegin& ask);
-  void RecordVerdict(const PendingBegin& ask, const Result<IntentReply>& result);
+  void CheckForNewHolder(const PendingBeginPointer& pending);
+  void RetryNow(const PendingBeginPointer& pending);
+  void RetryLater(const PendingBeginPointer& pending);
+  void OnDeadline(const PendingBeginPointer& pending);
+  void Finish(const PendingBeginPointer& pending, Result<IntentReply> result);
+  void RememberGrant(const PendingBegin& pending);
+  void RecordBegin(const PendingBegin& pending);
+  void RecordVerdict(const PendingBegin& pending, const Result<IntentReply>& result);
   void RecordRefusal(const std::string& request_id, const Error& error);
   std::function<void(Result<void>)> RecordingOutcome(const std::string& request_id,
                                                      bool has_answer,
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -17,65 +17,66 @@
 
 }  // namespace
 
-void OnceCoordinator::Step(const PendingBeginPointer& ask) {
-  if (!ask || !ask->callback) {
+void OnceCoordinator::Step(const PendingBeginPointer& pending) {
+  if (!pending || !pending->callback) {
     return;
   }
-  PartitionRole* role = RoleOf(ask->request.partition);
-  ask->round += 1;
-  ask->asked.reset();
-  ask->timer.reset();
+  PartitionRole* role = RoleOf(pending->request.partition);
+  pending->round += 1;
+  pending->asked.reset();
+  pending->timer.reset();
   if (role->Holder() != nullptr) {
-    return SendToLocalHolder(ask);
+    return SendToLocalHolder(pending);
   }
   // Alternates between the head's holder and the preferred instance. Counts calls to peers rather
   // than rounds: every second round only reads the head, so one of the two would never be asked.
-  const std::optional<Instance> target = role->Target(ask->peer_calls % 2 == 0);
-  if (!target || std::exchange(ask->needs_refresh, false)) {
-    return RefreshFor(ask);
+  const std::optional<Instance> target = role->Target(pending->peer_calls % 2 == 0);
+  if (!target || std::exchange(pending->needs_refresh, false)) {
+    return RefreshFor(pending);
   }
-  SendToPeer(ask, *target);
+  SendToPeer(pending, *target);
 }
 
-void OnceCoordinator::RefreshFor(const PendingBeginPointer& ask) {
-  PartitionRole* role = RoleOf(ask->request.partition);
-  role->Refresh([this, ask, role](const Result<void>& result) {
-    if (!ask->callback) {
+void OnceCoordinator::RefreshFor(const PendingBeginPointer& pending) {
+  PartitionRole* role = RoleOf(pending->request.partition);
+  role->Refresh([this, pending, role](const Result<void>& result) {
+    if (!pending->callback) {
       return;
     }
     if (!result && result.error().kind == ErrorKind::kStoreUnavailable) {
-      return Finish(ask, Refusal(ErrorKind::kStoreUnavailable, "the partition cannot be read"));
+      return Finish(pending, Refusal(ErrorKind::kStoreUnavailable, "the partition cannot be read"));
     }
     const bool can_go_on = role->Holder() != nullptr || role->Target(true);
-    can_go_on ? Step(ask) : RetryLater(ask);
+    can_go_on ? Step(pending) : RetryLater(pending);
   });
 }
 
-void OnceCoordinator::SendToLocalHolder(const PendingBeginPointer& ask) {
-  ask->in_flight = true;
-  const std::uint32_t round = ask->round;
-  RoleOf(ask->request.partition)
+void OnceCoordinator::SendToLocalHolder(const PendingBeginPointer& pending) {
+  pending->in_flight = true;
+  const std::uint32_t round = pending->round;
+  RoleOf(pending->request.partition)
       ->Holder()
-      ->Begin(ask->request, WhileAlive(m_alive, [this, ask, round](Result<IntentReply> result) {
-                OnReply(ask, round, std::move(result));
+      ->Begin(pending->request,
+              WhileAlive(m_alive, [this, pending, round](Result<IntentReply> result) {
+                OnReply(pending, round, std::move(result));
               }));
 }
 
-void OnceCoordinator::SendToPeer(const PendingBeginPointer& ask, const Instance& target) {
-  ask->in_flight = true;
-  ask->asked = target;
-  ask->peer_calls += 1;
-  ask->sent_at = m_parts.clock.Now();
-  const std::uint32_t round = ask->round;
-  const TimePoint sent_at = ask->sent_at;
-  ask->timer = m_parts.scheduler.ScheduleAfter(
+void OnceCoordinator::SendToPeer(const PendingBeginPointer& pending, const Instance& target) {
+  pending->in_flight = true;
+  pending->asked = target;
+  pending->peer_calls += 1;
+  pending->sent_at = m_parts.clock.Now();
+  const std::uint32_t round = pending->round;
+  const TimePoint sent_at = pending->sent_at;
+  pending->timer = m_parts.scheduler.ScheduleAfter(
       m_watch.ReplyDeadline(target),
-      [this, weak = std::weak_ptr<PendingBegin>(ask)] { OnCallLate(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallLate(weak.lock()); });
   m_parts.peers.BeginIntent(
-      target.peer_address, ask->request,
-      WhileAlive(m_alive, [this, ask, round, target, sent_at](Result<IntentReply> result) {
-        NoteReply(ask->request.partition, target, sent_at, result);
-        OnReply(ask, round, std::move(result));
+      target.peer_address, pending->request,
+      WhileAlive(m_alive, [this, pending, round, target, sent_at](Result<IntentReply> result) {
+        NoteReply(pending->request.partition, target, sent_at, result);
+        OnReply(pending, round, std::move(result));
       }));
 }
 
@@ -103,55 +104,55 @@
 
 /** Ignores replies to any but the latest call. A grant in an ignored reply is not lost: the attempt
     either gets it again or is reported as unused. */
-void OnceCoordinator::OnReply(const PendingBeginPointer& ask,
+void OnceCoordinator::OnReply(const PendingBeginPointer& pending,
                               std::uint32_t round,
                               Result<IntentReply> result) {
-  if (!ask->callback || round != ask->round) {
+  if (!pending->callback || round != pending->round) {
     return;
   }
-  ask->timer.reset();
-  ask->in_flight = false;
+  pending->timer.reset();
+  pending->in_flight = false;
   if (result) {
-    return Finish(ask, std::move(result));
+    return Finish(pending, std::move(result));
   }
   switch (result.error().kind) {
     case ErrorKind::kStoreOutcomeUnknown:
-      ask->may_be_recorded = true;
-      return Finish(ask, std::move(result));
+      pending->may_be_recorded = true;
+      return Finish(pending, std::move(result));
     case ErrorKind::kStaleEpoch:
     case ErrorKind::kPeerUnavailable:
     case ErrorKind::kOutcomeUnknown:
-      ask->may_be_recorded |= result.error().kind != ErrorKind::kPeerUnavailable;
-      ask->needs_refresh = true;
-      return RetryLater(ask);
+      pending->may_be_recorded |= result.error().kind != ErrorKind::kPeerUnavailable;
+      pending->needs_refresh = true;
+      return RetryLater(pending);
     default:
-      Finish(ask, std::move(result));
+      Finish(pending, std::move(result));
   }
 }
 
-void OnceCoordinator::OnCallLate(const PendingBeginPointer& ask) {
-  if (!ask || !ask->callback) {
+void OnceCoordinator::OnCallLate(const PendingBeginPointer& pending) {
+  if (!pending || !pending->callback) {
     return;
   }
-  m_watch.NoteLate(*ask->asked, ask->sent_at);
-  ask->timer = m_parts.scheduler.ScheduleAfter(
-      ask->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
-      [this, weak = std::weak_ptr<PendingBegin>(ask)] { OnCallTimeout(weak.lock()); });
+  m_watch.NoteLate(*pending->asked, pending->sent_at);
+  pending->timer = m_parts.scheduler.ScheduleAfter(
+      pending->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallTimeout(weak.lock()); });
 }
 
-void OnceCoordinator::OnCallTimeout(const PendingBeginPointer& ask) {
-  if (!ask || !ask->callback) {
+void OnceCoordinator::OnCallTimeout(const PendingBeginPointer& pending) {
+  if (!pending || !pending->callback) {
     return;
   }
-  RoleOf(ask->request.partition)->NoteCallFailure(*ask->asked, ask->sent_at, false);
-  RetryNow(ask);
+  RoleOf(pending->request.partition)->NoteCallFailure(*pending->asked, pending->sent_at, false);
+  RetryNow(pending);
 }
 
 /** Retries at once. The pending call's reply will be ignored, but its intent may be recorded. */
-void OnceCoordinator::RetryNow(const PendingBeginPointer& ask) {
-  ask->may_be_recorded = true;
-  ask->needs_refresh = true;
-  Step(ask);
+void OnceCoordinator::RetryNow(const PendingBeginPointer& pending) {
+  pending->may_be_recorded = true;
+  pending->needs_refresh = true;
+  Step(pending);
 }
 
 /** If `holder` is lost, takes its partitions over where this instance should, and retries the calls
@@ -162,41 +163,41 @@
     OnMembershipChanged();
   }
   const std::set<PendingBeginPointer> asks = m_pending_begins;
-  for (const PendingBeginPointer& ask : asks) {
-    if (ask->callback && ask->asked && IsSameStart(*ask->asked, holder)) {
-      lost ? RetryNow(ask) : CheckForNewHolder(ask);
+  for (const PendingBeginPointer& pending : asks) {
+    if (pending->callback && pending->asked && IsSameStart(*pending->asked, holder)) {
+      lost ? RetryNow(pending) : CheckForNewHolder(pending);
     }
   }
 }
 
 /** Reads the head once per request to find a new holder without waiting until the silent one counts
     as lost. */
-void OnceCoordinator::CheckForNewHolder(const PendingBeginPointer& ask) {
-  if (std::exchange(ask->checked_for_new_holder, true)) {
+void OnceCoordinator::CheckForNewHolder(const PendingBeginPointer& pending) {
+  if (std::exchange(pending->checked_for_new_holder, true)) {
     return;
   }
-  PartitionRole* role = RoleOf(ask->request.partition);
-  role->Refresh([this, ask, role, round = ask->round](const Result<void>&) {
-    if (!ask->callback || !ask->asked || round != ask->round) {
+  PartitionRole* role = RoleOf(pending->request.partition);
+  role->Refresh([this, pending, role, round = pending->round](const Result<void>&) {
+    if (!pending->callback || !pending->asked || round != pending->round) {
       return;
     }
     const std::optional<Instance> target = role->Target(true);
-    if (role->Holder() != nullptr || (target && !IsSameStart(*target, *ask->asked))) {
-      RetryNow(ask);
+    if (role->Holder() != nullptr || (target && !IsSameStart(*target, *pending->asked))) {
+      RetryNow(pending);
     }
   });
 }
 
-void OnceCoordinator::RetryLater(const PendingBeginPointer& ask) {
-  ask->timer = m_parts.scheduler.ScheduleAfter(
+void OnceCoordinator::RetryLater(const PendingBeginPointer& pending) {
+  pending->timer = m_parts.scheduler.ScheduleAfter(
       Jittered(m_settings.retry_pause),
-      [this, weak = std::weak_ptr<PendingBegin>(ask)] { Step(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { Step(weak.lock()); });
 }
 
-void OnceCoordinator::OnDeadline(const PendingBeginPointer& ask) {
-  if (ask && ask->callback) {
-    Finish(ask, Refusal(ErrorKind::kPeerUnavailable,
-                        "the holder of the key's partition did not answer in time"));
+void OnceCoordinator::OnDeadline(const PendingBeginPointer& pending) {
+  if (pending && pending->callback) {
+    Finish(pending, Refusal(ErrorKind::kPeerUnavailable,
+                            "the holder of the key's partition did not answer in time"));
   }
 }
 
--- a/packages/zinnia_decisions/once/once_coordinator_records.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_records.cc
@@ -48,24 +48,25 @@
   return role->KnownHead() ? role->KnownHead()->holder.name : "not_known_yet";
 }
 
-void OnceCoordinator::RecordBegin(const PendingBegin& ask) {
+void OnceCoordinator::RecordBegin(const PendingBegin& pending) {
   m_parts.recorder.Record({m_parts.clock.Now(),
-                           Subject(ask.caller_request_id),
+                           Subject(pending.caller_request_id),
                            "begin_once",
                            "the request carries an idempotency key and may run at most once",
-                           {{"partition", std::to_string(ask.request.partition)},
-                            {"holder", HolderName(ask.request.partition)}}});
+                           {{"partition", std::to_string(pending.request.partition)},
+                            {"holder", HolderName(pending.request.partition)}}});
 }
 
-void OnceCoordinator::RecordVerdict(const PendingBegin& ask, const Result<IntentReply>& result) {
+void OnceCoordinator::RecordVerdict(const PendingBegin& pending,
+                                    const Result<IntentReply>& result) {
   const VerdictText text = result ? TextOf(result->verdict) : VerdictText{"refuse_once", ""};
   DecisionRecord record{m_parts.clock.Now(),
-                        Subject(ask.caller_request_id),
+                        Subject(pending.caller_request_id),
                         text.decision,
                         result ? text.reason : result.error().message,
-                        {{"commit_wait_ms", Milliseconds(m_parts.clock.Now() - ask.begun_at)},
-                         {"rounds", std::to_string(ask.round)},
-                         {"holder", HolderName(ask.request.partition)}}};
+                        {{"commit_wait_ms", Milliseconds(m_parts.clock.Now() - pending.begun_at)},
+                         {"rounds", std::to_string(pending.round)},
+                         {"holder", HolderName(pending.request.partition)}}};
   if (result) {
     record.facts.emplace_back("epoch", std::to_string(result->epoch));
   } else {
