--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -23,13 +23,14 @@
   }
   PartitionRole* role = RoleOf(pending->request.partition);
   pending->round += 1;
-  pending->asked.reset();
+  pending->called_peer.reset();
   pending->timer.reset();
   if (role->Holder() != nullptr) {
     return SendToLocalHolder(pending);
   }
   // Alternates between the head's holder and the preferred instance. Counts calls to peers rather
-  // than rounds: every second round only reads the head, so one of the two would never be asked.
+  // than rounds: every second round only reads the head, so one of the two would never be
+  // called_peer.
   const std::optional<Instance> target = role->Target(pending->peer_calls % 2 == 0);
   if (!target || std::exchange(pending->needs_refresh, false)) {
     return RefreshFor(pending);
@@ -64,7 +65,7 @@
 
 void OnceCoordinator::SendToPeer(const PendingBeginPointer& pending, const Instance& target) {
   pending->in_flight = true;
-  pending->asked = target;
+  pending->called_peer = target;
   pending->peer_calls += 1;
   pending->sent_at = m_parts.clock.Now();
   const std::uint32_t round = pending->round;
@@ -134,7 +135,7 @@
   if (!pending || !pending->callback) {
     return;
   }
-  m_watch.NoteLate(*pending->asked, pending->sent_at);
+  m_watch.NoteLate(*pending->called_peer, pending->sent_at);
   pending->timer = m_parts.scheduler.ScheduleAfter(
       pending->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
       [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallTimeout(weak.lock()); });
@@ -144,7 +145,8 @@
   if (!pending || !pending->callback) {
     return;
   }
-  RoleOf(pending->request.partition)->NoteCallFailure(*pending->asked, pending->sent_at, false);
+  RoleOf(pending->request.partition)
+      ->NoteCallFailure(*pending->called_peer, pending->sent_at, false);
   RetryNow(pending);
 }
 
@@ -164,7 +166,7 @@
   }
   const std::set<PendingBeginPointer> asks = m_pending_begins;
   for (const PendingBeginPointer& pending : asks) {
-    if (pending->callback && pending->asked && IsSameStart(*pending->asked, holder)) {
+    if (pending->callback && pending->called_peer && IsSameStart(*pending->called_peer, holder)) {
       lost ? RetryNow(pending) : CheckForNewHolder(pending);
     }
   }
@@ -178,11 +180,11 @@
   }
   PartitionRole* role = RoleOf(pending->request.partition);
   role->Refresh([this, pending, role, round = pending->round](const Result<void>&) {
-    if (!pending->callback || !pending->asked || round != pending->round) {
+    if (!pending->callback || !pending->called_peer || round != pending->round) {
       return;
     }
     const std::optional<Instance> target = role->Target(true);
-    if (role->Holder() != nullptr || (target && !IsSameStart(*target, *pending->asked))) {
+    if (role->Holder() != nullptr || (target && !IsSameStart(*target, *pending->called_peer))) {
       RetryNow(pending);
     }
   });
--- a/packages/zinnia_decisions/once/pending_begin.h
+++ b/packages/zinnia_decisions/once/pending_begin.h
@@ -20,7 +20,7 @@
   std::uint32_t peer_calls = 0;
   bool needs_refresh = false;
   bool in_flight = false;
-  std::optional<Instance> asked;
+  std::optional<Instance> called_peer;
   bool checked_for_new_holder = false;
   TimePoint sent_at{};
   bool may_be_recorded = false;
