--- a/bench/once/load.cc
+++ b/bench/once/load.cc
@@ -47,7 +47,8 @@
   std::vector<double> latencies;
   for (const auto& [at, request] : requests) {
     if (request->caller_result == CallerResult::kAnswered) {
-      latencies.push_back(std::chrono::duration<double, std::milli>(request->told_at - at).count());
+      latencies.push_back(
+          std::chrono::duration<double, std::milli>(request->result_at - at).count());
     }
   }
   const auto count = static_cast<double>(requests.size());
--- a/bench/once/outage.cc
+++ b/bench/once/outage.cc
@@ -25,7 +25,7 @@
   double slowest_ms = 0;
   for (std::size_t i = 0; i < requests.size(); ++i) {
     refused += requests[i]->caller_result == CallerResult::kNotRun ? 1 : 0;
-    const auto took = requests[i]->told_at - asked_at[i];
+    const auto took = requests[i]->result_at - asked_at[i];
     slowest_ms = std::max(slowest_ms, std::chrono::duration<double, std::milli>(took).count());
   }
   const auto count = static_cast<double>(requests.size());
--- a/bench/once/takeovers.cc
+++ b/bench/once/takeovers.cc
@@ -75,8 +75,8 @@
   Duration longest{};
   for (const Booking& booking : bookings) {
     const bool failed = booking.request->caller_result != CallerResult::kAnswered;
-    if (failed || booking.request->told_at - booking.asked_at > kPrompt + 4 * store_call) {
-      longest = std::max<Duration>(longest, booking.request->told_at - lost_at);
+    if (failed || booking.request->result_at - booking.asked_at > kPrompt + 4 * store_call) {
+      longest = std::max<Duration>(longest, booking.request->result_at - lost_at);
     }
   }
   return Milliseconds(longest);
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -25,7 +25,7 @@
   CallerResult caller_result = CallerResult::kNothing;
   std::string answer;
   std::string error;
-  TimePoint told_at{};
+  TimePoint result_at{};
 };
 
 /** The backend service's log of runs: for each key, the requests that caused a run. */
@@ -316,7 +316,7 @@
                                std::string answer) {
   request.caller_result = caller_result;
   request.answer = std::move(answer);
-  request.told_at = m_world.time.Now();
+  request.result_at = m_world.time.Now();
 }
 
 }  // namespace zinnia
--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -116,7 +116,7 @@
   world.Advance(seconds(3));
   for (const auto& request : requests) {
     CHECK(request->caller_result == CallerResult::kAnswered);
-    CHECK(request->told_at - asked_at < milliseconds(600));
+    CHECK(request->result_at - asked_at < milliseconds(600));
   }
 }
 
