--- a/packages/zinnia_decisions/once/holder_watch.cc
+++ b/packages/zinnia_decisions/once/holder_failure_detector.cc
@@ -1,4 +1,4 @@
-#include "zinnia_decisions/once/holder_watch.h"
+#include "zinnia_decisions/once/holder_failure_detector.h"
 
 #include <fmt/format.h>
 
@@ -37,14 +37,14 @@
 
 }  // namespace
 
-HolderWatch::HolderWatch(const OnceParts& parts,
-                         const OnceSettings& settings,
-                         std::function<void(const Instance&)> on_silent)
+HolderFailureDetector::HolderFailureDetector(const OnceParts& parts,
+                                             const OnceSettings& settings,
+                                             std::function<void(const Instance&)> on_silent)
     : m_parts(parts), m_settings(settings), m_on_silent(std::move(on_silent)) {}
 
-HolderWatch::~HolderWatch() = default;
+HolderFailureDetector::~HolderFailureDetector() = default;
 
-HolderWatch::Peer& HolderWatch::PeerOf(const Instance& instance) {
+HolderFailureDetector::Peer& HolderFailureDetector::PeerOf(const Instance& instance) {
   if (m_peers.size() >= kMostPeers) {
     std::erase_if(m_peers, [](const auto& item) { return !item.second.suspected_since; });
   }
@@ -53,29 +53,31 @@
   return peer;
 }
 
-const HolderWatch::Peer* HolderWatch::Find(const Instance& instance) const {
+const HolderFailureDetector::Peer* HolderFailureDetector::Find(const Instance& instance) const {
   const auto found = m_peers.find(NameOf(instance));
   return found == m_peers.end() ? nullptr : &found->second;
 }
 
-Duration HolderWatch::ReplyDeadline(const Instance& instance) const {
+Duration HolderFailureDetector::ReplyDeadline(const Instance& instance) const {
   const Peer* peer = Find(instance);
   return std::clamp<Duration>(peer != nullptr ? peer->replies.Deadline() : Duration::zero(),
                               kMinReplyDeadline, kMaxReplyDeadline);
 }
 
-void HolderWatch::NoteReply(const Instance& instance, TimePoint sent_at) {
+void HolderFailureDetector::NoteReply(const Instance& instance, TimePoint sent_at) {
   Peer& peer = PeerOf(instance);
   peer.replies.Add(m_parts.clock.Now() - sent_at);
   EndSuspicion(peer);
 }
 
-std::optional<TimePoint> HolderWatch::LostSince(const Instance& instance) const {
+std::optional<TimePoint> HolderFailureDetector::LostSince(const Instance& instance) const {
   const Peer* peer = Find(instance);
   return peer != nullptr ? peer->lost_since : std::nullopt;
 }
 
-void HolderWatch::SuspectInstance(const Instance& instance, TimePoint sent_at, bool refused) {
+void HolderFailureDetector::SuspectInstance(const Instance& instance,
+                                            TimePoint sent_at,
+                                            bool refused) {
   Peer& peer = PeerOf(instance);
   peer.refused = refused;
   if (!peer.suspected_since) {
@@ -85,14 +87,14 @@
   }
 }
 
-void HolderWatch::EndSuspicion(Peer& peer) {
+void HolderFailureDetector::EndSuspicion(Peer& peer) {
   peer.suspected_since.reset();
   peer.lost_since.reset();
   peer.timer.reset();
   peer.refused = false;
 }
 
-void HolderWatch::ProbeInstance(const Instance& instance) {
+void HolderFailureDetector::ProbeInstance(const Instance& instance) {
   IntentOutcome nothing;
   nothing.partition = kNoPartition;
   const TimePoint sent_at = m_parts.clock.Now();
@@ -111,13 +113,13 @@
       }));
 }
 
-void HolderWatch::CheckLater(Peer& peer, Duration delay) {
+void HolderFailureDetector::CheckLater(Peer& peer, Duration delay) {
   peer.check_due = m_parts.clock.Now() + delay;
   peer.timer =
       m_parts.scheduler.ScheduleAfter(delay, [this, name = NameOf(peer.instance)] { Check(name); });
 }
 
-void HolderWatch::Check(const std::string& name) {
+void HolderFailureDetector::Check(const std::string& name) {
   Peer& peer = m_peers.at(name);
   const TimePoint now = m_parts.clock.Now();
   // After this instance was suspended, replies that are still in flight would look like silence,
@@ -137,7 +139,7 @@
   m_on_silent(instance);
 }
 
-Duration HolderWatch::SilenceTimeout(const Peer& peer) const {
+Duration HolderFailureDetector::SilenceTimeout(const Peer& peer) const {
   if (peer.refused) {
     return m_settings.refused_takeover_after;
   }
--- a/packages/zinnia_decisions/once/holder_watch.h
+++ b/packages/zinnia_decisions/once/holder_failure_detector.h
@@ -31,14 +31,14 @@
 
     @see PartitionRole, ReplyTimeEstimator
 */
-class HolderWatch {
+class HolderFailureDetector {
  public:
   /** `on_silent` is called at each check that finds an instance still silent, before and after
       LostSince reports it as lost. */
-  HolderWatch(const OnceParts& parts,
-              const OnceSettings& settings,
-              std::function<void(const Instance&)> on_silent);
-  ~HolderWatch();
+  HolderFailureDetector(const OnceParts& parts,
+                        const OnceSettings& settings,
+                        std::function<void(const Instance&)> on_silent);
+  ~HolderFailureDetector();
 
   /** Returns the time after which a reply from `instance` is late, counted from the sending. */
   Duration ReplyDeadline(const Instance& instance) const;
--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -47,7 +47,9 @@
     : m_parts(parts),
       m_settings(settings),
       m_random(seed),
-      m_watch(m_parts, m_settings, [this](const Instance& holder) { OnHolderSilent(holder); }),
+      m_failure_detector(m_parts,
+                         m_settings,
+                         [this](const Instance& holder) { OnHolderSilent(holder); }),
       m_takeover_slots(settings.most_takeovers) {
   m_reporter = std::make_unique<OutcomeReporter>(
       m_parts, m_settings, [this](std::uint32_t partition) { return RoleOf(partition); },
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "zinnia_decisions/membership/membership_view.h"
-#include "zinnia_decisions/once/holder_watch.h"
+#include "zinnia_decisions/once/holder_failure_detector.h"
 #include "zinnia_decisions/once/intent_handler.h"
 #include "zinnia_decisions/once/once_gate.h"
 #include "zinnia_decisions/once/outcome_reporter.h"
@@ -120,7 +120,7 @@
   OnceParts m_parts;
   const OnceSettings m_settings;
   RandomSource m_random;
-  HolderWatch m_watch;
+  HolderFailureDetector m_failure_detector;
   TakeoverSlots m_takeover_slots;
   std::vector<std::unique_ptr<PartitionRole>> m_roles;
   std::unique_ptr<OutcomeReporter> m_reporter;
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -71,7 +71,7 @@
   const std::uint32_t round = pending->round;
   const TimePoint sent_at = pending->sent_at;
   pending->timer = m_parts.scheduler.ScheduleAfter(
-      m_watch.ReplyDeadline(target),
+      m_failure_detector.ReplyDeadline(target),
       [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallLate(weak.lock()); });
   m_parts.peers.BeginIntent(
       target.peer_address, pending->request,
@@ -89,9 +89,9 @@
   PartitionRole* role = RoleOf(partition);
   const ErrorKind kind = result ? ErrorKind::kInternal : result.error().kind;
   if (kind == ErrorKind::kPeerUnavailable) {
-    m_watch.NoteRefused(target, sent_at);
+    m_failure_detector.NoteRefused(target, sent_at);
   } else if (kind != ErrorKind::kOutcomeUnknown) {
-    m_watch.NoteReply(target, sent_at);
+    m_failure_detector.NoteReply(target, sent_at);
   }
   // kStaleEpoch counts as a refusal: a holder that the head lists may have lost the partition.
   const bool refused = kind == ErrorKind::kPeerUnavailable || kind == ErrorKind::kStaleEpoch;
@@ -135,7 +135,7 @@
   if (!pending || !pending->callback) {
     return;
   }
-  m_watch.NoteLate(*pending->called_peer, pending->sent_at);
+  m_failure_detector.NoteLate(*pending->called_peer, pending->sent_at);
   pending->timer = m_parts.scheduler.ScheduleAfter(
       pending->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
       [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallTimeout(weak.lock()); });
@@ -160,7 +160,7 @@
 /** If `holder` is lost, takes its partitions over where this instance should, and retries the calls
     that wait for it. If it is only suspected, checks whether its partitions have a new holder. */
 void OnceCoordinator::OnHolderSilent(const Instance& holder) {
-  const bool lost = m_watch.LostSince(holder).has_value();
+  const bool lost = m_failure_detector.LostSince(holder).has_value();
   if (lost) {
     OnMembershipChanged();
   }
--- a/packages/zinnia_decisions/once/once_coordinator_roles.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_roles.cc
@@ -74,7 +74,7 @@
                              {{"partitions", std::to_string(partitions)}}});
   }
   for (std::uint32_t partition = 0; partition < partitions; ++partition) {
-    m_roles.push_back(std::make_unique<PartitionRole>(m_parts, m_settings, m_watch,
+    m_roles.push_back(std::make_unique<PartitionRole>(m_parts, m_settings, m_failure_detector,
                                                       m_takeover_slots, partition, partitions));
   }
   OnMembershipChanged();
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -8,7 +8,7 @@
 #include "zinnia_base/decisions/decision_record.h"
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/membership/membership_view.h"
-#include "zinnia_decisions/once/holder_watch.h"
+#include "zinnia_decisions/once/holder_failure_detector.h"
 
 namespace zinnia {
 namespace {
@@ -27,13 +27,13 @@
 
 PartitionRole::PartitionRole(const OnceParts& parts,
                              const OnceSettings& settings,
-                             HolderWatch& watch,
+                             HolderFailureDetector& failure_detector,
                              TakeoverSlots& slots,
                              std::uint32_t partition,
                              std::uint32_t partitions)
     : m_parts(parts),
       m_settings(settings),
-      m_watch(watch),
+      m_failure_detector(failure_detector),
       m_slots(slots),
       m_partition(partition),
       m_partitions(partitions) {}
@@ -64,7 +64,7 @@
 }
 
 bool PartitionRole::IsHolderFailing(const PartitionHead& head) const {
-  if (head.epoch > 0 && !head.released && m_watch.LostSince(head.holder)) {
+  if (head.epoch > 0 && !head.released && m_failure_detector.LostSince(head.holder)) {
     return true;
   }
   const TimePoint now = m_parts.clock.Now();
@@ -102,14 +102,14 @@
 /** Staggers takeovers by order of preference. Otherwise all instances that detect a lost holder at
     the same time would compete for its partitions, wasting store calls. */
 bool PartitionRole::IsTakeoverDelayOver(const PartitionHead& head) const {
-  const std::optional<TimePoint> lost_since = m_watch.LostSince(head.holder);
+  const std::optional<TimePoint> lost_since = m_failure_detector.LostSince(head.holder);
   if (!lost_since) {
     return true;
   }
   const std::uint64_t own = PreferenceOf(m_parts.membership.Self());
   int before = 0;
   for (const Instance& instance : m_parts.membership.LiveInstances()) {
-    const bool lost = IsSame(instance, head.holder) || m_watch.LostSince(instance);
+    const bool lost = IsSame(instance, head.holder) || m_failure_detector.LostSince(instance);
     before += !lost && PreferenceOf(instance) > own ? 1 : 0;
   }
   return m_parts.clock.Now() - *lost_since >=
@@ -226,7 +226,7 @@
   if (m_head && !IsUsable(*m_head)) {
     NoteCallFailure(m_parts.membership.Self(), now, true);
   } else if (m_head && !m_leaving) {
-    m_watch.NoteLate(m_head->holder, now);
+    m_failure_detector.NoteLate(m_head->holder, now);
   }
 }
 
--- a/packages/zinnia_decisions/once/partition_role.h
+++ b/packages/zinnia_decisions/once/partition_role.h
@@ -13,7 +13,7 @@
 
 namespace zinnia {
 
-class HolderWatch;
+class HolderFailureDetector;
 
 /** This instance's view of one partition: the head as last read, the instance to send requests to,
     and the PartitionHolder if this instance holds the partition.
@@ -32,7 +32,7 @@
 
   PartitionRole(const OnceParts& parts,
                 const OnceSettings& settings,
-                HolderWatch& watch,
+                HolderFailureDetector& failure_detector,
                 TakeoverSlots& slots,
                 std::uint32_t partition,
                 std::uint32_t partitions);
@@ -87,7 +87,7 @@
 
   OnceParts m_parts;
   const OnceSettings& m_settings;
-  HolderWatch& m_watch;
+  HolderFailureDetector& m_failure_detector;
   TakeoverSlots& m_slots;
   TakeoverSlots::Slot m_slot;
   const std::uint32_t m_partition;
--- a/packages/zinnia_decisions/once/reply_time_estimator.h
+++ b/packages/zinnia_decisions/once/reply_time_estimator.h
@@ -12,7 +12,7 @@
     Callers should apply a minimum to Deadline, since a few fast replies do not predict the next
     one.
 
-    @see HolderWatch
+    @see HolderFailureDetector
 */
 class ReplyTimeEstimator {
  public:
