--- a/tests/once/once_schedule.h
+++ b/tests/once/once_schedule.h
@@ -120,7 +120,7 @@
       const bool ran = m_world.ledger.request_ids.contains(request->id);
       Expect(!ran || request->caller_result == CallerResult::kAnswered ||
                  request->caller_result == CallerResult::kNothing,
-             request->id + " ran, but its caller was told otherwise");
+             request->id + " ran, but its caller got another result");
       if (request->caller_result == CallerResult::kAnswered) {
         const auto& runs = m_world.ledger.runs[request->key];
         Expect(!runs.empty() && request->answer == "booked by " + runs.front(),
@@ -147,7 +147,7 @@
     m_world.Advance(std::chrono::seconds(5));
     for (const auto& request : fresh) {
       Expect(request->caller_result == CallerResult::kAnswered,
-             request->key + " is not served after healing: told " +
+             request->key + " is not served after the repair: result " +
                  std::to_string(static_cast<int>(request->caller_result)) + " " + request->error);
     }
     CheckTold();
