--- a/packages/zinnia_decisions/once/intent_index.h
+++ b/packages/zinnia_decisions/once/intent_index.h
@@ -19,7 +19,7 @@
 class IntentIndex {
  public:
   /** Keeps at most `most_body_bytes` of recorded answers. Beyond that, the oldest bodies are
-     dropped and their answers marked with `body_dropped`. */
+      dropped and their answers marked with `body_dropped`. */
   IntentIndex(std::int64_t retention_ms, std::size_t most_body_bytes)
       : m_retention_ms(retention_ms), m_most_body_bytes(most_body_bytes) {}
 
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -43,15 +43,14 @@
                                                          std::uint64_t seed);
   ~OnceCoordinator() override;
 
-  /** Reads the layout and takes over the partitions without a holder that this instance should
-   * hold. */
+  /** Reads the layout and takes over partitions without a holder, where this instance should. */
   void Start();
 
   /** Sets `request.partition` and `request.asking_instance` itself. */
   void Begin(IntentRequest request, std::function<void(Result<IntentReply>)> callback) override;
 
   /** `outcome` has the same request_id as in Begin. The callback runs when the outcome is recorded
-     or reporting it has finally failed. */
+      or reporting it has finally failed. */
   void Report(IntentOutcome outcome, std::function<void(Result<void>)> callback) override;
 
   void OnBeginIntent(IntentRequest request,
--- a/packages/zinnia_decisions/once/once_settings.h
+++ b/packages/zinnia_decisions/once/once_settings.h
@@ -82,7 +82,7 @@
   std::size_t most_answer_bytes = std::size_t{8} * 1024;
 
   /** Maximum size of the recorded answers' bodies that a partition keeps in memory. Beyond that,
-     the oldest are dropped and their answers marked with `body_dropped`. */
+      the oldest are dropped and their answers marked with `body_dropped`. */
   std::size_t most_recorded_bytes = std::size_t{2} * 1024 * 1024;
   std::size_t most_entries = 100'000;
   std::size_t most_queued = 1'024;
--- a/packages/zinnia_decisions/once/outcome_reporter.h
+++ b/packages/zinnia_decisions/once/outcome_reporter.h
@@ -31,7 +31,7 @@
   ~OutcomeReporter();
 
   /** `outcome` must contain the partition and, as request_id, the attempt id. Fails immediately
-     with kOverloaded if too many outcomes are pending. */
+      with kOverloaded if too many outcomes are pending. */
   void Add(IntentOutcome outcome, Callback callback);
 
   std::size_t size() const { return m_reports.size(); }
--- a/packages/zinnia_decisions/once/partition_holder.cc
+++ b/packages/zinnia_decisions/once/partition_holder.cc
@@ -199,7 +199,7 @@
 }
 
 /** Schedules the operation's callback, at most once. The callback runs asynchronously because it
-   may call into this object again. Withdrawn and internal operations have no callback. */
+    may call into this object again. Withdrawn and internal operations have no callback. */
 void PartitionHolder::Answer(Operation& operation, const Result<IntentReply>& result) {
   if (auto callback = std::exchange(operation.begin_callback, nullptr)) {
     m_answers.emplace_back([callback = std::move(callback), result] { callback(result); });
--- a/packages/zinnia_decisions/once/partition_holder_commits.cc
+++ b/packages/zinnia_decisions/once/partition_holder_commits.cc
@@ -35,7 +35,7 @@
 }
 
 /** Returns the delay before the next write: from the rate limit, the pause after a store error,
-   and, if only outcomes are queued, the time to wait for an intent to share the write with. */
+    and, if only outcomes are queued, the time to wait for an intent to share the write with. */
 Duration PartitionHolder::CommitDelay() {
   using Seconds = std::chrono::duration<double>;
   const TimePoint now = m_parts.clock.Now();
--- a/packages/zinnia_decisions/once/settled_writer.h
+++ b/packages/zinnia_decisions/once/settled_writer.h
@@ -21,8 +21,8 @@
     until either a write has taken effect or the record has another version, so that neither can.
 
     The callback gets the new version, kStoreConflict (the record changed, so the write cannot take
-   effect) or kStoreUnavailable (the write did not take effect); it is dropped if the writer is
-   destroyed. Values written to one key must be unique, for example by an epoch and a serial.
+    effect) or kStoreUnavailable (the write did not take effect); it is dropped if the writer is
+    destroyed. Values written to one key must be unique, for example by an epoch and a serial.
 */
 class SettledWriter {
  public:
--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -17,8 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** An engine that accepts load orders. With `checks`, it refuses epochs lower than the highest
- * seen. */
+/** An engine that accepts load orders. With `checks`, it refuses orders of an older epoch. */
 struct FakeEngine {
   EngineState state;
   bool checks = true;
--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -31,8 +31,7 @@
     }
   }
 
-  /** Sends a request every 50 ms through all instances but `left_out`; returns the number that
-   * failed. */
+  /** Sends requests every 50 ms, none through `left_out`; returns the number that failed. */
   int CountRefused(int bookings, const FakeInstance* left_out) {
     std::vector<std::shared_ptr<CallerRequest>> requests;
     for (int i = 0; i < bookings; ++i) {
