--- a/bench/once/load.cc
+++ b/bench/once/load.cc
@@ -46,8 +46,9 @@
   LoadResult result;
   std::vector<double> latencies;
   for (const auto& [at, request] : requests) {
-    if (request->told == Told::kAnswered) {
-      latencies.push_back(std::chrono::duration<double, std::milli>(request->told_at - at).count());
+    if (request->caller_result == CallerResult::kAnswered) {
+      latencies.push_back(
+          std::chrono::duration<double, std::milli>(request->result_at - at).count());
     }
   }
   const auto count = static_cast<double>(requests.size());
--- a/packages/zinnia_decisions/once/once_coordinator.cc
+++ b/packages/zinnia_decisions/once/once_coordinator.cc
@@ -8,15 +8,14 @@
 #include "zinnia_base/decisions/decision_record.h"
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/once/alive_guard.h"
-#include "zinnia_decisions/once/once_ask.h"
+#include "zinnia_decisions/once/pending_begin.h"
 #include "zinnia_decisions/ports/peer_transport.h"
 
 namespace zinnia {
 namespace {
 
-/** Grants that are remembered so that their outcome can be reported. Beyond, the oldest is
-    forgotten; its key then stays "outcome unknown". */
-constexpr std::size_t kMostGrants = 65'536;
+/** Open grants kept for Report. When full, the oldest is dropped and its key stays kStarted. */
+constexpr std::size_t kMaxOpenGrants = 65'536;
 
 std::string GrantName(const OrganisationName& organisation,
                       const std::string& key,
@@ -48,7 +47,9 @@
     : m_parts(parts),
       m_settings(settings),
       m_random(seed),
-      m_watch(m_parts, m_settings, [this](const Instance& holder) { OnHolderSilent(holder); }),
+      m_failure_detector(m_parts,
+                         m_settings,
+                         [this](const Instance& holder) { OnHolderSilent(holder); }),
       m_takeover_slots(settings.most_takeovers) {
   m_reporter = std::make_unique<OutcomeReporter>(
       m_parts, m_settings, [this](std::uint32_t partition) { return RoleOf(partition); },
@@ -72,40 +73,40 @@
     RecordRefusal(request.request_id, error);
     return callback(error);
   }
-  if (m_asks.size() >= m_settings.most_queued) {
+  if (m_pending_begins.size() >= m_settings.most_queued) {
     const Error error = Refusal(ErrorKind::kOverloaded, "too many non-idempotent requests at once");
     RecordRefusal(request.request_id, error);
     return callback(error);
   }
-  Step(MakeAsk(std::move(request), std::move(callback)));
+  Step(MakePendingBegin(std::move(request), std::move(callback)));
 }
 
-OnceCoordinator::AskPointer OnceCoordinator::MakeAsk(
+OnceCoordinator::PendingBeginPointer OnceCoordinator::MakePendingBegin(
     IntentRequest request,
     std::function<void(Result<IntentReply>)> callback) {
   const Instance& self = m_parts.membership.Self();
-  auto ask = std::make_shared<Ask>();
-  ask->caller_request_id = request.request_id;
-  ask->request = std::move(request);
-  ask->request.partition = PartitionOf(ask->request.organisation, ask->request.key);
-  ask->request.asking_instance = self.name;
-  ask->request.request_id = fmt::format("{}/{}/{}", self.name, self.start, m_next_attempt++);
-  ask->callback = std::move(callback);
-  ask->begun_at = m_parts.clock.Now();
-  RecordBegin(*ask);
-  ask->deadline = m_parts.scheduler.ScheduleAfter(
+  auto pending = std::make_shared<PendingBegin>();
+  pending->caller_request_id = request.request_id;
+  pending->request = std::move(request);
+  pending->request.partition = PartitionOf(pending->request.organisation, pending->request.key);
+  pending->request.asking_instance = self.name;
+  pending->request.request_id = fmt::format("{}/{}/{}", self.name, self.start, m_next_attempt++);
+  pending->callback = std::move(callback);
+  pending->begun_at = m_parts.clock.Now();
+  RecordBegin(*pending);
+  pending->deadline = m_parts.scheduler.ScheduleAfter(
       m_settings.begin_timeout,
-      [this, weak = std::weak_ptr<Ask>(ask)] { OnDeadline(weak.lock()); });
-  m_asks.insert(ask);
-  return ask;
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnDeadline(weak.lock()); });
+  m_pending_begins.insert(pending);
+  return pending;
 }
 
-void OnceCoordinator::Finish(const AskPointer& ask, Result<IntentReply> result) {
-  const auto callback = std::exchange(ask->callback, nullptr);
-  ask->deadline.reset();
-  ask->timer.reset();
-  m_asks.erase(ask);
-  RecordVerdict(*ask, result);
+void OnceCoordinator::Finish(const PendingBeginPointer& pending, Result<IntentReply> result) {
+  const auto callback = std::exchange(pending->callback, nullptr);
+  pending->deadline.reset();
+  pending->timer.reset();
+  m_pending_begins.erase(pending);
+  RecordVerdict(*pending, result);
   if (!result) {
     Error error = result.error();
     error.was_run = WasRun::kNo;
@@ -113,24 +114,24 @@
     result = std::move(error);
   }
   if (result && result->verdict == IntentVerdict::kGranted) {
-    RememberGrant(*ask);
-  } else if (ask->may_be_recorded || ask->in_flight) {
-    // Also after a verdict: an earlier call of this attempt may still wait at the holder and be
-    // granted once the key is free, to nobody; the key would be blocked for the whole retention.
-    const IntentRequest& request = ask->request;
+    RememberGrant(*pending);
+  } else if (pending->may_be_recorded || pending->in_flight) {
+    // An earlier call of this attempt may still be queued at the holder. Reporting the attempt as
+    // unused prevents a later grant that nobody would use and that would block the key.
+    const IntentRequest& request = pending->request;
     m_reporter->Add({request.partition, request.organisation, request.key, request.request_id, {}},
                     Ignore);
   }
   callback(std::move(result));
 }
 
-void OnceCoordinator::RememberGrant(const Ask& ask) {
-  const IntentRequest& request = ask.request;
-  if (m_grants.size() >= kMostGrants) {
+void OnceCoordinator::RememberGrant(const PendingBegin& pending) {
+  const IntentRequest& request = pending.request;
+  if (m_grants.size() >= kMaxOpenGrants) {
     m_grants_by_request.erase(m_grants.front().name);
     m_grants.pop_front();
   }
-  std::string name = GrantName(request.organisation, request.key, ask.caller_request_id);
+  std::string name = GrantName(request.organisation, request.key, pending.caller_request_id);
   if (const auto older = m_grants_by_request.find(name); older != m_grants_by_request.end()) {
     m_grants.erase(older->second);
   }
--- a/packages/zinnia_decisions/once/once_coordinator.h
+++ b/packages/zinnia_decisions/once/once_coordinator.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "zinnia_decisions/membership/membership_view.h"
-#include "zinnia_decisions/once/holder_watch.h"
+#include "zinnia_decisions/once/holder_failure_detector.h"
 #include "zinnia_decisions/once/intent_handler.h"
 #include "zinnia_decisions/once/once_gate.h"
 #include "zinnia_decisions/once/outcome_reporter.h"
@@ -20,18 +20,18 @@
 
 namespace zinnia {
 
-/** At most once for requests with an idempotency key; one on each instance.
+/** Provides at-most-once execution for requests with an idempotency key. Each instance has one.
 
-    Begin finds the holder of the key's partition, which makes the intent durable in the platform's
-    store, and answers within `begin_timeout`. Every error from Begin says was_run "no", and that is
-    a promise: the grant, if one was recorded, was never given to the caller and never will be, and
-    is reported as unused until its key is free again.
+    Begin sends the intent to the holder of the key's partition, which records it in the platform's
+    store, and calls back within `begin_timeout`. Every error from Begin has WasRun::kNo: a grant
+    that may have been recorded is never returned to the caller, and is reported as unused until the
+    key is free again or `report_for` has passed.
 
-    Each call of Begin gets an attempt id of its own, whatever request_id it carries. If the
-    holder's reply is lost, the same attempt asks again and may be granted again: nothing has been
-    told to the caller yet, and the callback runs once.
+    Each call of Begin gets its own attempt id, independent of its request_id. If the holder's reply
+    is lost, the attempt is sent again and may be granted again, since the caller has got no result
+    yet. The callback runs once.
 
-    Create, Start, and on a planned stop HandOver. Lives on the control thread.
+    Call Start after Create, and HandOver before a planned stop. Use it on the control thread only.
 
     @see DispatchWindow, PartitionHolder, OutcomeReporter
 */
@@ -43,34 +43,35 @@
                                                          std::uint64_t seed);
   ~OnceCoordinator() override;
 
-  /** Reads the layout and takes the partitions that lack a holder and prefer this instance. */
+  /** Reads the layout and takes over partitions without a holder, where this instance should. */
   void Start();
 
-  /** `request.partition` and `asking_instance` are filled in here. */
+  /** Sets `request.partition` and `request.asking_instance` itself. */
   void Begin(IntentRequest request, std::function<void(Result<IntentReply>)> callback) override;
 
-  /** `outcome` names the request as Begin did; the callback runs when it is durable or given up. */
+  /** `outcome` has the same request_id as in Begin. The callback runs when the outcome is recorded
+      or reporting it has finally failed. */
   void Report(IntentOutcome outcome, std::function<void(Result<void>)> callback) override;
 
   void OnBeginIntent(IntentRequest request,
                      std::function<void(Result<IntentReply>)> callback) override;
   void OnReportOutcome(IntentOutcome outcome, std::function<void(Result<void>)> callback) override;
 
-  /** Gives up all partitions in good order. Begin goes on to work, through the other instances.
-      `done` runs within `hand_over_timeout`, also while the store is down: what was not released by
-      then is taken over as from an instance that died. */
+  /** Releases all partitions. Begin continues to work through the other instances. `done` runs
+      within `hand_over_timeout`, even if the store is unavailable; partitions not released by then
+      are taken over as those of a failed instance. */
   void HandOver(std::function<void()> done);
 
   std::size_t HeldPartitions();
 
-  /** Grants given whose outcome was not reported, and outcomes not yet recorded. */
+  /** Returns the number of grants without a reported outcome. */
   std::size_t OpenGrants() const { return m_grants.size(); }
   std::size_t PendingReports() const;
 
  private:
-  struct Ask;
+  struct PendingBegin;
   struct Grant;
-  using AskPointer = std::shared_ptr<Ask>;
+  using PendingBeginPointer = std::shared_ptr<PendingBegin>;
   using HolderCallback = std::function<void(Result<PartitionHolder*>)>;
 
   OnceCoordinator(OnceParts parts, OnceSettings settings, std::uint64_t seed);
@@ -81,27 +82,28 @@
   void UseLayout(std::uint32_t partitions);
   void Tick();
 
-  AskPointer MakeAsk(IntentRequest request, std::function<void(Result<IntentReply>)> callback);
-  void Step(const AskPointer& ask);
-  void RefreshFor(const AskPointer& ask);
-  void AskLocally(const AskPointer& ask);
-  void AskPeer(const AskPointer& ask, const Instance& target);
+  PendingBeginPointer MakePendingBegin(IntentRequest request,
+                                       std::function<void(Result<IntentReply>)> callback);
+  void Step(const PendingBeginPointer& pending);
+  void RefreshFor(const PendingBeginPointer& pending);
+  void SendToLocalHolder(const PendingBeginPointer& pending);
+  void SendToPeer(const PendingBeginPointer& pending, const Instance& target);
   void NoteReply(std::uint32_t partition,
                  const Instance& target,
                  TimePoint sent_at,
                  const Result<IntentReply>& result);
-  void OnReply(const AskPointer& ask, std::uint32_t round, Result<IntentReply> result);
-  void OnCallLate(const AskPointer& ask);
-  void OnCallTimeout(const AskPointer& ask);
+  void OnReply(const PendingBeginPointer& pending, std::uint32_t round, Result<IntentReply> result);
+  void OnCallLate(const PendingBeginPointer& pending);
+  void OnCallTimeout(const PendingBeginPointer& pending);
   void OnHolderSilent(const Instance& holder);
-  void LookWhoHolds(const AskPointer& ask);
-  void AskAgain(const AskPointer& ask);
-  void RetryLater(const AskPointer& ask);
-  void OnDeadline(const AskPointer& ask);
-  void Finish(const AskPointer& ask, Result<IntentReply> result);
-  void RememberGrant(const Ask& ask);
-  void RecordBegin(const Ask& ask);
-  void RecordVerdict(const Ask& ask, const Result<IntentReply>& result);
+  void CheckForNewHolder(const PendingBeginPointer& pending);
+  void RetryNow(const PendingBeginPointer& pending);
+  void RetryLater(const PendingBeginPointer& pending);
+  void OnDeadline(const PendingBeginPointer& pending);
+  void Finish(const PendingBeginPointer& pending, Result<IntentReply> result);
+  void RememberGrant(const PendingBegin& pending);
+  void RecordBegin(const PendingBegin& pending);
+  void RecordVerdict(const PendingBegin& pending, const Result<IntentReply>& result);
   void RecordRefusal(const std::string& request_id, const Error& error);
   std::function<void(Result<void>)> RecordingOutcome(const std::string& request_id,
                                                      bool has_answer,
@@ -117,13 +119,13 @@
   OnceParts m_parts;
   const OnceSettings m_settings;
   RandomSource m_random;
-  HolderWatch m_watch;
+  HolderFailureDetector m_failure_detector;
   TakeoverSlots m_takeover_slots;
   std::vector<std::unique_ptr<PartitionRole>> m_roles;
   std::unique_ptr<OutcomeReporter> m_reporter;
   std::list<Grant> m_grants;
   std::map<std::string, std::list<Grant>::iterator> m_grants_by_request;
-  std::set<AskPointer> m_asks;
+  std::set<PendingBeginPointer> m_pending_begins;
   std::size_t m_waiting_for_role = 0;
   std::uint64_t m_next_attempt = 1;
   bool m_layout_under_way = false;
--- a/packages/zinnia_decisions/once/once_coordinator_asks.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_asks.cc
@@ -3,12 +3,11 @@
 
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/once/alive_guard.h"
-#include "zinnia_decisions/once/once_ask.h"
 #include "zinnia_decisions/once/once_coordinator.h"
+#include "zinnia_decisions/once/pending_begin.h"
 #include "zinnia_decisions/ports/peer_transport.h"
 
-/** The part of OnceCoordinator that finds the holder for one Begin and asks it, again if need be.
- */
+/** The part of OnceCoordinator that sends a Begin to the partition's holder and retries it. */
 namespace zinnia {
 namespace {
 
@@ -18,69 +17,71 @@
 
 }  // namespace
 
-void OnceCoordinator::Step(const AskPointer& ask) {
-  if (!ask || !ask->callback) {
+void OnceCoordinator::Step(const PendingBeginPointer& pending) {
+  if (!pending || !pending->callback) {
     return;
   }
-  PartitionRole* role = RoleOf(ask->request.partition);
-  ask->round += 1;
-  ask->asked.reset();
-  ask->timer.reset();
+  PartitionRole* role = RoleOf(pending->request.partition);
+  pending->round += 1;
+  pending->called_peer.reset();
+  pending->timer.reset();
   if (role->Holder() != nullptr) {
-    return AskLocally(ask);
+    return SendToLocalHolder(pending);
   }
-  // By turns the head's holder and the one that should hold it. Rounds do not count: each second
-  // one only reads the head, and one of the two would never be asked.
-  const std::optional<Instance> target = role->Target(ask->peers_asked % 2 == 0);
-  if (!target || std::exchange(ask->needs_refresh, false)) {
-    return RefreshFor(ask);
+  // Alternates between the head's holder and the preferred instance. Counts calls to peers rather
+  // than rounds: every second round only reads the head, so one of the two would never be
+  // called_peer.
+  const std::optional<Instance> target = role->Target(pending->peer_calls % 2 == 0);
+  if (!target || std::exchange(pending->needs_refresh, false)) {
+    return RefreshFor(pending);
   }
-  AskPeer(ask, *target);
+  SendToPeer(pending, *target);
 }
 
-void OnceCoordinator::RefreshFor(const AskPointer& ask) {
-  PartitionRole* role = RoleOf(ask->request.partition);
-  role->Refresh([this, ask, role](const Result<void>& result) {
-    if (!ask->callback) {
+void OnceCoordinator::RefreshFor(const PendingBeginPointer& pending) {
+  PartitionRole* role = RoleOf(pending->request.partition);
+  role->Refresh([this, pending, role](const Result<void>& result) {
+    if (!pending->callback) {
       return;
     }
     if (!result && result.error().kind == ErrorKind::kStoreUnavailable) {
-      return Finish(ask, Refusal(ErrorKind::kStoreUnavailable, "the partition cannot be read"));
+      return Finish(pending, Refusal(ErrorKind::kStoreUnavailable, "the partition cannot be read"));
     }
     const bool can_go_on = role->Holder() != nullptr || role->Target(true);
-    can_go_on ? Step(ask) : RetryLater(ask);
+    can_go_on ? Step(pending) : RetryLater(pending);
   });
 }
 
-void OnceCoordinator::AskLocally(const AskPointer& ask) {
-  ask->in_flight = true;
-  const std::uint32_t round = ask->round;
-  RoleOf(ask->request.partition)
+void OnceCoordinator::SendToLocalHolder(const PendingBeginPointer& pending) {
+  pending->in_flight = true;
+  const std::uint32_t round = pending->round;
+  RoleOf(pending->request.partition)
       ->Holder()
-      ->Begin(ask->request, WhileAlive(m_alive, [this, ask, round](Result<IntentReply> result) {
-                OnReply(ask, round, std::move(result));
+      ->Begin(pending->request,
+              WhileAlive(m_alive, [this, pending, round](Result<IntentReply> result) {
+                OnReply(pending, round, std::move(result));
               }));
 }
 
-void OnceCoordinator::AskPeer(const AskPointer& ask, const Instance& target) {
-  ask->in_flight = true;
-  ask->asked = target;
-  ask->peers_asked += 1;
-  ask->sent_at = m_parts.clock.Now();
-  const std::uint32_t round = ask->round;
-  const TimePoint sent_at = ask->sent_at;
-  ask->timer = m_parts.scheduler.ScheduleAfter(
-      m_watch.ReplyDeadline(target),
-      [this, weak = std::weak_ptr<Ask>(ask)] { OnCallLate(weak.lock()); });
+void OnceCoordinator::SendToPeer(const PendingBeginPointer& pending, const Instance& target) {
+  pending->in_flight = true;
+  pending->called_peer = target;
+  pending->peer_calls += 1;
+  pending->sent_at = m_parts.clock.Now();
+  const std::uint32_t round = pending->round;
+  const TimePoint sent_at = pending->sent_at;
+  pending->timer = m_parts.scheduler.ScheduleAfter(
+      m_failure_detector.ReplyDeadline(target),
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallLate(weak.lock()); });
   m_parts.peers.BeginIntent(
-      target.peer_address, ask->request,
-      WhileAlive(m_alive, [this, ask, round, target, sent_at](Result<IntentReply> result) {
-        NoteReply(ask->request.partition, target, sent_at, result);
-        OnReply(ask, round, std::move(result));
+      target.peer_address, pending->request,
+      WhileAlive(m_alive, [this, pending, round, target, sent_at](Result<IntentReply> result) {
+        NoteReply(pending->request.partition, target, sent_at, result);
+        OnReply(pending, round, std::move(result));
       }));
 }
 
-/** Learns from what a peer said, or did not say, about its being there and about the partition. */
+/** Updates the failure detection of `target` and of the partition from the result of a call. */
 void OnceCoordinator::NoteReply(std::uint32_t partition,
                                 const Instance& target,
                                 TimePoint sent_at,
@@ -88,117 +89,117 @@
   PartitionRole* role = RoleOf(partition);
   const ErrorKind kind = result ? ErrorKind::kInternal : result.error().kind;
   if (kind == ErrorKind::kPeerUnavailable) {
-    m_watch.NoteRefused(target, sent_at);
+    m_failure_detector.NoteRefused(target, sent_at);
   } else if (kind != ErrorKind::kOutcomeUnknown) {
-    m_watch.NoteReply(target, sent_at);
+    m_failure_detector.NoteReply(target, sent_at);
   }
-  // A holder that the head still names and that says it holds nothing will not serve either.
+  // kStaleEpoch counts as a refusal: a holder that the head lists may have lost the partition.
   const bool refused = kind == ErrorKind::kPeerUnavailable || kind == ErrorKind::kStaleEpoch;
   if (refused || kind == ErrorKind::kOutcomeUnknown) {
-    role->NoteUnserved(target, sent_at, refused);
-    role->NoteRefusal(target);
+    role->NoteCallFailure(target, sent_at, refused);
+    role->ExcludeTarget(target);
   } else {
-    role->NoteServed();
+    role->NoteCallSuccess();
   }
 }
 
-/** Takes the answer of the newest call only. A grant that comes later than that is not lost: the
-    same attempt asks again and gets it again, or reports it as unused. */
-void OnceCoordinator::OnReply(const AskPointer& ask,
+/** Ignores replies to any but the latest call. A grant in an ignored reply is not lost: the attempt
+    either gets it again or is reported as unused. */
+void OnceCoordinator::OnReply(const PendingBeginPointer& pending,
                               std::uint32_t round,
                               Result<IntentReply> result) {
-  if (!ask->callback || round != ask->round) {
+  if (!pending->callback || round != pending->round) {
     return;
   }
-  ask->timer.reset();
-  ask->in_flight = false;
+  pending->timer.reset();
+  pending->in_flight = false;
   if (result) {
-    return Finish(ask, std::move(result));
+    return Finish(pending, std::move(result));
   }
   switch (result.error().kind) {
     case ErrorKind::kStoreOutcomeUnknown:
-      ask->may_be_recorded = true;
-      return Finish(ask, std::move(result));
+      pending->may_be_recorded = true;
+      return Finish(pending, std::move(result));
     case ErrorKind::kStaleEpoch:
     case ErrorKind::kPeerUnavailable:
     case ErrorKind::kOutcomeUnknown:
-      ask->may_be_recorded |= result.error().kind != ErrorKind::kPeerUnavailable;
-      ask->needs_refresh = true;
-      return RetryLater(ask);
+      pending->may_be_recorded |= result.error().kind != ErrorKind::kPeerUnavailable;
+      pending->needs_refresh = true;
+      return RetryLater(pending);
     default:
-      Finish(ask, std::move(result));
+      Finish(pending, std::move(result));
   }
 }
 
-void OnceCoordinator::OnCallLate(const AskPointer& ask) {
-  if (!ask || !ask->callback) {
+void OnceCoordinator::OnCallLate(const PendingBeginPointer& pending) {
+  if (!pending || !pending->callback) {
     return;
   }
-  m_watch.NoteLate(*ask->asked, ask->sent_at);
-  ask->timer = m_parts.scheduler.ScheduleAfter(
-      ask->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
-      [this, weak = std::weak_ptr<Ask>(ask)] { OnCallTimeout(weak.lock()); });
+  m_failure_detector.NoteLate(*pending->called_peer, pending->sent_at);
+  pending->timer = m_parts.scheduler.ScheduleAfter(
+      pending->sent_at + m_settings.call_timeout - m_parts.clock.Now(),
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { OnCallTimeout(weak.lock()); });
 }
 
-void OnceCoordinator::OnCallTimeout(const AskPointer& ask) {
-  if (!ask || !ask->callback) {
+void OnceCoordinator::OnCallTimeout(const PendingBeginPointer& pending) {
+  if (!pending || !pending->callback) {
     return;
   }
-  RoleOf(ask->request.partition)->NoteUnserved(*ask->asked, ask->sent_at, false);
-  AskAgain(ask);
+  RoleOf(pending->request.partition)
+      ->NoteCallFailure(*pending->called_peer, pending->sent_at, false);
+  RetryNow(pending);
 }
 
-/** The call under way may still be answered, or its intent recorded; its answer is not taken. */
-void OnceCoordinator::AskAgain(const AskPointer& ask) {
-  ask->may_be_recorded = true;
-  ask->needs_refresh = true;
-  Step(ask);
+/** Retries at once. The pending call's reply will be ignored, but its intent may be recorded. */
+void OnceCoordinator::RetryNow(const PendingBeginPointer& pending) {
+  pending->may_be_recorded = true;
+  pending->needs_refresh = true;
+  Step(pending);
 }
 
-/** Once the holder is lost, takes what is this instance's part of all that it had, and lets nobody
-    wait for it any longer. Before that, looks whether others have taken it already. */
+/** If `holder` is lost, takes its partitions over where this instance should, and retries the calls
+    that wait for it. If it is only suspected, checks whether its partitions have a new holder. */
 void OnceCoordinator::OnHolderSilent(const Instance& holder) {
-  const bool lost = m_watch.LostSince(holder).has_value();
+  const bool lost = m_failure_detector.LostSince(holder).has_value();
   if (lost) {
     OnMembershipChanged();
   }
-  const std::set<AskPointer> asks = m_asks;
-  for (const AskPointer& ask : asks) {
-    if (ask->callback && ask->asked && IsSameStart(*ask->asked, holder)) {
-      lost ? AskAgain(ask) : LookWhoHolds(ask);
+  const std::set<PendingBeginPointer> asks = m_pending_begins;
+  for (const PendingBeginPointer& pending : asks) {
+    if (pending->callback && pending->called_peer && IsSameStart(*pending->called_peer, holder)) {
+      lost ? RetryNow(pending) : CheckForNewHolder(pending);
     }
   }
 }
 
-/** What fails without it: an instance that has not asked the lost holder before waits as long as
-   the first one did, although the partition was taken over meanwhile. One read for each booking
-   that meets a silent holder. */
-void OnceCoordinator::LookWhoHolds(const AskPointer& ask) {
-  if (std::exchange(ask->looked_who_holds, true)) {
+/** Reads the head once per request to find a new holder without waiting until the silent one counts
+    as lost. */
+void OnceCoordinator::CheckForNewHolder(const PendingBeginPointer& pending) {
+  if (std::exchange(pending->checked_for_new_holder, true)) {
     return;
   }
-  PartitionRole* role = RoleOf(ask->request.partition);
-  role->Refresh([this, ask, role, round = ask->round](const Result<void>&) {
-    if (!ask->callback || !ask->asked || round != ask->round) {
+  PartitionRole* role = RoleOf(pending->request.partition);
+  role->Refresh([this, pending, role, round = pending->round](const Result<void>&) {
+    if (!pending->callback || !pending->called_peer || round != pending->round) {
       return;
     }
     const std::optional<Instance> target = role->Target(true);
-    if (role->Holder() != nullptr || (target && !IsSameStart(*target, *ask->asked))) {
-      AskAgain(ask);
+    if (role->Holder() != nullptr || (target && !IsSameStart(*target, *pending->called_peer))) {
+      RetryNow(pending);
     }
   });
 }
 
-void OnceCoordinator::RetryLater(const AskPointer& ask) {
-  ask->timer = m_parts.scheduler.ScheduleAfter(
+void OnceCoordinator::RetryLater(const PendingBeginPointer& pending) {
+  pending->timer = m_parts.scheduler.ScheduleAfter(
       Jittered(m_settings.retry_pause),
-      [this, weak = std::weak_ptr<Ask>(ask)] { Step(weak.lock()); });
+      [this, weak = std::weak_ptr<PendingBegin>(pending)] { Step(weak.lock()); });
 }
 
-void OnceCoordinator::OnDeadline(const AskPointer& ask) {
-  if (ask && ask->callback) {
-    Finish(ask, Refusal(ErrorKind::kPeerUnavailable,
-                        "the holder of the key's partition did not answer in time"));
+void OnceCoordinator::OnDeadline(const PendingBeginPointer& pending) {
+  if (pending && pending->callback) {
+    Finish(pending, Refusal(ErrorKind::kPeerUnavailable,
+                            "the holder of the key's partition did not answer in time"));
   }
 }
 
--- a/packages/zinnia_decisions/once/once_coordinator_records.cc
+++ b/packages/zinnia_decisions/once/once_coordinator_records.cc
@@ -3,11 +3,11 @@
 #include <utility>
 
 #include "zinnia_base/decisions/decision_record.h"
-#include "zinnia_decisions/once/once_ask.h"
 #include "zinnia_decisions/once/once_coordinator.h"
+#include "zinnia_decisions/once/pending_begin.h"
 
-/** The part of OnceCoordinator that says what was decided about a request: a fixed number of
-   records for each request with a key, on the instance that its caller asked. */
+/** The part of OnceCoordinator that writes decision records. The number of records per request is
+    bounded, and they are written only on the instance that received the request. */
 namespace zinnia {
 namespace {
 
@@ -48,24 +48,25 @@
   return role->KnownHead() ? role->KnownHead()->holder.name : "not_known_yet";
 }
 
-void OnceCoordinator::RecordBegin(const Ask& ask) {
+void OnceCoordinator::RecordBegin(const PendingBegin& pending) {
   m_parts.recorder.Record({m_parts.clock.Now(),
-                           Subject(ask.caller_request_id),
+                           Subject(pending.caller_request_id),
                            "begin_once",
                            "the request carries an idempotency key and may run at most once",
-                           {{"partition", std::to_string(ask.request.partition)},
-                            {"holder", HolderName(ask.request.partition)}}});
+                           {{"partition", std::to_string(pending.request.partition)},
+                            {"holder", HolderName(pending.request.partition)}}});
 }
 
-void OnceCoordinator::RecordVerdict(const Ask& ask, const Result<IntentReply>& result) {
+void OnceCoordinator::RecordVerdict(const PendingBegin& pending,
+                                    const Result<IntentReply>& result) {
   const VerdictText text = result ? TextOf(result->verdict) : VerdictText{"refuse_once", ""};
   DecisionRecord record{m_parts.clock.Now(),
-                        Subject(ask.caller_request_id),
+                        Subject(pending.caller_request_id),
                         text.decision,
                         result ? text.reason : result.error().message,
-                        {{"commit_wait_ms", Milliseconds(m_parts.clock.Now() - ask.begun_at)},
-                         {"rounds", std::to_string(ask.round)},
-                         {"holder", HolderName(ask.request.partition)}}};
+                        {{"commit_wait_ms", Milliseconds(m_parts.clock.Now() - pending.begun_at)},
+                         {"rounds", std::to_string(pending.round)},
+                         {"holder", HolderName(pending.request.partition)}}};
   if (result) {
     record.facts.emplace_back("epoch", std::to_string(result->epoch));
   } else {
@@ -82,7 +83,7 @@
                            {{"error", std::string(NameOf(error.kind))}}});
 }
 
-/** Wraps `callback` so that what became of the outcome is recorded before it runs. */
+/** Returns a callback that writes a decision record about the outcome and then calls `callback`. */
 std::function<void(Result<void>)> OnceCoordinator::RecordingOutcome(
     const std::string& request_id,
     bool has_answer,
--- a/packages/zinnia_decisions/once/partition_role.cc
+++ b/packages/zinnia_decisions/once/partition_role.cc
@@ -8,16 +8,16 @@
 #include "zinnia_base/decisions/decision_record.h"
 #include "zinnia_base/time/scheduler.h"
 #include "zinnia_decisions/membership/membership_view.h"
-#include "zinnia_decisions/once/holder_watch.h"
+#include "zinnia_decisions/once/holder_failure_detector.h"
 
 namespace zinnia {
 namespace {
 
-/** Failures further apart than this many times `takeover_after` are not taken together. */
-constexpr int kEvidenceWindow = 4;
+/** Failures further apart than this multiple of `takeover_after` are unrelated. */
+constexpr int kFailureWindowFactor = 4;
 
-/** Whoever has more than this many instances before it waits no longer for them. */
-constexpr int kMostTurnsWaited = 8;
+/** Bounds the takeover delay in large fleets. */
+constexpr int kMaxStaggerSteps = 8;
 
 bool IsSame(const Instance& left, const Instance& right) {
   return left.name == right.name && left.start == right.start;
@@ -27,13 +27,13 @@
 
 PartitionRole::PartitionRole(const OnceParts& parts,
                              const OnceSettings& settings,
-                             HolderWatch& watch,
+                             HolderFailureDetector& failure_detector,
                              TakeoverSlots& slots,
                              std::uint32_t partition,
                              std::uint32_t partitions)
     : m_parts(parts),
       m_settings(settings),
-      m_watch(watch),
+      m_failure_detector(failure_detector),
       m_slots(slots),
       m_partition(partition),
       m_partitions(partitions) {}
@@ -41,21 +41,21 @@
 PartitionRole::~PartitionRole() = default;
 
 std::optional<Instance> PartitionRole::Target(bool trust_membership) const {
-  // An instance that gives its roles up cannot take the partition itself, so it goes on asking, by
-  // turns the preferred instance and the holder, which may be well after all.
-  const bool unserved = m_head && IsUnserved(*m_head);
+  // A stopping instance cannot take the partition over, so it keeps asking the preferred instance
+  // and the current holder alternately.
+  const bool unserved = m_head && IsHolderFailing(*m_head);
   if (!m_head || (unserved && !m_leaving)) {
     return std::nullopt;
   }
   const bool ask_holder =
       !m_head->released && (!trust_membership || (!unserved && IsUsable(*m_head)));
   const std::optional<Instance> target =
-      ask_holder ? m_head->holder : Preferred(*m_head, m_refusing);
+      ask_holder ? m_head->holder : Preferred(*m_head, m_excluded_targets);
   const bool is_self = target && IsSame(*target, m_parts.membership.Self());
   return is_self ? std::nullopt : target;
 }
 
-/** Whether the head names a holder that, as far as this instance knows, is alive. */
+/** Returns true if the head is not released and membership lists its holder as live. */
 bool PartitionRole::IsUsable(const PartitionHead& head) const {
   const std::vector<Instance> live = m_parts.membership.LiveInstances();
   return !head.released && std::any_of(live.begin(), live.end(), [&](const Instance& instance) {
@@ -63,20 +63,21 @@
   });
 }
 
-bool PartitionRole::IsUnserved(const PartitionHead& head) const {
-  if (head.epoch > 0 && !head.released && m_watch.LostSince(head.holder)) {
+bool PartitionRole::IsHolderFailing(const PartitionHead& head) const {
+  if (head.epoch > 0 && !head.released && m_failure_detector.LostSince(head.holder)) {
     return true;
   }
   const TimePoint now = m_parts.clock.Now();
-  if (!m_unserved_since || !m_head || head.epoch != m_head->epoch ||
-      now - m_last_unserved > kEvidenceWindow * m_settings.takeover_after) {
+  if (!m_failing_since || !m_head || head.epoch != m_head->epoch ||
+      now - m_last_failure_at > kFailureWindowFactor * m_settings.takeover_after) {
     return false;
   }
   const auto patience = m_refused ? m_settings.refused_takeover_after : m_settings.takeover_after;
-  return now - *m_unserved_since >= patience;
+  return now - *m_failing_since >= patience;
 }
 
-/** The preferred live instance, leaving out the one that released or lost the partition. */
+/** Returns the preferred live instance, excluding the holder that released or lost the partition.
+ */
 std::optional<Instance> PartitionRole::Preferred(const PartitionHead& head,
                                                  const std::set<InstanceName>& left_out) const {
   std::optional<Instance> best;
@@ -98,32 +99,32 @@
   return Hash64(fmt::format("{}/{}", instance.name, instance.start), m_partition);
 }
 
-/** What fails without it: all instances see a holder's silence at the same time and each of them
-    spends store calls on each of its partitions, of which all but one are in vain. */
-bool PartitionRole::IsMyTurn(const PartitionHead& head) const {
-  const std::optional<TimePoint> lost_since = m_watch.LostSince(head.holder);
+/** Staggers takeovers by order of preference. Otherwise all instances that detect a lost holder at
+    the same time would compete for its partitions, wasting store calls. */
+bool PartitionRole::IsTakeoverDelayOver(const PartitionHead& head) const {
+  const std::optional<TimePoint> lost_since = m_failure_detector.LostSince(head.holder);
   if (!lost_since) {
     return true;
   }
   const std::uint64_t own = PreferenceOf(m_parts.membership.Self());
   int before = 0;
   for (const Instance& instance : m_parts.membership.LiveInstances()) {
-    const bool lost = IsSame(instance, head.holder) || m_watch.LostSince(instance);
+    const bool lost = IsSame(instance, head.holder) || m_failure_detector.LostSince(instance);
     before += !lost && PreferenceOf(instance) > own ? 1 : 0;
   }
   return m_parts.clock.Now() - *lost_since >=
-         m_settings.takeover_stagger * std::min(before, kMostTurnsWaited);
+         m_settings.takeover_stagger * std::min(before, kMaxStaggerSteps);
 }
 
-bool PartitionRole::MayTake(const PartitionHead& head) {
-  if (!WantsToTake(head)) {
+bool PartitionRole::MayTakeOver(const PartitionHead& head) {
+  if (!ShouldTakeOver(head)) {
     return false;
   }
-  m_slot = IsUnserved(head) ? m_slots.Take() : nullptr;
-  return m_slot != nullptr || !IsUnserved(head);
+  m_slot = IsHolderFailing(head) ? m_slots.Take() : nullptr;
+  return m_slot != nullptr || !IsHolderFailing(head);
 }
 
-bool PartitionRole::WantsToTake(const PartitionHead& head) const {
+bool PartitionRole::ShouldTakeOver(const PartitionHead& head) const {
   if (m_leaving) {
     return false;
   }
@@ -133,8 +134,8 @@
   if (head.epoch > 0 && IsSame(head.holder, self)) {
     return true;
   }
-  if (IsUnserved(head)) {
-    return !paused && IsMyTurn(head);
+  if (IsHolderFailing(head)) {
+    return !paused && IsTakeoverDelayOver(head);
   }
   const std::optional<Instance> preferred = Preferred(head);
   return !IsUsable(head) && preferred && IsSame(*preferred, self) && (head.released || !paused);
@@ -148,16 +149,17 @@
   m_takeovers += 1;
   m_takeover = std::make_unique<PartitionTakeover>(
       m_parts, m_settings, m_partition, m_takeovers,
-      [this](const PartitionHead& head) { return MayTake(head); });
-  m_takeover->Start([this](Result<TakenPartition> result) { OnTakeoverDone(std::move(result)); });
+      [this](const PartitionHead& head) { return MayTakeOver(head); });
+  m_takeover->Start(
+      [this](Result<RecoveredPartition> result) { OnTakeoverDone(std::move(result)); });
 }
 
-void PartitionRole::OnTakeoverDone(Result<TakenPartition> result) {
+void PartitionRole::OnTakeoverDone(Result<RecoveredPartition> result) {
   const std::unique_ptr<PartitionTakeover> takeover = std::move(m_takeover);
   m_slot.reset();
   if (takeover->SeenHead() && (!m_head || m_head->epoch < takeover->SeenHead()->epoch)) {
-    m_unserved_since.reset();
-    m_refusing.clear();
+    m_failing_since.reset();
+    m_excluded_targets.clear();
   }
   m_head = takeover->SeenHead();
   Result<void> outcome;
@@ -184,8 +186,8 @@
   }
 }
 
-void PartitionRole::TakeIfPreferred() {
-  if (m_holder || m_takeover || m_leaving || (m_head && !WantsToTake(*m_head))) {
+void PartitionRole::TakeOverIfPreferred() {
+  if (m_holder || m_takeover || m_leaving || (m_head && !ShouldTakeOver(*m_head))) {
     return;
   }
   const std::optional<Instance> preferred = Preferred(m_head.value_or(PartitionHead{}));
@@ -194,38 +196,37 @@
   }
 }
 
-void PartitionRole::NoteUnserved(const Instance& target, TimePoint since, bool refused) {
-  // What fails without it: a call to a paused holder is given up seconds after others have taken
-  // the partition; counted against the new holder, it is at once old enough to take it away again,
-  // and the partition goes from instance to instance. And a stopping instance that asks a third one
-  // by turns would believe for ever that the living holder serves nobody.
+void PartitionRole::NoteCallFailure(const Instance& target, TimePoint since, bool refused) {
+  // A late failure of a previous holder must not count against the current one, or the partition
+  // would move from instance to instance. The same holds for failures of the preferred instance,
+  // which a stopping instance asks alternately with the holder.
   if (m_head && IsUsable(*m_head) && !IsSame(target, m_head->holder)) {
     return;
   }
-  // A failure of long ago says nothing of now: without this, one lost call followed by a quiet hour
-  // would move the partition at the next failure.
-  const bool goes_on =
-      m_unserved_since && since - m_last_unserved < kEvidenceWindow * m_settings.takeover_after;
-  // Counted from when the first failure was noticed, not from its call: an asker whose machine
-  // slept notices late, and the holder may have answered at once.
-  m_unserved_since = goes_on ? *m_unserved_since : m_parts.clock.Now();
-  m_last_unserved = m_parts.clock.Now();
+  // Old failures expire: a single lost call must not cause a takeover at the next, unrelated
+  // failure.
+  const bool goes_on = m_failing_since &&
+                       since - m_last_failure_at < kFailureWindowFactor * m_settings.takeover_after;
+  // Starts when the failure is detected rather than when the call was sent: after this instance was
+  // suspended, the holder may have replied at once.
+  m_failing_since = goes_on ? *m_failing_since : m_parts.clock.Now();
+  m_last_failure_at = m_parts.clock.Now();
   m_refused = refused;
 }
 
-void PartitionRole::NoteRefusal(const Instance& target) {
-  m_refusing.insert(target.name);
-  if (m_head && !Preferred(*m_head, m_refusing)) {
-    m_refusing.clear();
+void PartitionRole::ExcludeTarget(const Instance& target) {
+  m_excluded_targets.insert(target.name);
+  if (m_head && !Preferred(*m_head, m_excluded_targets)) {
+    m_excluded_targets.clear();
   }
 }
 
-void PartitionRole::NoteAskedInVain() {
+void PartitionRole::NoteUnservedPeerCall() {
   const TimePoint now = m_parts.clock.Now();
   if (m_head && !IsUsable(*m_head)) {
-    NoteUnserved(m_parts.membership.Self(), now, true);
+    NoteCallFailure(m_parts.membership.Self(), now, true);
   } else if (m_head && !m_leaving) {
-    m_watch.NoteLate(m_head->holder, now);
+    m_failure_detector.NoteLate(m_head->holder, now);
   }
 }
 
--- a/packages/zinnia_decisions/once/partition_takeover.cc
+++ b/packages/zinnia_decisions/once/partition_takeover.cc
@@ -22,12 +22,12 @@
                                      const OnceSettings& settings,
                                      std::uint32_t partition,
                                      std::uint64_t sequence,
-                                     MayTake may_take)
+                                     MayTakeOver may_take_over)
     : m_parts(parts),
       m_settings(settings),
       m_partition(partition),
       m_sequence(sequence),
-      m_may_take(std::move(may_take)),
+      m_may_take_over(std::move(may_take_over)),
       m_writer(parts.store, parts.scheduler, settings.retry_pause),
       m_taken{.index = IntentIndex((settings.retention + settings.clock_skew).count(),
                                    settings.most_recorded_bytes)} {}
@@ -61,7 +61,7 @@
     return Finish(head.error());
   }
   m_seen_head = *head;
-  if (!m_may_take(*head)) {
+  if (!m_may_take_over(*head)) {
     return Finish(StaleEpoch("another instance holds the partition"));
   }
   m_taken.head = std::move(*head);
@@ -152,8 +152,8 @@
   return {};
 }
 
-/** A segment of an older epoch that the head does not list was made for a swap of the head that
-    never took effect, and never will since the head has moved on. */
+/** Deletes a segment of an older epoch that the head does not list: the head swap that it was
+    created for failed. */
 void PartitionTakeover::DeleteOrphan(const StoreRecord& record) {
   m_parts.store.Delete(record.key, record.version, [](const Result<std::uint64_t>&) {});
 }
@@ -164,7 +164,7 @@
       return Seal(id);
     }
   }
-  FinishTaken();
+  BuildIndexAndFinish();
 }
 
 void PartitionTakeover::Seal(const std::string& id) {
@@ -174,13 +174,13 @@
   m_writer.Write(SegmentKey(id), m_versions.at(id),
                  EncodeSegmentHeader(segment.header) + segment.body,
                  [this](const Result<std::uint64_t>& result) {
-                   // A conflict: the old holder wrote once more, or a newer one sealed it first.
-                   // The list tells which.
+                   // On a conflict, the old holder wrote once more or a newer holder sealed the
+                   // segment first. Listing again shows which.
                    result ? SealNext() : RetryLater();
                  });
 }
 
-void PartitionTakeover::FinishTaken() {
+void PartitionTakeover::BuildIndexAndFinish() {
   for (const std::string& id : m_taken.head.segments) {
     const auto found = m_segments.find(id);
     if (found == m_segments.end()) {
@@ -199,7 +199,7 @@
   m_timer = m_parts.scheduler.ScheduleAfter(m_settings.store_pause, [this] { ListSegments(); });
 }
 
-void PartitionTakeover::Finish(Result<TakenPartition> result) {
+void PartitionTakeover::Finish(Result<RecoveredPartition> result) {
   std::exchange(m_callback, nullptr)(std::move(result));
 }
 
--- a/tests/once/once_schedule.h
+++ b/tests/once/once_schedule.h
@@ -7,14 +7,14 @@
 
 namespace zinnia {
 
-/** Runs one seeded schedule of calls and failures, heals everything, and checks what callers were
-    told against the service's ledger. */
+/** Runs a random schedule of calls and faults, repairs all faults, and checks the callers' results
+    against the service's ledger. */
 class OnceSchedule {
  public:
   explicit OnceSchedule(std::uint64_t seed)
       : m_random(seed), m_world(seed, 3 + RandomBelow(m_random, 2), Settings()) {}
 
-  /** Returns what was violated; empty if nothing. */
+  /** Returns the violations, or an empty list. */
   std::vector<std::string> Run() {
     const std::uint64_t steps = 10 + RandomBelow(m_random, 15);
     for (std::uint64_t step = 0; step < steps; ++step) {
@@ -118,9 +118,10 @@
     }
     for (const auto& request : m_requests) {
       const bool ran = m_world.ledger.request_ids.contains(request->id);
-      Expect(!ran || request->told == Told::kAnswered || request->told == Told::kNothing,
-             request->id + " ran, but its caller was told otherwise");
-      if (request->told == Told::kAnswered) {
+      Expect(!ran || request->caller_result == CallerResult::kAnswered ||
+                 request->caller_result == CallerResult::kNothing,
+             request->id + " ran, but its caller got another result");
+      if (request->caller_result == CallerResult::kAnswered) {
         const auto& runs = m_world.ledger.runs[request->key];
         Expect(!runs.empty() && request->answer == "booked by " + runs.front(),
                request->id + " got an answer that no run gave");
@@ -128,8 +129,8 @@
     }
   }
 
-  /** After healing every instance serves new keys, and a key that never ran is free unless an
-      instance died that may have held its grant. */
+  /** After the repair, every instance must serve new keys, and a key that never ran must be free
+      unless an instance that may have had its grant was killed. */
   void CheckAvailable() {
     std::vector<std::shared_ptr<CallerRequest>> fresh;
     for (std::size_t i = 0; i < m_world.instances.size(); ++i) {
@@ -145,9 +146,9 @@
     }
     m_world.Advance(std::chrono::seconds(5));
     for (const auto& request : fresh) {
-      Expect(request->told == Told::kAnswered,
-             request->key + " is not served after healing: told " +
-                 std::to_string(static_cast<int>(request->told)) + " " + request->error);
+      Expect(request->caller_result == CallerResult::kAnswered,
+             request->key + " is not served after the repair: result " +
+                 std::to_string(static_cast<int>(request->caller_result)) + " " + request->error);
     }
     CheckTold();
   }
--- a/tests/once/once_test.cc
+++ b/tests/once/once_test.cc
@@ -40,74 +40,65 @@
   }
 };
 
-TEST(Once, ARequestRunsOnceAndItsAnswerIsGivenAgain) {
+TEST(Once, ARetryGetsTheRecordedAnswer) {
   const auto first = CallAndWait(*other, "k");
-  CHECK(first->told == Told::kAnswered);
+  CHECK(first->caller_result == CallerResult::kAnswered);
   for (const auto& instance : world.instances) {
     const auto again = CallAndWait(*instance, "k");
-    CHECK(again->told == Told::kAnswered);
+    CHECK(again->caller_result == CallerResult::kAnswered);
     STRCMP_EQUAL(first->answer.c_str(), again->answer.c_str());
   }
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: a booking made twice by a caller who lost patience.
-// Events: the service is still busy with the request; the caller resends it through another
-// instance.
-// Cause: the second instance cannot know of the first but through the recorded intent.
+// A retry through another instance must not run while the first request is still running.
 TEST(Once, AResendThroughAnotherInstanceWhileTheFirstRunsIsNotRun) {
   world.service_time = seconds(5);
   const auto first = CallAndWait(*holder, "k", seconds(1));
   const auto second = CallAndWait(*other, "k", seconds(1));
-  CHECK(second->told == Told::kUnknown);
+  CHECK(second->caller_result == CallerResult::kUnknown);
   world.Advance(seconds(10));
-  CHECK(first->told == Told::kAnswered);
+  CHECK(first->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: as above, after the instance that ran the request died.
-// Events: the instance is killed after dispatch, before the answer came; the caller resends.
-// Cause: nobody knows the outcome; only "unknown" is honest.
+// The outcome is unknown if the instance is killed between the dispatch and the answer.
 TEST(Once, AResendAfterAKillAfterDispatchIsUnknown) {
   world.service_time = seconds(5);
   CallAndWait(*other, "k", seconds(1));
   LONGS_EQUAL(1, RunsOf("k"));
   other->Kill();
-  CHECK(CallAndWait(*holder, "k")->told == Told::kUnknown);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kUnknown);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Events: the instance is killed after the grant, before dispatch; the caller resends.
-// Cause: from outside this is the same as the case above, so it must not run either.
+// A kill between grant and dispatch cannot be distinguished from one after dispatch, so the retry
+// must not run either.
 TEST(Once, AResendAfterAKillBeforeDispatchIsUnknownAndNotRun) {
   world.dispatch_delay = seconds(5);
   CallAndWait(*other, "k", seconds(1));
   other->Kill();
   world.dispatch_delay = {};
-  CHECK(CallAndWait(*holder, "k")->told == Told::kUnknown);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kUnknown);
   LONGS_EQUAL(0, RunsOf("k"));
 }
 
-// Symptom: two instances run one key.
-// Events: the holder is paused, another takes over and grants a key; the old holder wakes and is
-// asked for the same key, by a caller it would have granted.
-// Cause: the old holder still believes that it holds the partition.
-TEST(Once, AHolderThatWakesGrantsNothing) {
-  CHECK(CallAndWait(*other, "warm-up")->told == Told::kAnswered);
+// A holder that was paused during a takeover must not grant a key that the new holder granted.
+TEST(Once, AResumedHolderGrantsNothing) {
+  CHECK(CallAndWait(*other, "warm-up")->caller_result == CallerResult::kAnswered);
   holder->thread().Pause();
   const auto stale = holder->Call("k", "body");
   CallAndWait(*other, "first", seconds(4));
-  CHECK(CallAndWait(*other, "k", seconds(4))->told == Told::kAnswered);
+  CHECK(CallAndWait(*other, "k", seconds(4))->caller_result == CallerResult::kAnswered);
   holder->thread().Wake();
   world.Advance(seconds(3));
-  CHECK(stale->told == Told::kAnswered);
+  CHECK(stale->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: a booking refused as "unknown" although it never ran, or run twice.
-// Events: the store's answer is lost after the write took effect.
-// Cause: the holder must settle the write by reading back before it answers.
-TEST(Once, ALostStoreAnswerAfterTheEffectIsSettled) {
+// The holder must resolve a write whose reply was lost before it answers; otherwise a request could
+// be refused although it never ran, or run twice.
+TEST(Once, AWriteWhoseReplyWasLostIsResolved) {
   world.store.faults.lose_answer = 0.9;
   world.store.faults.effect_late = 0.0;
   world.store.faults.effect_never = 0.0;
@@ -115,58 +106,52 @@
   world.Advance(milliseconds(100));
   world.store.faults.lose_answer = 0.0;
   world.Advance(seconds(3));
-  CHECK(request->told == Told::kAnswered);
+  CHECK(request->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: a key that never ran stays "unknown" for the whole retention.
-// Events: the store loses answers and writes for longer than Begin waits; the caller is told "not
-// run"; the write takes effect afterwards.
-// Cause: an intent that nobody will use is in the log until it is withdrawn.
-TEST(Once, AnIntentThatTakesEffectAfterTheRefusalIsFreedAgain) {
+// An intent whose write takes effect after Begin failed must be withdrawn, or its key stays blocked
+// for the whole retention.
+TEST(Once, AnIntentWrittenAfterTheRefusalIsWithdrawn) {
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
   const auto refused = CallAndWait(*other, "k");
-  CHECK(refused->told == Told::kNotRun);
+  CHECK(refused->caller_result == CallerResult::kNotRun);
   world.store.faults = {};
   world.Advance(seconds(15));
-  CHECK(CallAndWait(*other, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Events: as above, but the asking instance dies as well, and can report nothing.
-// Cause: the holder told the asker "not run" itself, so it can free the key itself.
-TEST(Once, AHolderFreesALateIntentWithoutItsAsker) {
+// As above, but the calling instance is killed and cannot report the attempt as unused.
+TEST(Once, AHolderWithdrawsALateIntentWithoutItsCaller) {
   CallAndWait(*other, "warm-up");
   world.store.faults.lose_answer = 1.0;
   world.store.faults.effect_late = 1.0;
-  CHECK(CallAndWait(*other, "k")->told == Told::kNotRun);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kNotRun);
   other->Kill();
   world.store.faults = {};
   world.Advance(seconds(15));
-  CHECK(CallAndWait(*holder, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: callers hang while the store is down.
-// Events: a long outage; every instance is asked.
-// Cause: nothing can be granted without the store, so the refusal must come at once, as not run.
+// Callers must not wait for the end of a store outage.
 TEST(Once, WithoutTheStoreEveryRequestIsRefusedAtOnceAndNotRun) {
   world.store.faults.outage = true;
   for (int i = 0; i < 60; ++i) {
     const auto request = world[i % 3].Call("k" + std::to_string(i), "body");
     world.Advance(milliseconds(500));
-    CHECK(request->told == Told::kNotRun);
+    CHECK(request->caller_result == CallerResult::kNotRun);
     STRCMP_CONTAINS("store_unavailable", request->error.c_str());
   }
   world.store.faults.outage = false;
   world.Advance(seconds(1));
-  CHECK(CallAndWait(*other, "k0")->told == Told::kAnswered);
+  CHECK(CallAndWait(*other, "k0")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k0"));
 }
 
-// Events: the answer of a request comes while the store is down.
-// Cause: without offering it again, the key would say "unknown" although the answer was known.
+// An answer that cannot be recorded must be reported again, or its key stays unknown.
 TEST(Once, AnAnswerThatComesDuringAnOutageIsRecordedAfterwards) {
   world.service_time = seconds(2);
   const auto request = CallAndWait(*other, "k", seconds(1));
@@ -175,7 +160,7 @@
   world.store.faults.outage = false;
   world.Advance(seconds(10));
   const auto again = CallAndWait(*holder, "k");
-  CHECK(again->told == Told::kAnswered);
+  CHECK(again->caller_result == CallerResult::kAnswered);
   STRCMP_EQUAL(request->answer.c_str(), again->answer.c_str());
 }
 
@@ -183,13 +168,12 @@
   CallAndWait(*other, "k");
   const auto reused = holder->Call("k", "another body");
   world.Advance(seconds(1));
-  CHECK(reused->told == Told::kReused);
+  CHECK(reused->caller_result == CallerResult::kReused);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: the same request id twice runs twice.
-// Events: a caller's own X-Request-Id is used as request id, and the caller repeats it.
-// Cause: an attempt may get its grant again after a lost reply; two Begins must not be one attempt.
+// A caller may repeat its X-Request-Id. Only the same attempt may get its grant again, so each call
+// of Begin must be an attempt of its own.
 TEST(Once, TwoBeginsWithOneRequestIdAreTwoAttempts) {
   int granted = 0;
   for (int i = 0; i < 2; ++i) {
@@ -203,21 +187,19 @@
   LONGS_EQUAL(1, granted);
 }
 
-// Events: the holder's reply to Begin is lost; the asker asks again.
-// Cause: nothing was dispatched yet, so the same attempt may have its grant.
-TEST(Once, ALostReplyOfTheHolderIsAskedForAgain) {
+// Nothing was dispatched when the holder's reply is lost, so the same attempt may get its grant.
+TEST(Once, ALostReplyOfTheHolderIsRetried) {
   world.lose_reply = 1.0;
   const auto request = other->Call("k", "body");
   world.Advance(milliseconds(20));
   world.lose_reply = 0.0;
   world.Advance(seconds(3));
-  CHECK(request->told == Told::kAnswered);
+  CHECK(request->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Events: the membership wrongly says that the holder is dead; another takes the partition over
-// while the holder lives, and both are asked.
-TEST(Once, AHolderWronglyBelievedDeadDoesNoHarm) {
+// A takeover from a live holder that membership lists as dead must not grant a key twice.
+TEST(Once, ATakeoverFromALiveHolderGrantsNoKeyTwice) {
   world.believed_dead.insert(holder->Self().name);
   for (int i = 0; i < 20; ++i) {
     const std::string key = "k" + std::to_string(i);
@@ -232,10 +214,8 @@
   LONGS_EQUAL(20, world.ledger.runs.size());
 }
 
-// Symptom: a partition moves for one instance's mistake.
-// Events: one instance alone believes that the holder is dead; a third is preferred.
-// Cause: an instance that only follows its own list would take the partition from a living holder.
-TEST(Once, OneMistakenInstanceStillReachesTheHolder) {
+// A wrong membership view of a single instance must not move a partition from a live holder.
+TEST(Once, AWrongMembershipViewMovesNoPartition) {
   const auto rank = [](FakeInstance& instance) {
     return Hash64(instance.Self().name + "/" + std::to_string(instance.Self().start), 0);
   };
@@ -248,38 +228,36 @@
   world.missed_instance = holder->Self().name;
   const auto request = mistaken->Call("k", "body");
   world.Advance(milliseconds(300));
-  CHECK(request->told == Told::kAnswered);
+  CHECK(request->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, holder->coordinator().HeldPartitions());
 }
 
-// Events: an instance's thread sleeps between the grant and the dispatch, past the window.
-// Cause: its caller has long gone; the request must not run, and its key must become free.
-TEST(Once, AGrantThatIsTooOldIsNotDispatchedAndFreesTheKey) {
+// A request whose dispatch is delayed beyond the dispatch window must not run, and its key must
+// become free.
+TEST(Once, AnExpiredGrantIsNotDispatchedAndFreesTheKey) {
   world.dispatch_delay = seconds(11);
   const auto late = CallAndWait(*other, "k", seconds(15));
-  CHECK(late->told == Told::kNotRun);
+  CHECK(late->caller_result == CallerResult::kNotRun);
   world.dispatch_delay = {};
-  CHECK(CallAndWait(*holder, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(*holder, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
 TEST(Once, APlannedStopHandsThePartitionOver) {
-  CHECK(CallAndWait(*other, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   bool done = false;
   holder->coordinator().HandOver([&] { done = true; });
   world.Advance(milliseconds(50));
   CHECK(done);
   const auto next = other->Call("next", "body");
   world.Advance(milliseconds(700));
-  CHECK(next->told == Told::kAnswered);
-  CHECK(CallAndWait(*other, "k")->told == Told::kAnswered);
+  CHECK(next->caller_result == CallerResult::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
-// Symptom: keys of some partitions are refused as long as stopped instances are listed as live.
-// Events: two of three instances have given their roles up and still serve callers.
-// Cause: each waits for the preferred instance, which is one that has given up.
-TEST(Once, TheLastInstanceTakesWhatStoppingOnesWereToTake) {
+// Stopping instances are still listed as live, but must not be waited for as preferred holders.
+TEST(Once, TheLastRunningInstanceTakesThePartitionsOfStoppingOnes) {
   OnceWorld stopping(9, 3);
   stopping.Advance(seconds(1));
   stopping[0].coordinator().HandOver([] {});
@@ -288,13 +266,12 @@
   for (int i = 0; i < 60; ++i) {
     const auto request = stopping[i % 2].Call("k" + std::to_string(i), "body");
     stopping.Advance(seconds(3));
-    CHECK(request->told == Told::kAnswered);
+    CHECK(request->caller_result == CallerResult::kAnswered);
   }
 }
 
-// Symptom: bookings through an instance that is being stopped fail until it is gone.
-// Events: it gives its roles up; afterwards the holder dies. It asks the dead holder at each turn.
-// Cause: the turns of asking the preferred instance fell on rounds that only read the head.
+// A stopping instance must alternate between the killed holder and the preferred instance.
+// Regression: the preferred instance's turn always fell on a round that only reads the head.
 TEST(Once, AStoppingInstanceReachesTheNextHolderAfterAKill) {
   for (std::size_t i = 0; i < 2 * world.instances.size(); ++i) {
     const auto& leaving = world.instances[i / 2];
@@ -312,18 +289,18 @@
     holds.Kill();
     const auto request = asker->Call("k", "body");
     stopping.Advance(seconds(3));
-    CHECK(request->told == Told::kAnswered);
+    CHECK(request->caller_result == CallerResult::kAnswered);
   }
 }
 
-// Events: an instance starts with another number of partitions in its settings.
-// Cause: it would look for a key in another partition and grant it again.
+// An instance with another number of partitions in its settings must not map a key to another
+// partition and grant it again.
 TEST(Once, TheStoreDecidesTheNumberOfPartitions) {
-  CHECK(CallAndWait(*other, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   world.settings.partitions = 32;
   FakeInstance& late = world.Add();
   world.Advance(seconds(1));
-  CHECK(CallAndWait(late, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(late, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(1, RunsOf("k"));
 }
 
@@ -337,10 +314,8 @@
   CHECK(segment->header.sealed);
 }
 
-// Symptom: an instance that holds many partitions runs out of memory.
-// Events: answers of some KB each are recorded for the whole retention.
-// Cause: only their number was bounded.
-TEST(Once, TheOldestBodiesOfRecordedAnswersAreDroppedAndSaidToBe) {
+// The memory for recorded answers must be bounded by size, not only by their number.
+TEST(Once, TheOldestBodiesOfRecordedAnswersAreDroppedAndMarked) {
   IntentIndex index(1'000, 250);
   for (int i = 0; i < 4; ++i) {
     IntentRecord record{"org", "k" + std::to_string(i), {}, "attempt", IntentState::kAnswered, 5};
@@ -358,8 +333,8 @@
   LONGS_EQUAL(0, index.body_bytes());
 }
 
-// Symptom: `explain request` of a booking says nothing of why it ran or was refused.
-TEST(Once, TheDecisionsAboutABookingAreRecordedInOrder) {
+// `explain request` must show why a request ran or was refused.
+TEST(Once, TheDecisionsAboutARequestAreRecordedInOrder) {
   const auto decisions_about = [](FakeInstance& instance, const std::string& id) {
     std::string decisions;
     for (const DecisionRecord& record : instance.decisions) {
@@ -388,7 +363,7 @@
   CallAndWait(*other, "k2");
   const std::size_t records = world.store.records.size();
   world.Advance(seconds(2 * 3'600));
-  CHECK(CallAndWait(*other, "k")->told == Told::kAnswered);
+  CHECK(CallAndWait(*other, "k")->caller_result == CallerResult::kAnswered);
   LONGS_EQUAL(2, RunsOf("k"));
   CHECK(world.store.records.size() <= records + 1);
 }
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -15,20 +15,20 @@
 
 namespace zinnia {
 
-/** What a caller was told in the end. kNothing: its connection died with the instance. */
-enum class Told { kNothing, kNotRun, kAnswered, kUnknown, kReused };
+/** The result that a caller received. kNothing: the connection closed with the instance. */
+enum class CallerResult { kNothing, kNotRun, kAnswered, kUnknown, kReused };
 
 struct CallerRequest {
   std::string id;
   std::string key;
   std::string body;
-  Told told = Told::kNothing;
+  CallerResult caller_result = CallerResult::kNothing;
   std::string answer;
   std::string error;
-  TimePoint told_at{};
+  TimePoint result_at{};
 };
 
-/** The service behind the gate: every run it sees, by key, with the request that caused it. */
+/** The backend service's log of runs: for each key, the requests that caused a run. */
 struct ServiceLedger {
   std::map<std::string, std::vector<std::string>> runs;
   std::set<std::string> request_ids;
@@ -57,7 +57,8 @@
   void RemoveListener(MembershipListener&) override {}
   void Record(DecisionRecord record) override { decisions.push_back(std::move(record)); }
 
-  /** A caller's request arrives: passes the gate, runs the service if granted, tells the caller. */
+  /** Handles a caller's request: calls Begin, runs the service if granted and returns the result.
+   */
   std::shared_ptr<CallerRequest> Call(const std::string& key, const std::string& body);
 
   OnceCoordinator& coordinator() { return *m_coordinator; }
@@ -80,7 +81,7 @@
   void Dispatch(const std::shared_ptr<CallerRequest>& request,
                 const DispatchWindow& window,
                 const IntentReply& reply);
-  void Tell(CallerRequest& request, Told told, std::string answer = "");
+  void Tell(CallerRequest& request, CallerResult caller_result, std::string answer = "");
 
   OnceWorld& m_world;
   Instance m_self;
@@ -89,11 +90,11 @@
   std::unique_ptr<OnceCoordinator> m_coordinator;
 };
 
-/** A handful of instances, the store between them and the service behind them. */
+/** Several instances with a shared store and a backend service. */
 class OnceWorld {
  public:
   OnceWorld(std::uint64_t seed, std::size_t instances, OnceSettings settings = {})
-      : random(seed), store(time, seed + 1), postman(time), settings(settings) {
+      : random(seed), store(time, seed + 1), call_scheduler(time), settings(settings) {
     for (std::size_t i = 0; i < instances; ++i) {
       Add();
     }
@@ -118,7 +119,7 @@
   FakeInstance& operator[](std::size_t index) { return *instances[index]; }
   void Advance(std::chrono::milliseconds duration) { time.AdvanceBy(duration); }
 
-  /** The instance that holds most partitions, or the first. */
+  /** Returns a running instance that holds partitions, or the first instance. */
   FakeInstance& Holder() {
     FakeInstance* best = instances.front().get();
     for (const auto& instance : instances) {
@@ -130,7 +131,7 @@
     return *best;
   }
 
-  /** How many decisions of this name all instances together have taken. */
+  /** Returns the number of decision records with this name on all instances. */
   std::size_t Count(const std::string& decision) const {
     std::size_t count = 0;
     for (const auto& instance : instances) {
@@ -144,14 +145,14 @@
   VirtualTime time;
   RandomSource random;
   FakeStore store;
-  Postman postman;
+  CallScheduler call_scheduler;
   OnceSettings settings;
   ServiceLedger ledger;
   std::vector<std::unique_ptr<FakeInstance>> instances;
   std::uint64_t started = 0;
   std::uint64_t next_request = 0;
 
-  /** Faults of the network and of the membership views. */
+  /** Delays and faults of the network. */
   double lose_reply = 0.0;
   double refuse_call = 0.0;
   Duration peer_one_way = std::chrono::microseconds(300);
@@ -161,7 +162,7 @@
   std::set<std::string> believed_dead;
   bool sees_killed_as_live = false;
 
-  /** Only `mistaken_instance` believes that `missed_instance` is dead. */
+  /** Only `mistaken_instance` has `missed_instance` missing in its membership view. */
   std::string mistaken_instance;
   std::string missed_instance;
 };
@@ -210,19 +211,20 @@
   };
   FakeInstance* target = m_world.Find(to);
   if (target == nullptr || RandomUnit(m_world.random) < m_world.refuse_call) {
-    return m_world.postman.Post(m_world.peer_one_way, [answer] {
+    return m_world.call_scheduler.Post(m_world.peer_one_way, [answer] {
       answer(MakeError(ErrorKind::kPeerUnavailable, "refused"));
     });
   }
-  m_world.postman.Post(m_world.peer_timeout,
-                       [answer] { answer(MakeError(ErrorKind::kOutcomeUnknown, "no answer")); });
-  m_world.postman.Post(m_world.peer_one_way, [this, target, call, answer] {
+  m_world.call_scheduler.Post(m_world.peer_timeout, [answer] {
+    answer(MakeError(ErrorKind::kOutcomeUnknown, "no answer"));
+  });
+  m_world.call_scheduler.Post(m_world.peer_one_way, [this, target, call, answer] {
     target->m_thread.Run([this, target, call, answer] {
       call(*target->m_coordinator, [this, answer](Result<Reply> result) {
         if (RandomUnit(m_world.random) < m_world.lose_reply) {
           result = MakeError(ErrorKind::kOutcomeUnknown, "reply lost");
         }
-        m_world.postman.Post(m_world.peer_one_way, [answer, result] { answer(result); });
+        m_world.call_scheduler.Post(m_world.peer_one_way, [answer, result] { answer(result); });
       });
     });
   });
@@ -272,19 +274,20 @@
                                     const Result<IntentReply>& result) {
   if (!result) {
     request->error = Describe(result.error());
-    return Tell(*request, result.error().was_run == WasRun::kNo ? Told::kNotRun : Told::kUnknown);
+    return Tell(*request, result.error().was_run == WasRun::kNo ? CallerResult::kNotRun
+                                                                : CallerResult::kUnknown);
   }
   switch (result->verdict) {
     case IntentVerdict::kAnswered:
-      return Tell(*request, Told::kAnswered, result->answer->body);
+      return Tell(*request, CallerResult::kAnswered, result->answer->body);
     case IntentVerdict::kStarted:
-      return Tell(*request, Told::kUnknown);
+      return Tell(*request, CallerResult::kUnknown);
     case IntentVerdict::kKeyReused:
-      return Tell(*request, Told::kReused);
+      return Tell(*request, CallerResult::kReused);
     case IntentVerdict::kGranted:
       break;
   }
-  m_world.postman.Post(m_world.dispatch_delay, [this, request, window, reply = *result] {
+  m_world.call_scheduler.Post(m_world.dispatch_delay, [this, request, window, reply = *result] {
     m_thread.Run([this, request, window, reply] { Dispatch(request, window, reply); });
   });
 }
@@ -295,23 +298,25 @@
   IntentOutcome outcome{0, "kitanda", request->key, request->id, std::nullopt};
   if (!window.MayDispatch(reply)) {
     m_coordinator->Report(outcome, [](const Result<void>&) {});
-    return Tell(*request, Told::kNotRun);
+    return Tell(*request, CallerResult::kNotRun);
   }
   m_world.ledger.runs[request->key].push_back(request->id);
   m_world.ledger.request_ids.insert(request->id);
-  m_world.postman.Post(m_world.service_time, [this, request, outcome]() mutable {
+  m_world.call_scheduler.Post(m_world.service_time, [this, request, outcome]() mutable {
     m_thread.Run([this, request, outcome]() mutable {
       outcome.answer = RecordedAnswer{201, "text/plain", "booked by " + request->id};
       m_coordinator->Report(outcome, [](const Result<void>&) {});
-      Tell(*request, Told::kAnswered, outcome.answer->body);
+      Tell(*request, CallerResult::kAnswered, outcome.answer->body);
     });
   });
 }
 
-inline void FakeInstance::Tell(CallerRequest& request, Told told, std::string answer) {
-  request.told = told;
+inline void FakeInstance::Tell(CallerRequest& request,
+                               CallerResult caller_result,
+                               std::string answer) {
+  request.caller_result = caller_result;
   request.answer = std::move(answer);
-  request.told_at = m_world.time.Now();
+  request.result_at = m_world.time.Now();
 }
 
 }  // namespace zinnia
--- a/tests/once/orders_test.cc
+++ b/tests/once/orders_test.cc
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** An engine that takes loads. `checks` engines refuse a lower epoch than they have seen. */
+/** An engine that accepts load orders. With `checks`, it refuses orders of an older epoch. */
 struct FakeEngine {
   EngineState state;
   bool checks = true;
@@ -25,11 +25,11 @@
   std::vector<TimePoint> taken_at;
 };
 
-/** Engines and the orders on their way to them; shared by all instances. */
+/** The engines and the orders in flight to them, shared by all instances. */
 struct FakePool {
   VirtualTime time;
   FakeStore store{time, 3};
-  Postman postman{time};
+  CallScheduler call_scheduler{time};
   std::map<BackendServerName, FakeEngine> engines;
   Duration load_time = seconds(4);
   Duration order_delay = milliseconds(1);
@@ -49,7 +49,7 @@
     engine.state.loading = order.target;
     engine.state.loaded.reset();
     most_loading = std::max(most_loading, ++loading);
-    postman.Post(load_time, [this, name, target = order.target] {
+    call_scheduler.Post(load_time, [this, name, target = order.target] {
       engines[name].state.loaded = target;
       engines[name].state.loading.reset();
       loading -= 1;
@@ -58,13 +58,13 @@
   }
 };
 
-/** One instance's reconciler with all it needs. */
-class FakeOrderer final : public EngineOrders,
-                          public SnapshotSource,
-                          public MembershipView,
-                          public DecisionRecorder {
+/** One instance's reconciler with its dependencies. */
+class FakeOrderInstance final : public EngineOrders,
+                                public SnapshotSource,
+                                public MembershipView,
+                                public DecisionRecorder {
  public:
-  FakeOrderer(FakePool& pool, std::string name) : m_pool(pool), m_self{std::move(name)} {}
+  FakeOrderInstance(FakePool& pool, std::string name) : m_pool(pool), m_self{std::move(name)} {}
 
   void Start(std::shared_ptr<const FleetSnapshot> fleet) {
     m_fleet = std::move(fleet);
@@ -76,14 +76,14 @@
   void Order(const BackendServerName& server,
              LoadOrder order,
              std::function<void(Result<void>)> callback) override {
-    m_pool.postman.Post(m_pool.order_delay, [this, server, order, callback] {
+    m_pool.call_scheduler.Post(m_pool.order_delay, [this, server, order, callback] {
       const Result<void> result = m_pool.Take(server, order);
       m_thread.Run([callback, result] { callback(result); });
     });
   }
   void ReadState(const BackendServerName& server,
                  std::function<void(Result<EngineState>)> callback) override {
-    m_pool.postman.Post(milliseconds(2), [this, server, callback] {
+    m_pool.call_scheduler.Post(milliseconds(2), [this, server, callback] {
       EngineState state = m_pool.engines[server].state;
       state.checks_fencing = m_pool.engines[server].checks;
       m_thread.Run([callback, state] { callback(state); });
@@ -117,8 +117,8 @@
 
 TEST_GROUP(Orders) {
   FakePool pool;
-  FakeOrderer first{pool, "i1"};
-  FakeOrderer second{pool, "i2"};
+  FakeOrderInstance first{pool, "i1"};
+  FakeOrderInstance second{pool, "i2"};
   std::map<std::string, ConfigurationEntry> entries;
 
   void setup() override {
@@ -149,7 +149,7 @@
   }
 };
 
-TEST(Orders, EnginesComeToHoldWhatIsConfigured) {
+TEST(Orders, EnginesLoadTheConfiguredLayers) {
   Want("a", "v1", 0, 2);
   Want("b", "v1", 2, 4);
   StartBoth();
@@ -161,9 +161,8 @@
   }
 }
 
-// Symptom: two models load side by side and both stay unusable for twice as long.
-// Events: many engines are empty; the weight store is rate limited.
-// Cause: loads must be few at a time, those first that complete a pipeline.
+// The weight store is rate limited, so the number of concurrent loads is limited, and those that
+// complete a pipeline come first.
 TEST(Orders, LoadsAreFewAndThoseThatCompleteAPipelineComeFirst) {
   for (const char* spare : {"c", "d", "e", "f", "g", "h", "i"}) {
     Want(spare, "v1", 0, 2);
@@ -177,9 +176,7 @@
   CHECK(pool.most_loading <= OrderSettings{}.most_loads);
 }
 
-// Symptom: an upgrade takes the model away.
-// Events: the new version is ordered on every server at once.
-// Cause: each stage's last ready replica must stay until another is ready.
+// During an upgrade, each stage's last ready replica must stay until another one is ready.
 TEST(Orders, AnUpgradeKeepsACompletePipelineAllTheTime) {
   for (const auto& [name, begin] :
        std::map<std::string, int>{{"a1", 0}, {"a2", 0}, {"b1", 2}, {"b2", 2}}) {
@@ -189,7 +186,7 @@
   }
   first.Start(Fleet());
   for (int i = 0; i < 600; ++i) {
-    if (i == 300) {  // The last servers of v1 wait until the model itself is at v2.
+    if (i == 300) {  // The last servers of v1 are upgraded only after the model's version is v2.
       entries["model/m"].value = R"({"version":"v2","layers":4})";
       first.Use(Fleet());
     }
@@ -211,11 +208,9 @@
   }
 }
 
-// Symptom: an engine loads an old version although a newer one was ordered.
-// Events: the holder is paused past its lease, about to order v2; another takes over and orders v3;
-// the old holder wakes.
-// Cause: a lease that lapsed is not noticed by a holder that sleeps.
-TEST(Orders, AHolderThatWakesIsRefusedByEnginesThatCheckAndStaysSilentToTheOthers) {
+// A holder that is paused until its lease has expired must not replace the new holder's order when
+// it resumes.
+TEST(Orders, AResumedHolderIsRefusedByCheckingEnginesAndSendsNothingToOthers) {
   for (const bool checks : {true, false}) {
     const std::string name = checks ? "checking" : "trusting";
     Want(name, "v1", 0, 4);
@@ -223,9 +218,9 @@
   }
   StartBoth();
   pool.time.AdvanceBy(seconds(20));
-  FakeOrderer& old_holder = first.HoldsRole() ? first : second;
-  FakeOrderer& new_holder = first.HoldsRole() ? second : first;
-  entries.erase("model/m");  // Nothing keeps the engines from loading in place.
+  FakeOrderInstance& old_holder = first.HoldsRole() ? first : second;
+  FakeOrderInstance& new_holder = first.HoldsRole() ? second : first;
+  entries.erase("model/m");  // Allows the engines to load in place.
   Want("checking", "v2", 0, 4);
   Want("trusting", "v2", 0, 4);
   old_holder.Use(Fleet());
@@ -244,9 +239,8 @@
   }
 }
 
-// Symptom: an order of the old holder undoes one of the new holder at an engine that does not
-// check. Events: the old holder's last order is slow on its way; its lease ends; a new holder takes
-// over. Cause: the new holder must wait until what was sent before can no longer arrive.
+// A new holder must wait until no order of the old holder can still arrive at an engine that does
+// not check epochs.
 TEST(Orders, ANewHolderWaitsOutOrdersInFlightToEnginesThatDoNotCheck) {
   Want("trusting", "v1", 0, 4);
   pool.engines["trusting"].checks = false;
@@ -268,10 +262,9 @@
   STRCMP_EQUAL("v2", engine.state.loaded->version.c_str());
 }
 
-// Events: an engine has seen a higher epoch than the store tells of (the store was restored from a
-// backup).
-// Cause: the refused holder must step down and come back with a higher epoch.
-TEST(Orders, ARefusedHolderStepsDownAndComesBackAboveTheEngine) {
+// After the store was restored from a backup, engines may have seen a higher epoch. The refused
+// holder must release its role and acquire it again with a higher epoch.
+TEST(Orders, ARefusedHolderReacquiresItsRoleWithAHigherEpoch) {
   Want("a", "v1", 0, 4);
   pool.engines["a"].state.highest_epoch = 40;
   first.Start(Fleet());
--- a/tests/once/takeover_test.cc
+++ b/tests/once/takeover_test.cc
@@ -24,15 +24,15 @@
     world.Advance(seconds(3));
   }
 
-  /** Enough keys that every partition gets some. */
+  /** Sends enough keys to reach every partition. */
   void CallAll(FakeInstance & instance, const std::string& prefix) {
     for (int i = 0; i < 100; ++i) {
       instance.Call(prefix + std::to_string(i), "body");
     }
   }
 
-  /** A booking every 50 ms through all instances but `left_out`; how many were not answered. */
-  int RefusedOf(int bookings, const FakeInstance* left_out) {
+  /** Sends requests every 50 ms, none through `left_out`; returns the number that failed. */
+  int CountRefused(int bookings, const FakeInstance* left_out) {
     std::vector<std::shared_ptr<CallerRequest>> requests;
     for (int i = 0; i < bookings; ++i) {
       FakeInstance* instance = &world[i % world.instances.size()];
@@ -41,12 +41,12 @@
       world.Advance(milliseconds(50));
     }
     world.Advance(seconds(5));
-    return static_cast<int>(
-        std::count_if(requests.begin(), requests.end(),
-                      [](const auto& request) { return request->told != Told::kAnswered; }));
+    return static_cast<int>(std::count_if(
+        requests.begin(), requests.end(),
+        [](const auto& request) { return request->caller_result != CallerResult::kAnswered; }));
   }
 
-  std::size_t HeldByLiving() {
+  std::size_t PartitionsHeldByLiveInstances() {
     std::size_t held = 0;
     for (const auto& instance : world.instances) {
       held += instance->thread().IsKilled() ? 0 : instance->coordinator().HeldPartitions();
@@ -55,53 +55,48 @@
   }
 };
 
-// Symptom: bookings fail for seconds after an instance was killed.
-// Events: the holder of several partitions is killed and still listed as live; one booking meets
-// it. Cause: each partition waits until it has been asked for often enough itself.
-TEST(OnceTakeover, OneBookingIsEnoughToTakeAllPartitionsOfAKilledHolder) {
+// A failure detected by one request must cause the takeover of all partitions of a killed holder
+// that membership still lists as live.
+TEST(OnceTakeover, OneFailedRequestMovesAllPartitionsOfAKilledHolder) {
   CHECK(holder->coordinator().HeldPartitions() > 1);
   world.sees_killed_as_live = true;
   holder->Kill();
   int asked = 0;
-  while (HeldByLiving() < 16 && asked < 20) {
+  while (PartitionsHeldByLiveInstances() < 16 && asked < 20) {
     caller->Call("meets" + std::to_string(asked++), "body");
   }
   world.Advance(milliseconds(1'000));
-  LONGS_EQUAL(16, HeldByLiving());
+  LONGS_EQUAL(16, PartitionsHeldByLiveInstances());
 }
 
-// Events: as above, but the holder is paused and 20 bookings a second arrive everywhere.
-// Cause: without shared evidence and signs of life, some wait longer than their caller.
-TEST(OnceTakeover, NoBookingIsRefusedBecauseAHolderSleeps) {
+// As above with a paused holder and 20 requests a second: no request may time out.
+TEST(OnceTakeover, NoRequestIsRefusedBecauseAHolderIsPaused) {
   holder->thread().Pause();
-  LONGS_EQUAL(0, RefusedOf(100, holder));
+  LONGS_EQUAL(0, CountRefused(100, holder));
 }
 
-// Symptom: partitions move for no reason while the store is slow.
-// Events: each store call goes from 3 ms to `slow`; nobody is lost.
-// Cause: a holder that waits for the store answers late; only its signs of life tell it from a
-// silent one.
+// Holders that reply late because of a slow store still reply to probes and must keep their
+// partitions.
 TEST(OnceTakeover, ASlowStoreMovesNoPartition) {
   for (const milliseconds slow : {milliseconds(3), milliseconds(50), milliseconds(300)}) {
     world.store.faults.one_way = Duration(slow) / 2;
     const std::size_t before = world.Count("take_over");
-    LONGS_EQUAL(0, RefusedOf(400, nullptr));
+    LONGS_EQUAL(0, CountRefused(400, nullptr));
     LONGS_EQUAL(before, world.Count("take_over"));
   }
 }
 
-// Events: as above, with store calls so slow that no booking is answered in time.
-TEST(OnceTakeover, AStoreTooSlowForBookingsMovesNoPartition) {
+// As above, with a store so slow that no request is answered in time.
+TEST(OnceTakeover, AStoreTooSlowForRequestsMovesNoPartition) {
   world.store.faults.one_way = milliseconds(400);
   const std::size_t before = world.Count("take_over");
-  RefusedOf(200, nullptr);
+  CountRefused(200, nullptr);
   LONGS_EQUAL(before, world.Count("take_over"));
 }
 
-// Symptom: bookings through some instances hang long after the others are served again.
-// Events: a holder is paused and its partitions are taken over; then an instance asks the old one.
-// Cause: it waits as long as the first one did, although it could have read the head.
-TEST(OnceTakeover, WhoeverMissedATakeoverFindsTheNewHolderSoon) {
+// An instance that sends a request to the old holder after a takeover must find the new holder by
+// reading the head, not only after the takeover timeout.
+TEST(OnceTakeover, AnInstanceThatMissedATakeoverFindsTheNewHolderSoon) {
   FakeInstance* late = nullptr;
   for (const auto& instance : world.instances) {
     late = instance.get() != holder && instance.get() != caller ? instance.get() : late;
@@ -119,14 +114,12 @@
   }
   world.Advance(seconds(3));
   for (const auto& request : requests) {
-    CHECK(request->told == Told::kAnswered);
-    CHECK(request->told_at - asked_at < milliseconds(600));
+    CHECK(request->caller_result == CallerResult::kAnswered);
+    CHECK(request->result_at - asked_at < milliseconds(600));
   }
 }
 
-// Symptom: the store is flooded by takeovers when a holder of many partitions is lost.
-// Events: one instance of two is killed, both are listed as live.
-// Cause: all its partitions are taken over at the same time.
+// The loss of a holder of many partitions must not flood the store with concurrent takeovers.
 TEST(OnceTakeover, FewPartitionsAreTakenOverAtOnce) {
   OnceSettings settings;
   settings.most_takeovers = 2;
@@ -149,10 +142,8 @@
   CHECK(pair.store.most_writes_under_way <= 2);
 }
 
-// Symptom: a lost holder costs the store several times what its partitions need.
-// Events: all instances meet a paused holder at the same moment.
-// Cause: each of them tries to take each partition, and all but one lose.
-TEST(OnceTakeover, InstancesTakeTurnsAtALostHoldersPartitions) {
+// Instances that detect a lost holder at the same time must not all attempt every takeover.
+TEST(OnceTakeover, TakeoversOfALostHolderAreStaggered) {
   const std::size_t held = holder->coordinator().HeldPartitions();
   holder->thread().Pause();
   const std::uint64_t before = world.store.creations;
@@ -163,21 +154,18 @@
   LONGS_EQUAL(held, world.store.creations - before);
 }
 
-// Symptom: a partition goes round all instances after its holder slept once.
-// Events: the holder is paused; calls to it are given up seconds later, when others hold already.
-// Cause: the old failures counted against the new holder.
+// Calls to a paused holder that time out after a takeover must not count against the new holder.
 TEST(OnceTakeover, LateFailuresOfTheOldHolderDoNotMoveThePartitionAgain) {
   const std::size_t held = holder->coordinator().HeldPartitions();
   const std::size_t before = world.Count("take_over");
   holder->thread().Pause();
-  RefusedOf(400, holder);
+  CountRefused(400, holder);
   LONGS_EQUAL(before + held, world.Count("take_over"));
 }
 
-// Symptom: an instance takes everything when its machine wakes.
-// Events: the machines of a holder and of an asker are suspended for 3 s with calls on their way.
-// Cause: to the timers of the asker the silence looks as long as the suspension.
-TEST(OnceTakeover, AnAskerThatSleptItselfTakesNothing) {
+// After a suspension of its own machine, an instance must not take replies that are still in flight
+// for a silent holder.
+TEST(OnceTakeover, AnInstanceThatWasSuspendedTakesNothing) {
   const std::size_t before = world.Count("take_over");
   holder->thread().Pause();
   CallAll(*caller, "on its way");
@@ -191,9 +179,7 @@
   LONGS_EQUAL(before, world.Count("take_over"));
 }
 
-// Symptom: a planned stop hangs.
-// Events: the store is down when the instance is stopped.
-// Cause: the release of its partitions cannot be written.
+// A planned stop must end although the release of its partitions cannot be written.
 TEST(OnceTakeover, APlannedStopDuringAnOutageEnds) {
   world.store.faults.outage = true;
   int done = 0;
