--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -21,9 +21,9 @@
 class PeerTransport;
 
 /** How ConfigurationKeeper tells the other instances of news. */
-class ConfigurationSpreader {
+class ConfigurationPublisher {
  public:
-  virtual ~ConfigurationSpreader() = default;
+  virtual ~ConfigurationPublisher() = default;
 
   /** A delta small enough for a datagram. `first_hand`: accepted here. */
   virtual void SpreadDelta(const ConfigurationDelta& delta, bool first_hand) = 0;
@@ -39,7 +39,7 @@
   PlatformStore& store;
   PeerTransport& transport;
   MembershipView& membership;
-  ConfigurationSpreader& spreader;
+  ConfigurationPublisher& spreader;
   DecisionRecorder& recorder;
   Logger& logger;
 };
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -76,7 +76,7 @@
 class InstanceControl final : public SnapshotSource,
                               public PeerListener,
                               private GossipHost,
-                              private ConfigurationSpreader,
+                              private ConfigurationPublisher,
                               private ConfigurationListener,
                               private MembershipListener {
  public:
