--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -265,7 +265,7 @@
     return;
   }
   if (EstimateSize(delta) <= kLargestRumour) {
-    m_parts.spreader.SpreadDelta(delta, first_hand);
+    m_parts.spreader.PublishDelta(delta, first_hand);
   } else {
     m_parts.spreader.SpreadRevision();
   }
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -26,7 +26,7 @@
   virtual ~ConfigurationPublisher() = default;
 
   /** A delta small enough for a datagram. `first_hand`: accepted here. */
-  virtual void SpreadDelta(const ConfigurationDelta& delta, bool first_hand) = 0;
+  virtual void PublishDelta(const ConfigurationDelta& delta, bool first_hand) = 0;
 
   /** The new revision alone, when the content is too large: peers fetch it. */
   virtual void SpreadRevision() = 0;
--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -448,7 +448,7 @@
   return turn;
 }
 
-void InstanceControl::SpreadDelta(const ConfigurationDelta& delta, bool first_hand) {
+void InstanceControl::PublishDelta(const ConfigurationDelta& delta, bool first_hand) {
   // Not queued: whoever misses it sees the higher revision in a probe and fetches.
   m_membership.SpreadUrgently(ConfigurationRumour{delta}, first_hand, false);
 }
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -155,7 +155,7 @@
   void OnPeerRevision(const Instance& peer, ConfigurationRevision revision) override;
   std::vector<Rumour> RumoursForNewcomer() const override;
   std::vector<Rumour> RumoursForRepair(std::size_t room) override;
-  void SpreadDelta(const ConfigurationDelta& delta, bool first_hand) override;
+  void PublishDelta(const ConfigurationDelta& delta, bool first_hand) override;
   void SpreadRevision() override;
   void OnConfigurationChanged(const Configuration& configuration) override;
   void OnMembershipChanged() override;
