--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -267,7 +267,7 @@
   if (EstimateSize(delta) <= kLargestRumour) {
     m_parts.spreader.PublishDelta(delta, first_hand);
   } else {
-    m_parts.spreader.SpreadRevision();
+    m_parts.spreader.PublishRevision();
   }
 }
 
@@ -315,7 +315,7 @@
       m_state.JumpTo(revision);
       m_parts.logger.Log(LogLevel::kWarning, "configuration_store_reinstated",
                          {{"revision", std::to_string(revision)}});
-      m_parts.spreader.SpreadRevision();
+      m_parts.spreader.PublishRevision();
       TellListeners();
     }
   };
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -29,7 +29,7 @@
   virtual void PublishDelta(const ConfigurationDelta& delta, bool first_hand) = 0;
 
   /** The new revision alone, when the content is too large: peers fetch it. */
-  virtual void SpreadRevision() = 0;
+  virtual void PublishRevision() = 0;
 };
 
 /** The objects that the keeper works with. All must outlive it. */
--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -453,7 +453,7 @@
   m_membership.SpreadUrgently(ConfigurationRumour{delta}, first_hand, false);
 }
 
-void InstanceControl::SpreadRevision() {
+void InstanceControl::PublishRevision() {
   m_membership.PushRevision();
 }
 
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -156,7 +156,7 @@
   std::vector<Rumour> RumoursForNewcomer() const override;
   std::vector<Rumour> RumoursForRepair(std::size_t room) override;
   void PublishDelta(const ConfigurationDelta& delta, bool first_hand) override;
-  void SpreadRevision() override;
+  void PublishRevision() override;
   void OnConfigurationChanged(const Configuration& configuration) override;
   void OnMembershipChanged() override;
 
