--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -173,20 +173,20 @@
           callback(copy.error());
           return;
         }
-        ApplyAndSpread(*copy, false);
+        ApplyAndPublish(*copy, false);
         callback({});
       }));
 }
 
 void ConfigurationKeeper::ApplyTail(const ConfigurationHead& head) {
   for (const AcceptedChange& change : head.tail) {
-    ApplyAndSpread(change.AsDelta(), false);
+    ApplyAndPublish(change.AsDelta(), false);
   }
 }
 
 void ConfigurationKeeper::OnAccepted(VersionedHead head) {
   m_recent_ids = head.head.ids;
-  ApplyAndSpread(head.head.tail.back().AsDelta(), true);
+  ApplyAndPublish(head.head.tail.back().AsDelta(), true);
   CompactIfLarge(head);
 }
 
@@ -210,7 +210,7 @@
     OnPeerRevision(sender, delta.revision);
     return;
   }
-  ApplyAndSpread(delta, false);
+  ApplyAndPublish(delta, false);
 }
 
 void ConfigurationKeeper::OnPeerRevision(const Instance& peer, ConfigurationRevision revision) {
@@ -240,7 +240,7 @@
 void ConfigurationKeeper::OnFetched(const Result<ConfigurationDelta>& answer) {
   m_fetching = false;
   if (answer) {
-    ApplyAndSpread(*answer, false);
+    ApplyAndPublish(*answer, false);
   }
 }
 
@@ -260,7 +260,7 @@
   return true;
 }
 
-void ConfigurationKeeper::ApplyAndSpread(const ConfigurationDelta& delta, bool first_hand) {
+void ConfigurationKeeper::ApplyAndPublish(const ConfigurationDelta& delta, bool first_hand) {
   if (!Apply(delta)) {
     return;
   }
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -100,7 +100,7 @@
   void ReadLater();
   void ApplyTail(const ConfigurationHead& head);
   bool Apply(const ConfigurationDelta& delta);
-  void ApplyAndSpread(const ConfigurationDelta& delta, bool first_hand);
+  void ApplyAndPublish(const ConfigurationDelta& delta, bool first_hand);
   void Fetch(const Instance& peer);
   void OnFetched(const Result<ConfigurationDelta>& answer);
   void CompactIfLarge(const VersionedHead& head);
