--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -150,7 +150,7 @@
                                   ConfigurationRevision known_before,
                                   std::function<void(Result<void>)> callback) {
   if (head.head.revision < known_before) {
-    NoticeStoreWentBack(head.head.revision);
+    HandleStoreRollback(head.head.revision);
     callback(MakeError(ErrorKind::kStoreUnavailable,
                        fmt::format("the store went back to revision {} while {} is in force",
                                    head.head.revision, known_before)));
@@ -271,7 +271,7 @@
   }
 }
 
-void ConfigurationKeeper::NoticeStoreWentBack(ConfigurationRevision store_revision) {
+void ConfigurationKeeper::HandleStoreRollback(ConfigurationRevision store_revision) {
   if (m_store_went_back) {
     return;
   }
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -104,7 +104,7 @@
   void Fetch(const Instance& peer);
   void OnFetched(const Result<ConfigurationDelta>& answer);
   void CompactIfLarge(const VersionedHead& head);
-  void NoticeStoreWentBack(ConfigurationRevision store_revision);
+  void HandleStoreRollback(ConfigurationRevision store_revision);
   void CheckReinstate();
   void Reinstate(const VersionedHead& lost);
   void TellListeners();
