--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -93,7 +93,7 @@
   }
   m_store_failures = 0;
   CatchUp(*head, known_before, [this, version = head->version](const Result<void>& caught_up) {
-    if (!caught_up && !m_store_went_back) {
+    if (!caught_up && !m_store_rolled_back) {
       ReadLater();
     } else if (m_holds_watch) {
       Watch(version);
@@ -272,10 +272,10 @@
 }
 
 void ConfigurationKeeper::HandleStoreRollback(ConfigurationRevision store_revision) {
-  if (m_store_went_back) {
+  if (m_store_rolled_back) {
     return;
   }
-  m_store_went_back = true;
+  m_store_rolled_back = true;
   m_parts.logger.Log(LogLevel::kError, "configuration_store_went_back",
                      {{"store_revision", std::to_string(store_revision)},
                       {"in_force", std::to_string(m_state.revision())}});
@@ -296,9 +296,9 @@
           m_parts.scheduler.ScheduleAfter(kReinstateDelay, [this] { CheckReinstate(); });
       return;
     }
-    m_store_went_back = false;
+    m_store_rolled_back = false;
     if (head->head.revision < known_before) {
-      m_store_went_back = true;
+      m_store_rolled_back = true;
       Reinstate(*head);
     }
   }));
@@ -310,7 +310,7 @@
   head.ids = m_recent_ids;
   const ConfigurationRevision from = m_state.revision();
   const auto reinstated = [this, from, revision = head.revision](const Result<void>& done) {
-    m_store_went_back = false;
+    m_store_rolled_back = false;
     if (done && m_state.revision() == from) {
       m_state.JumpTo(revision);
       m_parts.logger.Log(LogLevel::kWarning, "configuration_store_reinstated",
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -125,7 +125,7 @@
   TimePoint m_fetch_started{};
   Instance m_fetch_from;
 
-  bool m_store_went_back = false;
+  bool m_store_rolled_back = false;
   std::unique_ptr<ScheduledCall> m_read_call;
   std::unique_ptr<ScheduledCall> m_fetch_call;
   std::unique_ptr<ScheduledCall> m_reinstate_call;
