--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -89,7 +89,7 @@
 void ConfigurationAcceptance::OnHead(Result<VersionedHead> head,
                                      ConfigurationRevision known_before) {
   if (!head) {
-    if (m_may_have_landed) {
+    if (m_may_have_been_written) {
       TryLater();
     } else {
       Finish(Unavailable(head.error().message));
@@ -100,7 +100,7 @@
                  m_guard.Wrap([this, head = *head](const Result<void>& caught_up) {
                    if (caught_up) {
                      Decide(head);
-                   } else if (m_may_have_landed) {
+                   } else if (m_may_have_been_written) {
                      TryLater();
                    } else {
                      Finish(Unavailable(caught_up.error().message));
@@ -152,14 +152,14 @@
       ReadHead();
       break;
     case ErrorKind::kStoreUnavailable:
-      if (m_may_have_landed) {
+      if (m_may_have_been_written) {
         TryLater();
       } else {
         Finish(Unavailable(answer.error().message));
       }
       break;
     default:
-      m_may_have_landed = true;
+      m_may_have_been_written = true;
       TryLater();
   }
 }
--- a/packages/zinnia_decisions/configuration/configuration_acceptance.h
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.h
@@ -77,7 +77,7 @@
   Scheduler& m_scheduler;
   Callback m_callback;
   TimePoint m_deadline{};
-  bool m_may_have_landed = false;
+  bool m_may_have_been_written = false;
   bool m_finished = false;
   std::unique_ptr<ScheduledCall> m_retry_call;
   CallbackGuard m_guard;
