--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -10,7 +10,7 @@
 namespace zinnia {
 namespace {
 
-constexpr Duration kSettleWithin = std::chrono::seconds(10);
+constexpr Duration kOutcomeTimeout = std::chrono::seconds(10);
 constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
 constexpr std::chrono::milliseconds kComeBackAfter{1000};
 constexpr std::size_t kLargestChange = 512UL * 1024;
@@ -72,7 +72,7 @@
       m_clock(clock),
       m_scheduler(scheduler),
       m_callback(std::move(callback)),
-      m_deadline(clock.Now() + kSettleWithin) {}
+      m_deadline(clock.Now() + kOutcomeTimeout) {}
 
 void ConfigurationAcceptance::Finish(Result<ConfigurationRevision> outcome) {
   // Finished only afterwards: the callback may order a change, which drops the finished ones.
