--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kOutcomeTimeout = std::chrono::seconds(10);
 constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
-constexpr std::chrono::milliseconds kComeBackAfter{1000};
+constexpr std::chrono::milliseconds kUnavailableRetryAfter{1000};
 constexpr std::size_t kLargestChange = 512UL * 1024;
 constexpr std::size_t kLargestTail = 900UL * 1024;
 
@@ -26,7 +26,7 @@
 
 Error Unavailable(const std::string& why) {
   Error error = MakeError(ErrorKind::kStoreUnavailable, "the change was not applied: " + why);
-  error.retry_after = kComeBackAfter;
+  error.retry_after = kUnavailableRetryAfter;
   return error;
 }
 
