--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -30,7 +30,7 @@
   return error;
 }
 
-Result<void> CheckShape(const ConfigurationChange& change) {
+Result<void> ValidateChange(const ConfigurationChange& change) {
   if (change.change_id.empty() || change.paths.empty()) {
     return MakeError(ErrorKind::kInvalidRequest, "a change needs an id and at least one path");
   }
@@ -51,7 +51,7 @@
                                                                         Callback callback) {
   std::shared_ptr<ConfigurationAcceptance> acceptance(new ConfigurationAcceptance(
       std::move(change), host, store, clock, scheduler, std::move(callback)));
-  const Result<void> shape = CheckShape(acceptance->m_change);
+  const Result<void> shape = ValidateChange(acceptance->m_change);
   if (shape) {
     acceptance->ReadHead();
   } else {
