--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -90,7 +90,7 @@
                                      ConfigurationRevision known_before) {
   if (!head) {
     if (m_may_have_been_written) {
-      TryLater();
+      ScheduleRetry();
     } else {
       Finish(Unavailable(head.error().message));
     }
@@ -101,7 +101,7 @@
                    if (caught_up) {
                      Decide(head);
                    } else if (m_may_have_been_written) {
-                     TryLater();
+                     ScheduleRetry();
                    } else {
                      Finish(Unavailable(caught_up.error().message));
                    }
@@ -153,18 +153,18 @@
       break;
     case ErrorKind::kStoreUnavailable:
       if (m_may_have_been_written) {
-        TryLater();
+        ScheduleRetry();
       } else {
         Finish(Unavailable(answer.error().message));
       }
       break;
     default:
       m_may_have_been_written = true;
-      TryLater();
+      ScheduleRetry();
   }
 }
 
-void ConfigurationAcceptance::TryLater() {
+void ConfigurationAcceptance::ScheduleRetry() {
   if (m_clock.Now() >= m_deadline) {
     Error error = MakeError(ErrorKind::kStoreOutcomeUnknown,
                             fmt::format("whether change {} was accepted could not be read back: "
--- a/packages/zinnia_decisions/configuration/configuration_acceptance.h
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.h
@@ -65,7 +65,7 @@
   void Decide(VersionedHead head);
   void Write(const VersionedHead& head);
   void OnWritten(VersionedHead written, const Result<std::uint64_t>& answer);
-  void TryLater();
+  void ScheduleRetry();
   void Finish(Result<ConfigurationRevision> outcome);
   Error ConflictWith(const ConfigurationHead& head) const;
   std::vector<ConfigurationEntry> Entries(ConfigurationRevision revision) const;
