--- a/packages/zinnia_decisions/configuration/configuration_head.cc
+++ b/packages/zinnia_decisions/configuration/configuration_head.cc
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t kMostIds = 256;
+constexpr std::size_t kMaxRememberedIds = 256;
 
 json::array EntriesToJson(const std::vector<ConfigurationEntry>& entries) {
   json::array array;
@@ -113,7 +113,7 @@
   }
   tail.push_back({revision, change_id, std::move(entries)});
   ids.emplace_back(change_id, revision);
-  if (ids.size() > kMostIds) {
+  if (ids.size() > kMaxRememberedIds) {
     ids.erase(ids.begin());
   }
 }
