--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -19,7 +19,7 @@
 constexpr std::uint32_t kMostDoublings = 3;
 constexpr Duration kFetchDelay = std::chrono::milliseconds(50);
 constexpr Duration kFetchGivenUp = std::chrono::seconds(5);
-constexpr std::size_t kMostAcceptances = 64;
+constexpr std::size_t kMaxPendingAcceptances = 64;
 constexpr std::size_t kLargestRumour = 800;
 constexpr std::size_t kCompactAbove = 32UL * 1024;
 
@@ -50,7 +50,7 @@
 void ConfigurationKeeper::Change(ConfigurationChange change,
                                  ConfigurationAcceptance::Callback callback) {
   std::erase_if(m_acceptances, [](const auto& acceptance) { return acceptance->IsFinished(); });
-  if (m_acceptances.size() >= kMostAcceptances) {
+  if (m_acceptances.size() >= kMaxPendingAcceptances) {
     Error error = MakeError(ErrorKind::kOverloaded, "too many changes are waiting for the store");
     error.retry_after = std::chrono::seconds(1);
     callback(error);
