--- a/packages/zinnia_decisions/configuration/configuration_state.cc
+++ b/packages/zinnia_decisions/configuration/configuration_state.cc
@@ -6,7 +6,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostTombstones = 4096;
+constexpr std::size_t kMaxTombstones = 4096;
 
 }  // namespace
 
@@ -113,7 +113,7 @@
 }
 
 void ConfigurationState::DropOldTombstones() {
-  while (m_tombstones.size() > kMostTombstones) {
+  while (m_tombstones.size() > kMaxTombstones) {
     const auto oldest = m_tombstones.begin();
     m_floor = std::max(m_floor, oldest->first);
     m_by_revision.erase(*oldest);
