--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -18,7 +18,7 @@
 constexpr Duration kFirstRetry = std::chrono::milliseconds(500);
 constexpr std::uint32_t kMostDoublings = 3;
 constexpr Duration kFetchDelay = std::chrono::milliseconds(50);
-constexpr Duration kFetchGivenUp = std::chrono::seconds(5);
+constexpr Duration kFetchTimeout = std::chrono::seconds(5);
 constexpr std::size_t kMaxPendingAcceptances = 64;
 constexpr std::size_t kLargestRumour = 800;
 constexpr std::size_t kCompactAbove = 32UL * 1024;
@@ -214,7 +214,7 @@
 }
 
 void ConfigurationKeeper::OnPeerRevision(const Instance& peer, ConfigurationRevision revision) {
-  const bool waiting = m_fetching && m_parts.clock.Now() - m_fetch_started < kFetchGivenUp;
+  const bool waiting = m_fetching && m_parts.clock.Now() - m_fetch_started < kFetchTimeout;
   if (revision <= m_state.revision() || waiting) {
     return;
   }
