--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t kWatchHoldersPerDomain = 2;
-constexpr std::chrono::milliseconds kLongestWatch{10'000};
+constexpr std::chrono::milliseconds kWatchTimeout{10'000};
 constexpr Duration kFirstRetry = std::chrono::milliseconds(500);
 constexpr std::uint32_t kMostDoublings = 3;
 constexpr Duration kFetchDelay = std::chrono::milliseconds(50);
@@ -122,7 +122,7 @@
 void ConfigurationKeeper::Watch(std::uint64_t after_version) {
   m_watching = true;
   const ConfigurationRevision known_before = m_state.revision();
-  m_store.Watch(after_version, kLongestWatch,
+  m_store.Watch(after_version, kWatchTimeout,
                 m_guard.Wrap([this, after_version, known_before](const Result<StoreBatch>& batch) {
                   OnWatchAnswer(after_version, known_before, batch);
                 }));
