--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -20,7 +20,7 @@
 constexpr Duration kFetchDelay = std::chrono::milliseconds(50);
 constexpr Duration kFetchTimeout = std::chrono::seconds(5);
 constexpr std::size_t kMaxPendingAcceptances = 64;
-constexpr std::size_t kLargestRumour = 800;
+constexpr std::size_t kMaxRumourBytes = 800;
 constexpr std::size_t kCompactAbove = 32UL * 1024;
 
 // Long enough for every instance to have heard the highest revision before the store is rewritten.
@@ -264,7 +264,7 @@
   if (!Apply(delta)) {
     return;
   }
-  if (EstimateSize(delta) <= kLargestRumour) {
+  if (EstimateSize(delta) <= kMaxRumourBytes) {
     m_parts.spreader.PublishDelta(delta, first_hand);
   } else {
     m_parts.spreader.PublishRevision();
