--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -13,7 +13,7 @@
 constexpr Duration kOutcomeTimeout = std::chrono::seconds(10);
 constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
 constexpr std::chrono::milliseconds kUnavailableRetryAfter{1000};
-constexpr std::size_t kLargestChange = 512UL * 1024;
+constexpr std::size_t kMaxChangeBytes = 512UL * 1024;
 constexpr std::size_t kLargestTail = 900UL * 1024;
 
 std::size_t SizeOf(const ConfigurationChange& change) {
@@ -34,9 +34,9 @@
   if (change.change_id.empty() || change.paths.empty()) {
     return MakeError(ErrorKind::kInvalidRequest, "a change needs an id and at least one path");
   }
-  if (SizeOf(change) > kLargestChange) {
+  if (SizeOf(change) > kMaxChangeBytes) {
     return MakeError(ErrorKind::kPayloadTooLarge,
-                     fmt::format("a change may hold {} bytes: split it", kLargestChange));
+                     fmt::format("a change may hold {} bytes: split it", kMaxChangeBytes));
   }
   return {};
 }
