--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -14,7 +14,7 @@
 constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
 constexpr std::chrono::milliseconds kUnavailableRetryAfter{1000};
 constexpr std::size_t kMaxChangeBytes = 512UL * 1024;
-constexpr std::size_t kLargestTail = 900UL * 1024;
+constexpr std::size_t kMaxTailBytes = 900UL * 1024;
 
 std::size_t SizeOf(const ConfigurationChange& change) {
   std::size_t size = 0;
@@ -124,7 +124,7 @@
     return;
   }
   head.head.Append(m_change.change_id, Entries(next));
-  if (head.head.TailSize() > kLargestTail) {
+  if (head.head.TailSize() > kMaxTailBytes) {
     Finish(Unavailable("the changes before it are still being compacted"));
     return;
   }
