--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -21,7 +21,7 @@
 constexpr Duration kFetchTimeout = std::chrono::seconds(5);
 constexpr std::size_t kMaxPendingAcceptances = 64;
 constexpr std::size_t kMaxRumourBytes = 800;
-constexpr std::size_t kCompactAbove = 32UL * 1024;
+constexpr std::size_t kCompactionThresholdBytes = 32UL * 1024;
 
 // Long enough for every instance to have heard the highest revision before the store is rewritten.
 constexpr Duration kReinstateDelay = std::chrono::seconds(6);
@@ -192,7 +192,7 @@
 
 void ConfigurationKeeper::CompactIfLarge(const VersionedHead& head) {
   const bool current = m_state.revision() == head.head.revision;
-  if (m_compacting || !current || head.head.TailSize() <= kCompactAbove) {
+  if (m_compacting || !current || head.head.TailSize() <= kCompactionThresholdBytes) {
     return;
   }
   m_compacting = true;
