--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -27,7 +27,7 @@
 constexpr Duration kReinstateDelay = std::chrono::seconds(6);
 
 // Clear of every revision that the lost part of the store may have given away.
-constexpr ConfigurationRevision kReinstateJump = 1000;
+constexpr ConfigurationRevision kReinstateRevisionGap = 1000;
 
 }  // namespace
 
@@ -306,7 +306,7 @@
 
 void ConfigurationKeeper::Reinstate(const VersionedHead& lost) {
   ConfigurationHead head;
-  head.revision = m_state.revision() + kReinstateJump;
+  head.revision = m_state.revision() + kReinstateRevisionGap;
   head.ids = m_recent_ids;
   const ConfigurationRevision from = m_state.revision();
   const auto reinstated = [this, from, revision = head.revision](const Result<void>& done) {
