--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -312,7 +312,7 @@
   const auto reinstated = [this, from, revision = head.revision](const Result<void>& done) {
     m_store_rolled_back = false;
     if (done && m_state.revision() == from) {
-      m_state.JumpTo(revision);
+      m_state.AdvanceTo(revision);
       m_parts.logger.Log(LogLevel::kWarning, "configuration_store_reinstated",
                          {{"revision", std::to_string(revision)}});
       m_parts.spreader.PublishRevision();
--- a/packages/zinnia_decisions/configuration/configuration_state.cc
+++ b/packages/zinnia_decisions/configuration/configuration_state.cc
@@ -80,7 +80,7 @@
   return delta;
 }
 
-void ConfigurationState::JumpTo(ConfigurationRevision revision) {
+void ConfigurationState::AdvanceTo(ConfigurationRevision revision) {
   Configuration parsed = m_parsed->WithChanges(revision, {}).value();
   m_parsed = std::make_shared<const Configuration>(std::move(parsed));
   m_revision = revision;
--- a/packages/zinnia_decisions/configuration/configuration_state.h
+++ b/packages/zinnia_decisions/configuration/configuration_state.h
@@ -36,7 +36,7 @@
 
   /** Moves to `revision` with the same entries. Deltas from below it are no longer given: whoever
       is there may hold changes that nobody else has, and must take a full copy. */
-  void JumpTo(ConfigurationRevision revision);
+  void AdvanceTo(ConfigurationRevision revision);
 
   /** Those of the paths that were written after `revision`, as far as tombstones tell. */
   std::vector<std::string> ChangedSince(ConfigurationRevision revision,
