--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -81,13 +81,14 @@
 }
 
 void ConfigurationAcceptance::ReadHead() {
-  const ConfigurationRevision known_before = m_host.State().revision();
-  m_store.ReadHead(m_guard.Wrap(
-      [this, known_before](Result<VersionedHead> head) { OnHead(std::move(head), known_before); }));
+  const ConfigurationRevision revision_before_read = m_host.State().revision();
+  m_store.ReadHead(m_guard.Wrap([this, revision_before_read](Result<VersionedHead> head) {
+    OnHead(std::move(head), revision_before_read);
+  }));
 }
 
 void ConfigurationAcceptance::OnHead(Result<VersionedHead> head,
-                                     ConfigurationRevision known_before) {
+                                     ConfigurationRevision revision_before_read) {
   if (!head) {
     if (m_may_have_been_written) {
       ScheduleRetry();
@@ -96,7 +97,7 @@
     }
     return;
   }
-  m_host.CatchUp(*head, known_before,
+  m_host.CatchUp(*head, revision_before_read,
                  m_guard.Wrap([this, head = *head](const Result<void>& caught_up) {
                    if (caught_up) {
                      Decide(head);
--- a/packages/zinnia_decisions/configuration/configuration_acceptance.h
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.h
@@ -15,10 +15,10 @@
  public:
   virtual ~AcceptanceHost() = default;
 
-  /** Brings this instance up to a head that was read. `known_before` is the revision that was in
-      force here when the read began. Fails if the store went back in time. */
+  /** Brings this instance up to a head that was read. `revision_before_read` is the revision that
+     was in force here when the read began. Fails if the store went back in time. */
   virtual void CatchUp(VersionedHead head,
-                       ConfigurationRevision known_before,
+                       ConfigurationRevision revision_before_read,
                        std::function<void(Result<void>)> callback) = 0;
 
   virtual const ConfigurationState& State() const = 0;
@@ -61,7 +61,7 @@
                           Callback callback);
 
   void ReadHead();
-  void OnHead(Result<VersionedHead> head, ConfigurationRevision known_before);
+  void OnHead(Result<VersionedHead> head, ConfigurationRevision revision_before_read);
   void Decide(VersionedHead head);
   void Write(const VersionedHead& head);
   void OnWritten(VersionedHead written, const Result<std::uint64_t>& answer);
--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -80,30 +80,32 @@
 void ConfigurationKeeper::ReadThenWatch() {
   m_read_call.reset();
   m_watching = true;
-  const ConfigurationRevision known_before = m_state.revision();
-  m_store.ReadHead(m_guard.Wrap(
-      [this, known_before](const Result<VersionedHead>& head) { OnHead(head, known_before); }));
+  const ConfigurationRevision revision_before_read = m_state.revision();
+  m_store.ReadHead(m_guard.Wrap([this, revision_before_read](const Result<VersionedHead>& head) {
+    OnHead(head, revision_before_read);
+  }));
 }
 
 void ConfigurationKeeper::OnHead(const Result<VersionedHead>& head,
-                                 ConfigurationRevision known_before) {
+                                 ConfigurationRevision revision_before_read) {
   if (!head) {
     ReadLater();
     return;
   }
   m_store_failures = 0;
-  CatchUp(*head, known_before, [this, version = head->version](const Result<void>& caught_up) {
-    if (!caught_up && !m_store_rolled_back) {
-      ReadLater();
-    } else if (m_holds_watch) {
-      Watch(version);
-    } else {
-      m_watching = false;
-      if (!IsReady()) {
-        ReadLater();
-      }
-    }
-  });
+  CatchUp(*head, revision_before_read,
+          [this, version = head->version](const Result<void>& caught_up) {
+            if (!caught_up && !m_store_rolled_back) {
+              ReadLater();
+            } else if (m_holds_watch) {
+              Watch(version);
+            } else {
+              m_watching = false;
+              if (!IsReady()) {
+                ReadLater();
+              }
+            }
+          });
 }
 
 void ConfigurationKeeper::ReadLater() {
@@ -121,24 +123,25 @@
 
 void ConfigurationKeeper::Watch(std::uint64_t after_version) {
   m_watching = true;
-  const ConfigurationRevision known_before = m_state.revision();
-  m_store.Watch(after_version, kWatchTimeout,
-                m_guard.Wrap([this, after_version, known_before](const Result<StoreBatch>& batch) {
-                  OnWatchAnswer(after_version, known_before, batch);
-                }));
+  const ConfigurationRevision revision_before_read = m_state.revision();
+  m_store.Watch(
+      after_version, kWatchTimeout,
+      m_guard.Wrap([this, after_version, revision_before_read](const Result<StoreBatch>& batch) {
+        OnWatchAnswer(after_version, revision_before_read, batch);
+      }));
 }
 
 // A store that was restored counts its versions from an earlier state: a watch after the version of
 // yesterday would sleep through every change until the count has caught up.
 void ConfigurationKeeper::OnWatchAnswer(std::uint64_t after_version,
-                                        ConfigurationRevision known_before,
+                                        ConfigurationRevision revision_before_read,
                                         const Result<StoreBatch>& batch) {
   if (!batch) {
     ReadLater();
   } else if (!m_holds_watch) {
     m_watching = false;
   } else if (!batch->records.empty()) {
-    OnHead(ConfigurationStore::HeadFrom(batch->records.front()), known_before);
+    OnHead(ConfigurationStore::HeadFrom(batch->records.front()), revision_before_read);
   } else if (batch->version < after_version) {
     ReadThenWatch();
   } else {
@@ -147,13 +150,13 @@
 }
 
 void ConfigurationKeeper::CatchUp(VersionedHead head,
-                                  ConfigurationRevision known_before,
+                                  ConfigurationRevision revision_before_read,
                                   std::function<void(Result<void>)> callback) {
-  if (head.head.revision < known_before) {
+  if (head.head.revision < revision_before_read) {
     HandleStoreRollback(head.head.revision);
     callback(MakeError(ErrorKind::kStoreUnavailable,
                        fmt::format("the store went back to revision {} while {} is in force",
-                                   head.head.revision, known_before)));
+                                   head.head.revision, revision_before_read)));
     return;
   }
   m_recent_ids = head.head.ids;
@@ -289,15 +292,15 @@
 }
 
 void ConfigurationKeeper::CheckReinstate() {
-  const ConfigurationRevision known_before = m_state.revision();
-  m_store.ReadHead(m_guard.Wrap([this, known_before](const Result<VersionedHead>& head) {
+  const ConfigurationRevision revision_before_read = m_state.revision();
+  m_store.ReadHead(m_guard.Wrap([this, revision_before_read](const Result<VersionedHead>& head) {
     if (!head) {
       m_reinstate_call =
           m_parts.scheduler.ScheduleAfter(kReinstateDelay, [this] { CheckReinstate(); });
       return;
     }
     m_store_rolled_back = false;
-    if (head->head.revision < known_before) {
+    if (head->head.revision < revision_before_read) {
       m_store_rolled_back = true;
       Reinstate(*head);
     }
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -86,16 +86,16 @@
  private:
   void OnMembershipChanged() override { ChooseWatchHolders(); }
   void CatchUp(VersionedHead head,
-               ConfigurationRevision known_before,
+               ConfigurationRevision revision_before_read,
                std::function<void(Result<void>)> callback) override;
   void OnAccepted(VersionedHead head) override;
 
   void ChooseWatchHolders();
   void ReadThenWatch();
   void Watch(std::uint64_t after_version);
-  void OnHead(const Result<VersionedHead>& head, ConfigurationRevision known_before);
+  void OnHead(const Result<VersionedHead>& head, ConfigurationRevision revision_before_read);
   void OnWatchAnswer(std::uint64_t after_version,
-                     ConfigurationRevision known_before,
+                     ConfigurationRevision revision_before_read,
                      const Result<StoreBatch>& batch);
   void ReadLater();
   void ApplyTail(const ConfigurationHead& head);
