--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -141,7 +141,7 @@
   } else if (!m_holds_watch) {
     m_watching = false;
   } else if (!batch->records.empty()) {
-    OnHead(ConfigurationStore::HeadFrom(batch->records.front()), revision_before_read);
+    OnHead(ConfigurationStore::ParseHeadRecord(batch->records.front()), revision_before_read);
   } else if (batch->version < after_version) {
     ReadThenWatch();
   } else {
--- a/packages/zinnia_decisions/configuration/configuration_store.cc
+++ b/packages/zinnia_decisions/configuration/configuration_store.cc
@@ -27,11 +27,11 @@
                   callback(answer.error());
                   return;
                 }
-                callback(*answer ? HeadFrom(**answer) : VersionedHead{});
+                callback(*answer ? ParseHeadRecord(**answer) : VersionedHead{});
               });
 }
 
-Result<VersionedHead> ConfigurationStore::HeadFrom(const StoreRecord& record) {
+Result<VersionedHead> ConfigurationStore::ParseHeadRecord(const StoreRecord& record) {
   if (!record.value) {
     return VersionedHead{};
   }
--- a/packages/zinnia_decisions/configuration/configuration_store.h
+++ b/packages/zinnia_decisions/configuration/configuration_store.h
@@ -33,7 +33,7 @@
   void ReadHead(HeadCallback callback);
 
   /** The head in a record that a watch brought. */
-  static Result<VersionedHead> HeadFrom(const StoreRecord& record);
+  static Result<VersionedHead> ParseHeadRecord(const StoreRecord& record);
   void WriteHead(const VersionedHead& base,
                  const ConfigurationHead& head,
                  PlatformStore::WriteCallback callback);
