--- a/packages/zinnia_decisions/configuration/configuration_store.cc
+++ b/packages/zinnia_decisions/configuration/configuration_store.cc
@@ -186,7 +186,7 @@
                 DeleteReplaced(replaced);
                 writing->callback({});
               } else if (answer.error().kind == ErrorKind::kStoreConflict && writing->rebase) {
-                RebaseWriting(writing);
+                RebaseShardWrite(writing);
               } else {
                 writing->callback(answer.error());
               }
@@ -194,7 +194,7 @@
 }
 
 // Changes go on being accepted while shards are written; they stay in the tail of the newer head.
-void ConfigurationStore::RebaseWriting(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::RebaseShardWrite(const std::shared_ptr<Writing>& writing) {
   ReadHead(m_guard.Wrap([this, writing](Result<VersionedHead> newer) {
     if (!newer) {
       writing->callback(newer.error());
--- a/packages/zinnia_decisions/configuration/configuration_store.h
+++ b/packages/zinnia_decisions/configuration/configuration_store.h
@@ -59,7 +59,7 @@
 
   void WriteNextShard(const std::shared_ptr<Writing>& writing);
   void FinishWriting(const std::shared_ptr<Writing>& writing);
-  void RebaseWriting(const std::shared_ptr<Writing>& writing);
+  void RebaseShardWrite(const std::shared_ptr<Writing>& writing);
   void DeleteReplaced(const std::vector<std::string>& keys);
 
   PlatformStore& m_store;
