--- a/packages/zinnia_decisions/configuration/configuration_store.cc
+++ b/packages/zinnia_decisions/configuration/configuration_store.cc
@@ -148,7 +148,7 @@
 
 void ConfigurationStore::WriteNextShard(const std::shared_ptr<Writing>& writing) {
   if (writing->next == writing->shards.size()) {
-    FinishWriting(writing);
+    CommitShardWrite(writing);
     return;
   }
   auto& [shard, json] = writing->shards[writing->next];
@@ -167,7 +167,7 @@
                          }));
 }
 
-void ConfigurationStore::FinishWriting(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::CommitShardWrite(const std::shared_ptr<Writing>& writing) {
   ConfigurationHead& head = writing->head;
   std::vector<std::string> replaced;
   head.floor = writing->revision;
@@ -208,7 +208,7 @@
     }
     writing->base = *newer;
     writing->head = std::move(newer->head);
-    FinishWriting(writing);
+    CommitShardWrite(writing);
   }));
 }
 
--- a/packages/zinnia_decisions/configuration/configuration_store.h
+++ b/packages/zinnia_decisions/configuration/configuration_store.h
@@ -58,7 +58,7 @@
   struct Writing;
 
   void WriteNextShard(const std::shared_ptr<Writing>& writing);
-  void FinishWriting(const std::shared_ptr<Writing>& writing);
+  void CommitShardWrite(const std::shared_ptr<Writing>& writing);
   void RebaseShardWrite(const std::shared_ptr<Writing>& writing);
   void DeleteReplaced(const std::vector<std::string>& keys);
 
