--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -41,7 +41,7 @@
 }
 
 void ConfigurationKeeper::Start() {
-  ChooseWatchHolders();
+  SelectStoreWatchers();
   if (!m_watching) {
     ReadThenWatch();
   }
@@ -62,7 +62,7 @@
 
 // No lease decides who watches: a watch only brings news, and two or five holders bring the same
 // news. Instances that disagree on the membership cost a few calls more, never a wrong revision.
-void ConfigurationKeeper::ChooseWatchHolders() {
+void ConfigurationKeeper::SelectStoreWatchers() {
   const Instance& self = m_parts.membership.Self();
   std::vector<Instance> candidates = m_parts.membership.LiveInstances();
   std::erase_if(candidates, [&self](const Instance& instance) {
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -84,13 +84,13 @@
   void RemoveListener(ConfigurationListener& listener) override;
 
  private:
-  void OnMembershipChanged() override { ChooseWatchHolders(); }
+  void OnMembershipChanged() override { SelectStoreWatchers(); }
   void CatchUp(VersionedHead head,
                ConfigurationRevision revision_before_read,
                std::function<void(Result<void>)> callback) override;
   void OnAccepted(VersionedHead head) override;
 
-  void ChooseWatchHolders();
+  void SelectStoreWatchers();
   void ReadThenWatch();
   void Watch(std::uint64_t after_version);
   void OnHead(const Result<VersionedHead>& head, ConfigurationRevision revision_before_read);
