--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -76,7 +76,7 @@
   /** Whether some configuration is in force here. */
   bool IsReady() const { return m_state.revision() > 0; }
   ConfigurationRevision revision() const { return m_state.revision(); }
-  bool HoldsWatch() const { return m_holds_watch; }
+  bool IsStoreWatcher() const { return m_holds_watch; }
   const ConfigurationState& State() const override { return m_state; }
 
   std::shared_ptr<const Configuration> Current() const override { return m_state.parsed(); }
