--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -70,9 +70,10 @@
   });
   const std::vector<Instance> holders =
       ChooseByRendezvous("configuration watch", std::move(candidates), kWatchHoldersPerDomain);
-  m_holds_watch = std::any_of(holders.begin(), holders.end(),
-                              [&self](const Instance& holder) { return holder.name == self.name; });
-  if (m_holds_watch && !m_watching && !m_read_call) {
+  m_is_store_watcher = std::any_of(holders.begin(), holders.end(), [&self](const Instance& holder) {
+    return holder.name == self.name;
+  });
+  if (m_is_store_watcher && !m_watching && !m_read_call) {
     ReadThenWatch();
   }
 }
@@ -97,7 +98,7 @@
           [this, version = head->version](const Result<void>& caught_up) {
             if (!caught_up && !m_store_rolled_back) {
               ReadLater();
-            } else if (m_holds_watch) {
+            } else if (m_is_store_watcher) {
               Watch(version);
             } else {
               m_watching = false;
@@ -115,7 +116,7 @@
   const auto jitter = RandomBelow(m_random, static_cast<std::uint64_t>(delay.count()));
   m_read_call = m_parts.scheduler.ScheduleAfter(delay / 2 + Duration(jitter), [this] {
     m_read_call.reset();
-    if (m_holds_watch || !IsReady()) {
+    if (m_is_store_watcher || !IsReady()) {
       ReadThenWatch();
     }
   });
@@ -138,7 +139,7 @@
                                         const Result<StoreBatch>& batch) {
   if (!batch) {
     ReadLater();
-  } else if (!m_holds_watch) {
+  } else if (!m_is_store_watcher) {
     m_watching = false;
   } else if (!batch->records.empty()) {
     OnHead(ConfigurationStore::ParseHeadRecord(batch->records.front()), revision_before_read);
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -76,7 +76,7 @@
   /** Whether some configuration is in force here. */
   bool IsReady() const { return m_state.revision() > 0; }
   ConfigurationRevision revision() const { return m_state.revision(); }
-  bool IsStoreWatcher() const { return m_holds_watch; }
+  bool IsStoreWatcher() const { return m_is_store_watcher; }
   const ConfigurationState& State() const override { return m_state; }
 
   std::shared_ptr<const Configuration> Current() const override { return m_state.parsed(); }
@@ -116,7 +116,7 @@
   std::vector<ConfigurationListener*> m_listeners;
   std::vector<std::pair<std::string, ConfigurationRevision>> m_recent_ids;
 
-  bool m_holds_watch = false;
+  bool m_is_store_watcher = false;
   bool m_watching = false;
   bool m_compacting = false;
   std::uint32_t m_store_failures = 0;
