--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -13,7 +13,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kWatchHoldersPerDomain = 2;
+constexpr std::size_t kStoreWatchersPerDomain = 2;
 constexpr std::chrono::milliseconds kWatchTimeout{10'000};
 constexpr Duration kFirstRetry = std::chrono::milliseconds(500);
 constexpr std::uint32_t kMostDoublings = 3;
@@ -69,7 +69,7 @@
     return instance.failure_domain != self.failure_domain;
   });
   const std::vector<Instance> holders =
-      ChooseByRendezvous("configuration watch", std::move(candidates), kWatchHoldersPerDomain);
+      ChooseByRendezvous("configuration watch", std::move(candidates), kStoreWatchersPerDomain);
   m_is_store_watcher = std::any_of(holders.begin(), holders.end(), [&self](const Instance& holder) {
     return holder.name == self.name;
   });
