--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -260,7 +260,7 @@
   }
   m_parts.logger.Log(LogLevel::kInfo, "configuration_in_force",
                      {{"revision", std::to_string(m_state.revision())}});
-  TellListeners();
+  NotifyListeners();
   return true;
 }
 
@@ -320,7 +320,7 @@
       m_parts.logger.Log(LogLevel::kWarning, "configuration_store_reinstated",
                          {{"revision", std::to_string(revision)}});
       m_parts.spreader.PublishRevision();
-      TellListeners();
+      NotifyListeners();
     }
   };
   m_store.Reinstate(lost, std::move(head), m_state, m_guard.Wrap(reinstated));
@@ -334,7 +334,7 @@
   std::erase(m_listeners, &listener);
 }
 
-void ConfigurationKeeper::TellListeners() {
+void ConfigurationKeeper::NotifyListeners() {
   const std::shared_ptr<const Configuration> current = m_state.parsed();
   const std::vector<ConfigurationListener*> listeners = m_listeners;
   for (ConfigurationListener* listener : listeners) {
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -107,7 +107,7 @@
   void HandleStoreRollback(ConfigurationRevision store_revision);
   void CheckReinstate();
   void Reinstate(const VersionedHead& lost);
-  void TellListeners();
+  void NotifyListeners();
 
   ConfigurationKeeperParts m_parts;
   ConfigurationStore m_store;
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -221,7 +221,7 @@
     const bool news = member == nullptr || member->instance.start < instance.start;
     if (news && instance.name != m_settings.self.name) {
       m_table.Apply({instance, 0, MemberState::kAlive}, m_clock.Now());
-      TellListeners();
+      NotifyListeners();
     }
   }
 }
@@ -244,7 +244,7 @@
     Spread(rumour);
   }
   if (was_live != IsLive(rumour.state)) {
-    TellListeners();
+    NotifyListeners();
   }
 }
 
@@ -452,7 +452,7 @@
   std::erase(m_listeners, &listener);
 }
 
-void GossipMembership::TellListeners() {
+void GossipMembership::NotifyListeners() {
   const std::vector<MembershipListener*> listeners = m_listeners;
   for (MembershipListener* listener : listeners) {
     listener->OnMembershipChanged();
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -117,7 +117,7 @@
   void SendRumours(const NetworkAddress& to, const std::vector<Rumour>& rumours);
   void FlushUrgent();
   std::uint32_t Transmissions() const;
-  void TellListeners();
+  void NotifyListeners();
 
   const MembershipSettings m_settings;
   Clock& m_clock;
