--- a/packages/zinnia_decisions/configuration/configuration_store.cc
+++ b/packages/zinnia_decisions/configuration/configuration_store.cc
@@ -10,7 +10,7 @@
 namespace zinnia {
 
 /** Shards on their way to the store, and the head that makes them count. */
-struct ConfigurationStore::Writing {
+struct ConfigurationStore::ShardWrite {
   VersionedHead base;
   ConfigurationHead head;
   ConfigurationRevision revision = 0;
@@ -113,7 +113,7 @@
       contents[ShardOf(path)].push_back(entry);
     }
   }
-  auto writing = std::make_shared<Writing>();
+  auto writing = std::make_shared<ShardWrite>();
   writing->base = head;
   writing->head = head.head;
   writing->revision = head.head.revision;
@@ -135,7 +135,7 @@
       contents[ShardOf(path)].push_back(entry);
     }
   }
-  auto writing = std::make_shared<Writing>();
+  auto writing = std::make_shared<ShardWrite>();
   writing->base = lost;
   writing->revision = head.revision;
   writing->head = std::move(head);
@@ -146,7 +146,7 @@
   WriteNextShard(writing);
 }
 
-void ConfigurationStore::WriteNextShard(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::WriteNextShard(const std::shared_ptr<ShardWrite>& writing) {
   if (writing->next == writing->shards.size()) {
     CommitShardWrite(writing);
     return;
@@ -167,7 +167,7 @@
                          }));
 }
 
-void ConfigurationStore::CommitShardWrite(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::CommitShardWrite(const std::shared_ptr<ShardWrite>& writing) {
   ConfigurationHead& head = writing->head;
   std::vector<std::string> replaced;
   head.floor = writing->revision;
@@ -194,7 +194,7 @@
 }
 
 // Changes go on being accepted while shards are written; they stay in the tail of the newer head.
-void ConfigurationStore::RebaseShardWrite(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::RebaseShardWrite(const std::shared_ptr<ShardWrite>& writing) {
   ReadHead(m_guard.Wrap([this, writing](Result<VersionedHead> newer) {
     if (!newer) {
       writing->callback(newer.error());
--- a/packages/zinnia_decisions/configuration/configuration_store.h
+++ b/packages/zinnia_decisions/configuration/configuration_store.h
@@ -55,11 +55,11 @@
                  DoneCallback callback);
 
  private:
-  struct Writing;
+  struct ShardWrite;
 
-  void WriteNextShard(const std::shared_ptr<Writing>& writing);
-  void CommitShardWrite(const std::shared_ptr<Writing>& writing);
-  void RebaseShardWrite(const std::shared_ptr<Writing>& writing);
+  void WriteNextShard(const std::shared_ptr<ShardWrite>& writing);
+  void CommitShardWrite(const std::shared_ptr<ShardWrite>& writing);
+  void RebaseShardWrite(const std::shared_ptr<ShardWrite>& writing);
   void DeleteReplaced(const std::vector<std::string>& keys);
 
   PlatformStore& m_store;
