--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -264,12 +264,12 @@
   return true;
 }
 
-void ConfigurationKeeper::ApplyAndPublish(const ConfigurationDelta& delta, bool first_hand) {
+void ConfigurationKeeper::ApplyAndPublish(const ConfigurationDelta& delta, bool originated_here) {
   if (!Apply(delta)) {
     return;
   }
   if (EstimateSize(delta) <= kMaxRumourBytes) {
-    m_parts.spreader.PublishDelta(delta, first_hand);
+    m_parts.spreader.PublishDelta(delta, originated_here);
   } else {
     m_parts.spreader.PublishRevision();
   }
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -25,8 +25,8 @@
  public:
   virtual ~ConfigurationPublisher() = default;
 
-  /** A delta small enough for a datagram. `first_hand`: accepted here. */
-  virtual void PublishDelta(const ConfigurationDelta& delta, bool first_hand) = 0;
+  /** A delta small enough for a datagram. `originated_here`: accepted here. */
+  virtual void PublishDelta(const ConfigurationDelta& delta, bool originated_here) = 0;
 
   /** The new revision alone, when the content is too large: peers fetch it. */
   virtual void PublishRevision() = 0;
@@ -100,7 +100,7 @@
   void ReadLater();
   void ApplyTail(const ConfigurationHead& head);
   bool Apply(const ConfigurationDelta& delta);
-  void ApplyAndPublish(const ConfigurationDelta& delta, bool first_hand);
+  void ApplyAndPublish(const ConfigurationDelta& delta, bool originated_here);
   void Fetch(const Instance& peer);
   void OnFetched(const Result<ConfigurationDelta>& answer);
   void CompactIfLarge(const VersionedHead& head);
--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -240,7 +240,7 @@
   m_crash_announcer.Announce(std::move(rumours), std::move(peers_know));
 }
 
-void InstanceControl::TakeCrash(const CrashRumour& rumour, bool first_hand) {
+void InstanceControl::TakeCrash(const CrashRumour& rumour, bool originated_here) {
   CrashRumour news = rumour;
   news.fingerprints = m_quarantine.OnCrash(rumour, m_ports.clock.Now());
   if (news.fingerprints.empty()) {
@@ -255,7 +255,7 @@
                                {{"backend_server", rumour.server}}});
     }
   }
-  m_membership.SpreadUrgently(std::move(news), first_hand, true);
+  m_membership.SpreadUrgently(std::move(news), originated_here, true);
   PublishQuarantine();
 }
 
@@ -448,9 +448,9 @@
   return turn;
 }
 
-void InstanceControl::PublishDelta(const ConfigurationDelta& delta, bool first_hand) {
+void InstanceControl::PublishDelta(const ConfigurationDelta& delta, bool originated_here) {
   // Not queued: whoever misses it sees the higher revision in a probe and fetches.
-  m_membership.SpreadUrgently(ConfigurationRumour{delta}, first_hand, false);
+  m_membership.SpreadUrgently(ConfigurationRumour{delta}, originated_here, false);
 }
 
 void InstanceControl::PublishRevision() {
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -155,7 +155,7 @@
   void OnPeerRevision(const Instance& peer, ConfigurationRevision revision) override;
   std::vector<Rumour> RumoursForNewcomer() const override;
   std::vector<Rumour> RumoursForRepair(std::size_t room) override;
-  void PublishDelta(const ConfigurationDelta& delta, bool first_hand) override;
+  void PublishDelta(const ConfigurationDelta& delta, bool originated_here) override;
   void PublishRevision() override;
   void OnConfigurationChanged(const Configuration& configuration) override;
   void OnMembershipChanged() override;
@@ -168,7 +168,7 @@
                    LeavingSource source);
   std::vector<CrashRumour> CrashRumours(const BackendServerName& server,
                                         const InFlightAtCrash& in_flight) const;
-  void TakeCrash(const CrashRumour& rumour, bool first_hand);
+  void TakeCrash(const CrashRumour& rumour, bool originated_here);
   void TickQuarantine();
   void PublishQuarantine();
   bool SubsetDependsOn(const Configuration& configuration) const;
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -401,12 +401,12 @@
   m_queue.Add(std::move(rumour), Transmissions());
 }
 
-void GossipMembership::SpreadUrgently(Rumour rumour, bool first_hand, bool also_queue) {
+void GossipMembership::SpreadUrgently(Rumour rumour, bool originated_here, bool also_queue) {
   if (also_queue) {
     Spread(rumour);
   }
   m_urgent.push_back(std::move(rumour));
-  m_urgent_first_hand = m_urgent_first_hand || first_hand;
+  m_urgent_first_hand = m_urgent_first_hand || originated_here;
   if (!m_flush_call) {
     m_flush_call = m_scheduler.ScheduleAfter(kFlushDelay, [this] { FlushUrgent(); });
   }
@@ -420,11 +420,11 @@
 
 void GossipMembership::FlushUrgent() {
   const std::vector<Rumour> rumours = std::exchange(m_urgent, {});
-  const bool first_hand = std::exchange(m_urgent_first_hand, false);
+  const bool originated_here = std::exchange(m_urgent_first_hand, false);
   m_flush_call.reset();
   const std::size_t doublings = std::bit_width(m_table.LiveCount() + 1);
   const std::size_t onward = std::clamp<std::size_t>(doublings, 4, m_settings.fanout + 2) - 2;
-  const std::size_t fanout = first_hand ? m_settings.first_fanout : onward;
+  const std::size_t fanout = originated_here ? m_settings.first_fanout : onward;
   for (const Instance& peer : ChooseLive(fanout, "")) {
     SendRumours(peer.peer_address, rumours);
   }
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -68,9 +68,9 @@
   /** Queues a rumour for the probes. */
   void Spread(Rumour rumour);
 
-  /** Sends a rumour to a few peers at once. `first_hand`: this instance found it out itself.
+  /** Sends a rumour to a few peers at once. `originated_here`: this instance found it out itself.
       Without `also_queue` it is not repeated on probes; something else must repair a loss. */
-  void SpreadUrgently(Rumour rumour, bool first_hand, bool also_queue);
+  void SpreadUrgently(Rumour rumour, bool originated_here, bool also_queue);
 
   /** Pings a peer with a rumour. Gives the sequence that the acknowledgement will carry; it is
      given to whoever calls OnProbe, not kept here. */
