--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -406,7 +406,7 @@
     Spread(rumour);
   }
   m_urgent.push_back(std::move(rumour));
-  m_urgent_first_hand = m_urgent_first_hand || originated_here;
+  m_urgent_originated_here = m_urgent_originated_here || originated_here;
   if (!m_flush_call) {
     m_flush_call = m_scheduler.ScheduleAfter(kFlushDelay, [this] { FlushUrgent(); });
   }
@@ -420,7 +420,7 @@
 
 void GossipMembership::FlushUrgent() {
   const std::vector<Rumour> rumours = std::exchange(m_urgent, {});
-  const bool originated_here = std::exchange(m_urgent_first_hand, false);
+  const bool originated_here = std::exchange(m_urgent_originated_here, false);
   m_flush_call.reset();
   const std::size_t doublings = std::bit_width(m_table.LiveCount() + 1);
   const std::size_t onward = std::clamp<std::size_t>(doublings, 4, m_settings.fanout + 2) - 2;
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -144,7 +144,7 @@
   std::map<std::uint64_t, Relay> m_relays;
 
   std::vector<Rumour> m_urgent;
-  bool m_urgent_first_hand = false;
+  bool m_urgent_originated_here = false;
   std::unique_ptr<ScheduledCall> m_tick_call;
   std::unique_ptr<ScheduledCall> m_indirect_call;
   std::unique_ptr<ScheduledCall> m_flush_call;
