--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -75,7 +75,7 @@
       m_deadline(clock.Now() + kOutcomeTimeout) {}
 
 void ConfigurationAcceptance::Finish(Result<ConfigurationRevision> outcome) {
-  // Finished only afterwards: the callback may order a change, which drops the finished ones.
+  // Set only after the callback, which may submit a change and so destroy finished acceptances.
   std::exchange(m_callback, nullptr)(std::move(outcome));
   m_finished = true;
 }
@@ -149,7 +149,8 @@
   }
   switch (answer.error().kind) {
     case ErrorKind::kStoreConflict:
-      // Another change or a compaction was faster, or our own earlier swap whose answer was lost.
+      // The head was written by another change, a compaction, or an earlier attempt whose response
+      // was lost.
       ReadHead();
       break;
     case ErrorKind::kStoreUnavailable:
--- a/packages/zinnia_decisions/configuration/configuration_acceptance.h
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.h
@@ -10,31 +10,31 @@
 
 namespace zinnia {
 
-/** What ConfigurationAcceptance needs from the keeper. */
+/** The keeper's interface for ConfigurationAcceptance. */
 class AcceptanceHost {
  public:
   virtual ~AcceptanceHost() = default;
 
-  /** Brings this instance up to a head that was read. `revision_before_read` is the revision that
-     was in force here when the read began. Fails if the store went back in time. */
+  /** Updates this instance to a head read from the store. `revision_before_read` is the revision in
+      force here when the read began. Fails if the store was rolled back below it. */
   virtual void CatchUp(VersionedHead head,
                        ConfigurationRevision revision_before_read,
                        std::function<void(Result<void>)> callback) = 0;
 
   virtual const ConfigurationState& State() const = 0;
 
-  /** The head was written with one more change. */
+  /** Called after the head was written with the new change. */
   virtual void OnAccepted(VersionedHead head) = 0;
 };
 
-/** Brings one operator's change into the store, once, or says for certain that it did not.
+/** Writes one operator's change to the store at most once.
 
-    A change counts as accepted from the moment its compare-and-swap of the head took effect. If the
-    answer of the swap is lost, it reads the head back and looks for the change's id, and sends the
-    same swap again only while the head is unchanged, so that the change can land but once.
+    A change is accepted when its compare-and-swap of the head takes effect. If the response is
+   lost, the head is read back and searched for the change id; the swap is retried only while the
+   head is unchanged.
 
-    Create it with Start and keep it until IsFinished. Destroyed before that, it does not call back;
-    whether the change was accepted is open then.
+    Create it with Start and keep it until IsFinished. If it is destroyed earlier, the callback is
+    not called and the outcome is unknown.
 
     @see ConfigurationKeeper
 */
@@ -42,7 +42,7 @@
  public:
   using Callback = std::function<void(Result<ConfigurationRevision>)>;
 
-  /** `host` and the others must live as long as the acceptance. */
+  /** The referenced objects must outlive the acceptance. */
   static std::shared_ptr<ConfigurationAcceptance> Start(ConfigurationChange change,
                                                         AcceptanceHost& host,
                                                         ConfigurationStore& store,
--- a/packages/zinnia_decisions/configuration/configuration_change.h
+++ b/packages/zinnia_decisions/configuration/configuration_change.h
@@ -8,15 +8,15 @@
 
 namespace zinnia {
 
-/** One path of a change with its new value; without a value the path is removed. */
+/** A path and its new value; no value removes the path. */
 struct ChangedPath {
   std::string path;
   std::optional<std::string> value;
 };
 
-/** An operator's change, whole or not at all. `change_id` is unique to it: the same id sent again
-    is answered with the revision that it got the first time. `against_revision` is the revision
-   that the operator saw when ordering it. */
+/** An operator's change, applied atomically. `change_id` is an idempotency key: resubmitting the
+    same id returns the revision of the first acceptance. `against_revision` is the revision that
+    the change was based on. */
 struct ConfigurationChange {
   std::string change_id;
   ConfigurationRevision against_revision = 0;
--- a/packages/zinnia_decisions/configuration/configuration_head.cc
+++ b/packages/zinnia_decisions/configuration/configuration_head.cc
@@ -39,7 +39,7 @@
   return entries;
 }
 
-/** Turns any surprise of the JSON library into a typed error. */
+/** Converts exceptions of the JSON library to an Error. */
 template <typename Read>
 auto ReadRecord(const std::string& what, Read read) -> Result<decltype(read())> {
   try {
--- a/packages/zinnia_decisions/configuration/configuration_head.h
+++ b/packages/zinnia_decisions/configuration/configuration_head.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-/** A change that was accepted, as the head record keeps it until it is compacted. */
+/** An accepted change, kept in the head record until compaction. */
 struct AcceptedChange {
   ConfigurationRevision revision = 0;
   std::string change_id;
@@ -20,11 +20,11 @@
   ConfigurationDelta AsDelta() const { return {revision - 1, revision, entries}; }
 };
 
-/** The store's record of what is accepted: a compare-and-swap on it alone accepts a change.
+/** The store's head record. A change is accepted by a compare-and-swap of this record.
 
-    Changes above `floor` are in `tail`, all older entries in shards, one record each, named by the
-    revision at which it was written and never changed afterwards. `ids` remembers more changes than
-    the tail, so that whoever lost an answer finds the change even after a compaction.
+    Changes above `floor` are in `tail`; older entries are in shards. Each shard is one immutable
+    record whose key contains the revision at which it was written. `ids` covers more changes than
+    the tail, so that a client whose response was lost finds its change even after a compaction.
 
     @see docs/design/configuration.md
 */
@@ -40,10 +40,10 @@
 
   std::optional<ConfigurationRevision> FindChange(const std::string& change_id) const;
 
-  /** Adds a change at the next revision. */
+  /** Appends a change at the next revision. */
   void Append(const std::string& change_id, std::vector<ConfigurationEntry> entries);
 
-  /** A conservative guess of the tail's size in bytes. */
+  /** An estimate of the serialized tail's size in bytes. */
   std::size_t TailSize() const;
 };
 
--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -23,10 +23,10 @@
 constexpr std::size_t kMaxRumourBytes = 800;
 constexpr std::size_t kCompactionThresholdBytes = 32UL * 1024;
 
-// Long enough for every instance to have heard the highest revision before the store is rewritten.
+// Allows the highest revision to reach every instance before the store is rewritten.
 constexpr Duration kReinstateDelay = std::chrono::seconds(6);
 
-// Clear of every revision that the lost part of the store may have given away.
+// Skips revisions that may have been assigned in the lost part of the store.
 constexpr ConfigurationRevision kReinstateRevisionGap = 1000;
 
 }  // namespace
@@ -60,8 +60,8 @@
       std::move(change), *this, m_store, m_parts.clock, m_parts.scheduler, std::move(callback)));
 }
 
-// No lease decides who watches: a watch only brings news, and two or five holders bring the same
-// news. Instances that disagree on the membership cost a few calls more, never a wrong revision.
+// No lease is needed: extra watchers, caused by differing views of the membership, only cost a few
+// more store calls.
 void ConfigurationKeeper::SelectStoreWatchers() {
   const Instance& self = m_parts.membership.Self();
   std::vector<Instance> candidates = m_parts.membership.LiveInstances();
@@ -132,8 +132,8 @@
       }));
 }
 
-// A store that was restored counts its versions from an earlier state: a watch after the version of
-// yesterday would sleep through every change until the count has caught up.
+// A restored store may return a lower version than the one being watched. Watching the old version
+// would miss all changes until the store's version exceeds it, so the head is read again.
 void ConfigurationKeeper::OnWatchAnswer(std::uint64_t after_version,
                                         ConfigurationRevision revision_before_read,
                                         const Result<StoreBatch>& batch) {
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -20,19 +20,19 @@
 class DecisionRecorder;
 class PeerTransport;
 
-/** How ConfigurationKeeper tells the other instances of news. */
+/** Sends configuration updates to the other instances. */
 class ConfigurationPublisher {
  public:
   virtual ~ConfigurationPublisher() = default;
 
-  /** A delta small enough for a datagram. `originated_here`: accepted here. */
+  /** Sends a delta that fits into a datagram. `originated_here`: accepted on this instance. */
   virtual void PublishDelta(const ConfigurationDelta& delta, bool originated_here) = 0;
 
-  /** The new revision alone, when the content is too large: peers fetch it. */
+  /** Sends only the new revision; peers fetch the content, which is too large for a datagram. */
   virtual void PublishRevision() = 0;
 };
 
-/** The objects that the keeper works with. All must outlive it. */
+/** Dependencies of ConfigurationKeeper, which must outlive it. */
 struct ConfigurationKeeperParts {
   Clock& clock;
   Scheduler& scheduler;
@@ -44,13 +44,13 @@
   Logger& logger;
 };
 
-/** Keeps the accepted configuration in force on this instance; its revision only moves up.
+/** Keeps the accepted configuration in force on this instance. Its revision never decreases.
 
-    Two live instances of each failure domain, chosen by rendezvous hashing, hold a watch on the
-    store; all others hear of changes from peers, by rumour or by fetching what a higher revision
-    told in a probe stands for. A new instance takes the highest revision it can get from the store
-    or from peers. A store that shows an older revision than this instance holds was restored to an
-    earlier state: the newer configuration stays in force and is written back.
+    In each failure domain, two live instances chosen by rendezvous hashing watch the store. The
+    others receive changes from peers as rumours, or fetch them when a probe carries a higher
+    revision. A new instance takes the highest revision available from the store or from peers. If
+    the store shows an older revision than is in force here, it was restored from a backup: the
+   newer configuration stays in force and is written back.
 
     @see ConfigurationAcceptance, ConfigurationState, GossipMembership
 */
@@ -63,8 +63,8 @@
 
   void Start();
 
-  /** Accepts an operator's change or refuses it whole. kRevisionConflict names the newer revision
-      and the touched paths that changed; kStoreUnavailable: nothing was applied. */
+  /** Submits an operator's change, which is applied atomically. kRevisionConflict names the newer
+      revision and the conflicting paths; on kStoreUnavailable nothing was applied. */
   void Change(ConfigurationChange change, ConfigurationAcceptance::Callback callback);
 
   void OnRumour(const ConfigurationDelta& delta, const Instance& sender);
@@ -73,7 +73,7 @@
     return m_state.DeltaAfter(after);
   }
 
-  /** Whether some configuration is in force here. */
+  /** Whether a configuration has been loaded. */
   bool IsReady() const { return m_state.revision() > 0; }
   ConfigurationRevision revision() const { return m_state.revision(); }
   bool IsStoreWatcher() const { return m_is_store_watcher; }
--- a/packages/zinnia_decisions/configuration/configuration_state.h
+++ b/packages/zinnia_decisions/configuration/configuration_state.h
@@ -10,14 +10,14 @@
 
 namespace zinnia {
 
-/** What became of a delta that was offered to ConfigurationState. */
+/** The result of ConfigurationState::Apply. */
 enum class DeltaOutcome { kApplied, kOlder, kGap, kInvalid };
 
-/** The configuration entries that this instance holds, at one revision that only moves up.
+/** The configuration entries of this instance at one revision, which never decreases.
 
-    A delta whose `after` is 0 is a full copy: paths that it does not name are gone. Removals are
-    remembered as a bounded number of tombstones; whoever asks for a delta from below the oldest one
-    kept (the floor) gets a full copy, so that no removal is ever missed.
+    A delta whose `after` is 0 is a full copy: paths missing from it are removed. Removals are kept
+    as a bounded number of tombstones. Deltas from a revision below the floor, where tombstones were
+    dropped, are full copies, so that no removal is missed.
 
     @see ConfigurationKeeper
 */
@@ -31,14 +31,14 @@
 
   DeltaOutcome Apply(const ConfigurationDelta& delta);
 
-  /** What somebody at revision `after` needs, as a delta or as a full copy. */
+  /** The changes since revision `after`, or a full copy if `after` is 0 or below the floor. */
   ConfigurationDelta DeltaAfter(ConfigurationRevision after) const;
 
-  /** Moves to `revision` with the same entries. Deltas from below it are no longer given: whoever
-      is there may hold changes that nobody else has, and must take a full copy. */
+  /** Moves to `revision` with the same entries and makes it the floor: an instance at a lower
+      revision may hold changes that were lost, and must take a full copy. */
   void AdvanceTo(ConfigurationRevision revision);
 
-  /** Those of the paths that were written after `revision`, as far as tombstones tell. */
+  /** The paths written after `revision`. Removals are found only while their tombstone is kept. */
   std::vector<std::string> ChangedSince(ConfigurationRevision revision,
                                         const std::vector<std::string>& paths) const;
 
--- a/packages/zinnia_decisions/configuration/configuration_store.cc
+++ b/packages/zinnia_decisions/configuration/configuration_store.cc
@@ -9,7 +9,7 @@
 
 namespace zinnia {
 
-/** Shards on their way to the store, and the head that makes them count. */
+/** Shards being written, and the head that will refer to them. */
 struct ConfigurationStore::ShardWrite {
   VersionedHead base;
   ConfigurationHead head;
@@ -154,8 +154,8 @@
   auto& [shard, json] = writing->shards[writing->next];
   m_store.CompareAndSwap(ShardKey(shard, writing->revision), 0, json, std::nullopt,
                          m_guard.Wrap([this, writing](const Result<std::uint64_t>& answer) {
-                           // A shard that exists at this revision was written by somebody else with
-                           // the same content.
+                           // Shards are immutable: one that exists at this revision has the same
+                           // content.
                            const bool there =
                                answer || answer.error().kind == ErrorKind::kStoreConflict;
                            if (!there) {
@@ -193,7 +193,7 @@
             }));
 }
 
-// Changes go on being accepted while shards are written; they stay in the tail of the newer head.
+// Keeps changes that were accepted while the shards were written in the tail of the newer head.
 void ConfigurationStore::RebaseShardWrite(const std::shared_ptr<ShardWrite>& writing) {
   ReadHead(m_guard.Wrap([this, writing](Result<VersionedHead> newer) {
     if (!newer) {
--- a/packages/zinnia_decisions/configuration/configuration_store.h
+++ b/packages/zinnia_decisions/configuration/configuration_store.h
@@ -12,13 +12,13 @@
 
 class ConfigurationState;
 
-/** The head record with the store's version of it; version 0 and an empty head if there is none. */
+/** The head record and its version in the store; version 0 and an empty head if it is missing. */
 struct VersionedHead {
   std::uint64_t version = 0;
   ConfigurationHead head;
 };
 
-/** Reads and writes the configuration's records in the platform's store.
+/** Reads and writes the configuration records in the platform's store.
 
     @see ConfigurationHead, ConfigurationKeeper, ConfigurationAcceptance
 */
@@ -32,7 +32,7 @@
 
   void ReadHead(HeadCallback callback);
 
-  /** The head in a record that a watch brought. */
+  /** Parses a head record returned by a watch. */
   static Result<VersionedHead> ParseHeadRecord(const StoreRecord& record);
   void WriteHead(const VersionedHead& base,
                  const ConfigurationHead& head,
@@ -41,14 +41,14 @@
              std::chrono::milliseconds longest_wait,
              PlatformStore::BatchCallback callback);
 
-  /** Reads all entries up to the head's revision. Fails with kStoreConflict if a compaction
-      replaced a shard meanwhile: read the head again. */
+  /** Reads all entries up to the head's revision. Fails with kStoreConflict if a concurrent
+      compaction replaced a shard; the caller must read the head again. */
   void ReadFullCopy(const ConfigurationHead& head, CopyCallback callback);
 
-  /** Moves the head's tail into shards, from `state`, which must be at the head's revision. */
+  /** Moves the head's tail into shards. `state` must be at the head's revision. */
   void Compact(const VersionedHead& head, const ConfigurationState& state, DoneCallback callback);
 
-  /** Writes all of `state` as `head` over a store that lost some of it. */
+  /** Writes all of `state`, with `head`, to a store that was restored from a backup. */
   void Reinstate(const VersionedHead& lost,
                  ConfigurationHead head,
                  const ConfigurationState& state,
--- a/packages/zinnia_decisions/configuration/configuration_view.h
+++ b/packages/zinnia_decisions/configuration/configuration_view.h
@@ -6,14 +6,14 @@
 
 namespace zinnia {
 
-/** Hears of each newer configuration that came into force here. */
+/** Notified when a newer configuration comes into force on this instance. */
 class ConfigurationListener {
  public:
   virtual ~ConfigurationListener() = default;
   virtual void OnConfigurationChanged(const Configuration& configuration) = 0;
 };
 
-/** The configuration in force on this instance. Never null; revision 0 before the first. */
+/** The configuration in force on this instance: never null, revision 0 until one is loaded. */
 class ConfigurationView {
  public:
   virtual ~ConfigurationView() = default;
