--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -16,7 +16,7 @@
 constexpr std::size_t kStoreWatchersPerDomain = 2;
 constexpr std::chrono::milliseconds kWatchTimeout{10'000};
 constexpr Duration kFirstRetry = std::chrono::milliseconds(500);
-constexpr std::uint32_t kMostDoublings = 3;
+constexpr std::uint32_t kMaxDoublings = 3;
 constexpr Duration kFetchDelay = std::chrono::milliseconds(50);
 constexpr Duration kFetchTimeout = std::chrono::seconds(5);
 constexpr std::size_t kMaxPendingAcceptances = 64;
@@ -111,7 +111,7 @@
 
 void ConfigurationKeeper::ReadLater() {
   m_watching = false;
-  m_store_failures = std::min(m_store_failures + 1, kMostDoublings);
+  m_store_failures = std::min(m_store_failures + 1, kMaxDoublings);
   const Duration delay = kFirstRetry * (1U << m_store_failures);
   const auto jitter = RandomBelow(m_random, static_cast<std::uint64_t>(delay.count()));
   m_read_call = m_parts.scheduler.ScheduleAfter(delay / 2 + Duration(jitter), [this] {
