--- a/packages/zinnia_decisions/configuration/configuration_state.cc
+++ b/packages/zinnia_decisions/configuration/configuration_state.cc
@@ -22,19 +22,19 @@
   if (delta.after > m_revision) {
     return DeltaOutcome::kGap;
   }
-  std::vector<ConfigurationEntry> news;
+  std::vector<ConfigurationEntry> new_entries;
   for (const ConfigurationEntry& entry : delta.entries) {
     if (entry.revision > m_revision) {
-      news.push_back(entry);
+      new_entries.push_back(entry);
     }
   }
-  Result<Configuration> parsed = m_parsed->WithChanges(delta.revision, news);
+  Result<Configuration> parsed = m_parsed->WithChanges(delta.revision, new_entries);
   if (!parsed) {
     return DeltaOutcome::kInvalid;
   }
   m_parsed = std::make_shared<const Configuration>(std::move(*parsed));
   m_revision = delta.revision;
-  for (const ConfigurationEntry& entry : news) {
+  for (const ConfigurationEntry& entry : new_entries) {
     Put(entry);
   }
   DropOldTombstones();
