--- a/packages/zinnia_decisions/membership/rumour_queue.cc
+++ b/packages/zinnia_decisions/membership/rumour_queue.cc
@@ -10,7 +10,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostRumours = 4096;
+constexpr std::size_t kMaxRumours = 4096;
 
 struct Subject {
   std::string operator()(const MemberRumour& rumour) const { return "m " + rumour.instance.name; }
@@ -34,13 +34,13 @@
 void RumourQueue::Add(Rumour rumour, std::uint32_t transmissions) {
   const std::size_t size = EstimateSize(rumour);
   const std::string subject = SubjectOf(rumour);
-  if (m_items.size() >= kMostRumours && !m_items.contains(subject)) {
+  if (m_items.size() >= kMaxRumours && !m_items.contains(subject)) {
     DropMostSent();
   }
   m_items.insert_or_assign(subject, Item{std::move(rumour), size, 0, transmissions});
 }
 
-std::vector<Rumour> RumourQueue::Take(std::size_t room) {
+std::vector<Rumour> RumourQueue::Take(std::size_t max_bytes) {
   std::vector<std::map<std::string, Item>::iterator> order;
   for (auto item = m_items.begin(); item != m_items.end(); ++item) {
     order.push_back(item);
@@ -51,10 +51,10 @@
   std::vector<Rumour> taken;
   for (const auto& entry : order) {
     Item& item = entry->second;
-    if (item.size > room) {
+    if (item.size > max_bytes) {
       continue;
     }
-    room -= item.size;
+    max_bytes -= item.size;
     taken.push_back(item.rumour);
     if (++item.sent >= item.transmissions) {
       m_items.erase(entry);
