--- a/packages/zinnia_decisions/membership/message_size.cc
+++ b/packages/zinnia_decisions/membership/message_size.cc
@@ -3,22 +3,22 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kWord = 8;
-constexpr std::size_t kFrame = 3 * kWord;
+constexpr std::size_t kWordBytes = 8;
+constexpr std::size_t kFrame = 3 * kWordBytes;
 
 std::size_t SizeOfText(const std::string& text) {
-  return kWord + (text.size() + kWord) / kWord * kWord;
+  return kWordBytes + (text.size() + kWordBytes) / kWordBytes * kWordBytes;
 }
 
 struct RumourSize {
   std::size_t operator()(const MemberRumour& rumour) const {
-    return EstimateSize(rumour.instance) + 3 * kWord;
+    return EstimateSize(rumour.instance) + 3 * kWordBytes;
   }
   std::size_t operator()(const LeavingRumour& rumour) const {
-    return SizeOfText(rumour.server) + 2 * kWord;
+    return SizeOfText(rumour.server) + 2 * kWordBytes;
   }
   std::size_t operator()(const CrashRumour& rumour) const {
-    return SizeOfText(rumour.server) + 5 * kWord + rumour.fingerprints.size() * 2 * kWord;
+    return SizeOfText(rumour.server) + 5 * kWordBytes + rumour.fingerprints.size() * 2 * kWordBytes;
   }
   std::size_t operator()(const ConfigurationRumour& rumour) const {
     return EstimateSize(rumour.delta);
@@ -28,24 +28,24 @@
 }  // namespace
 
 std::size_t EstimateSize(const Instance& instance) {
-  return 3 * kWord + SizeOfText(instance.name) + SizeOfText(instance.peer_address.ip) +
+  return 3 * kWordBytes + SizeOfText(instance.name) + SizeOfText(instance.peer_address.ip) +
          SizeOfText(instance.failure_domain) + SizeOfText(instance.region);
 }
 
 std::size_t EstimateSize(const ConfigurationDelta& delta) {
-  std::size_t size = 5 * kWord;
+  std::size_t size = 5 * kWordBytes;
   for (const ConfigurationEntry& entry : delta.entries) {
-    size += 3 * kWord + SizeOfText(entry.path) + SizeOfText(entry.value.value_or(""));
+    size += 3 * kWordBytes + SizeOfText(entry.path) + SizeOfText(entry.value.value_or(""));
   }
   return size;
 }
 
 std::size_t EstimateSize(const Rumour& rumour) {
-  return 2 * kWord + std::visit(RumourSize{}, rumour);
+  return 2 * kWordBytes + std::visit(RumourSize{}, rumour);
 }
 
 std::size_t EstimateSize(const ProbeMessage& message) {
-  std::size_t size = kFrame + 6 * kWord + EstimateSize(message.sender);
+  std::size_t size = kFrame + 6 * kWordBytes + EstimateSize(message.sender);
   if (message.target) {
     size += EstimateSize(*message.target);
   }
