--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -218,8 +218,8 @@
 void GossipMembership::OnListed(const std::vector<Instance>& instances) {
   for (const Instance& instance : instances) {
     const Member* member = m_table.Find(instance.name);
-    const bool news = member == nullptr || member->instance.start < instance.start;
-    if (news && instance.name != m_settings.self.name) {
+    const bool is_newer = member == nullptr || member->instance.start < instance.start;
+    if (is_newer && instance.name != m_settings.self.name) {
       m_table.Apply({instance, 0, MemberState::kAlive}, m_clock.Now());
       NotifyListeners();
     }
@@ -321,8 +321,8 @@
   if (message.sequence == 0) {
     return;
   }
-  const InstanceName& speaker = message.target ? message.target->name : message.sender.name;
-  if (message.sequence == m_probed_sequence && speaker == m_probed) {
+  const InstanceName& responder = message.target ? message.target->name : message.sender.name;
+  if (message.sequence == m_probed_sequence && responder == m_probed) {
     m_acknowledged = true;
   }
   const auto relay = m_relays.find(message.sequence);
@@ -378,12 +378,12 @@
   message.sender = m_settings.self;
   message.sender_incarnation = m_incarnation;
   message.revision = m_host.OwnRevision();
-  const std::size_t room = kLargestDatagram - EstimateSize(message);
+  const std::size_t max_bytes = kLargestDatagram - EstimateSize(message);
   std::size_t used = 0;
   std::size_t datagrams = 0;
   for (const Rumour& rumour : rumours) {
     const std::size_t size = EstimateSize(rumour);
-    if (used + size > room && !message.rumours.empty()) {
+    if (used + size > max_bytes && !message.rumours.empty()) {
       m_transport.SendProbe(to, message);
       message.rumours.clear();
       used = 0;
