--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -241,12 +241,12 @@
 }
 
 void InstanceControl::TakeCrash(const CrashRumour& rumour, bool originated_here) {
-  CrashRumour news = rumour;
-  news.fingerprints = m_quarantine.OnCrash(rumour, m_ports.clock.Now());
-  if (news.fingerprints.empty()) {
+  CrashRumour forwarded = rumour;
+  forwarded.fingerprints = m_quarantine.OnCrash(rumour, m_ports.clock.Now());
+  if (forwarded.fingerprints.empty()) {
     return;
   }
-  for (const Fingerprint& fingerprint : news.fingerprints) {
+  for (const Fingerprint& fingerprint : forwarded.fingerprints) {
     if (m_quarantine.IsQuarantined(fingerprint)) {
       m_ports.recorder.Record({m_ports.clock.Now(),
                                "request " + fingerprint.ToHex(),
@@ -255,7 +255,7 @@
                                {{"backend_server", rumour.server}}});
     }
   }
-  m_membership.SpreadUrgently(std::move(news), originated_here, true);
+  m_membership.SpreadUrgently(std::move(forwarded), originated_here, true);
   PublishQuarantine();
 }
 
@@ -432,16 +432,16 @@
   return rumours;
 }
 
-std::vector<Rumour> InstanceControl::RumoursForRepair(std::size_t room) {
+std::vector<Rumour> InstanceControl::RumoursForRepair(std::size_t max_bytes) {
   const std::vector<Rumour> all = RumoursForNewcomer();
   std::vector<Rumour> turn;
   for (std::size_t taken = 0; taken < all.size(); ++taken) {
     const Rumour& rumour = all[m_repair_turn % all.size()];
     const std::size_t size = EstimateSize(rumour);
-    if (size > room && !turn.empty()) {
+    if (size > max_bytes && !turn.empty()) {
       break;
     }
-    room -= std::min(size, room);
+    max_bytes -= std::min(size, max_bytes);
     turn.push_back(rumour);
     ++m_repair_turn;
   }
