--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -70,7 +70,7 @@
 
 void GossipMembership::Tick() {
   m_tick_call = m_scheduler.ScheduleAfter(m_settings.probe_interval, [this] { Tick(); });
-  NoticeOwnPause();
+  DetectLocalPause();
   FinishProbe();
   ExpireSuspicions();
   StartProbe();
@@ -80,7 +80,7 @@
 
 // A paused process wakes with acknowledgements that it never had the time to read. Taken at face
 // value it would declare healthy peers dead; the late tick shows the pause, so it starts afresh.
-void GossipMembership::NoticeOwnPause() {
+void GossipMembership::DetectLocalPause() {
   const TimePoint now = m_clock.Now();
   if (now - m_last_tick > 2 * m_settings.probe_interval) {
     m_acknowledged = true;
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -95,7 +95,7 @@
   };
 
   void Tick();
-  void NoticeOwnPause();
+  void DetectLocalPause();
   void FinishProbe();
   void StartProbe();
   void ProbeIndirectly();
