--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -75,7 +75,7 @@
   ExpireSuspicions();
   StartProbe();
   ProbeDead();
-  PingUnmetSeed();
+  PingUnknownSeed();
 }
 
 // A paused process wakes with acknowledgements that it never had the time to read. Taken at face
@@ -145,7 +145,7 @@
 // The first pings of an instance may come before a seed's socket is open. If the list names nobody,
 // and this instance meets others, it would never speak to that seed again: two fleets that do not
 // know of each other's crashes and leaving servers. Eagerly at first, then at the pace of repairs.
-void GossipMembership::PingUnmetSeed() {
+void GossipMembership::PingUnknownSeed() {
   const TimePoint now = m_clock.Now();
   const bool eager = now - m_started_at < kMeetSeedsEagerly;
   if (!eager && now - m_last_seed_ping < m_settings.repair_interval) {
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -100,7 +100,7 @@
   void StartProbe();
   void ProbeIndirectly();
   void ProbeDead();
-  void PingUnmetSeed();
+  void PingUnknownSeed();
   void RepairOnePeer();
   void ExpireSuspicions();
   const Member* NextTarget();
