--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -11,7 +11,7 @@
 namespace zinnia {
 namespace {
 
-constexpr Duration kMeetSeedsEagerly = std::chrono::seconds(30);
+constexpr Duration kFrequentSeedPingPeriod = std::chrono::seconds(30);
 constexpr std::size_t kMostRelays = 256;
 constexpr std::size_t kMostNewcomerDatagrams = 8;
 constexpr std::size_t kNewcomerMembers = 16;
@@ -147,7 +147,7 @@
 // know of each other's crashes and leaving servers. Eagerly at first, then at the pace of repairs.
 void GossipMembership::PingUnknownSeed() {
   const TimePoint now = m_clock.Now();
-  const bool eager = now - m_started_at < kMeetSeedsEagerly;
+  const bool eager = now - m_started_at < kFrequentSeedPingPeriod;
   if (!eager && now - m_last_seed_ping < m_settings.repair_interval) {
     return;
   }
