--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration kFrequentSeedPingPeriod = std::chrono::seconds(30);
-constexpr std::size_t kMostRelays = 256;
+constexpr std::size_t kMaxRelays = 256;
 constexpr std::size_t kMostNewcomerDatagrams = 8;
 constexpr std::size_t kNewcomerMembers = 16;
 constexpr std::size_t kRepairBytes = 500;
@@ -305,7 +305,7 @@
 }
 
 void GossipMembership::OnPingRequest(const ProbeMessage& message) {
-  if (!message.target || m_relays.size() >= kMostRelays) {
+  if (!message.target || m_relays.size() >= kMaxRelays) {
     return;
   }
   const TimePoint now = m_clock.Now();
