--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kFrequentSeedPingPeriod = std::chrono::seconds(30);
 constexpr std::size_t kMaxRelays = 256;
-constexpr std::size_t kMostNewcomerDatagrams = 8;
+constexpr std::size_t kMaxDatagramsPerSend = 8;
 constexpr std::size_t kNewcomerMembers = 16;
 constexpr std::size_t kRepairBytes = 500;
 constexpr Duration kFlushDelay = std::chrono::milliseconds(2);
@@ -387,7 +387,7 @@
       m_transport.SendProbe(to, message);
       message.rumours.clear();
       used = 0;
-      if (++datagrams == kMostNewcomerDatagrams) {
+      if (++datagrams == kMaxDatagramsPerSend) {
         return;
       }
     }
