--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -14,7 +14,7 @@
 constexpr Duration kFrequentSeedPingPeriod = std::chrono::seconds(30);
 constexpr std::size_t kMaxRelays = 256;
 constexpr std::size_t kMaxDatagramsPerSend = 8;
-constexpr std::size_t kNewcomerMembers = 16;
+constexpr std::size_t kMaxInitialMemberRumours = 16;
 constexpr std::size_t kRepairBytes = 500;
 constexpr Duration kFlushDelay = std::chrono::milliseconds(2);
 constexpr Duration kLeaveRepeat = std::chrono::milliseconds(200);
@@ -336,7 +336,7 @@
 
 void GossipMembership::WelcomeNewcomer(const Instance& newcomer) {
   std::vector<Rumour> rumours = m_host.RumoursForNewcomer();
-  for (const Instance& instance : ChooseLive(kNewcomerMembers, newcomer.name)) {
+  for (const Instance& instance : ChooseLive(kMaxInitialMemberRumours, newcomer.name)) {
     const Member& member = *m_table.Find(instance.name);
     rumours.emplace_back(MemberRumour{member.instance, member.incarnation, member.state});
   }
