--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t kMaxInitialMemberRumours = 16;
 constexpr std::size_t kRepairBytes = 500;
 constexpr Duration kFlushDelay = std::chrono::milliseconds(2);
-constexpr Duration kLeaveRepeat = std::chrono::milliseconds(200);
+constexpr Duration kLeaveRepeatDelay = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -59,7 +59,7 @@
   m_tick_call.reset();
   m_indirect_call.reset();
   m_leave_call =
-      m_scheduler.ScheduleAfter(kLeaveRepeat, [this, left, done = std::move(done)]() mutable {
+      m_scheduler.ScheduleAfter(kLeaveRepeatDelay, [this, left, done = std::move(done)]() mutable {
         for (const Instance& peer : ChooseLive(m_settings.first_fanout, "")) {
           SendRumours(peer.peer_address, {left});
         }
