--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -5,7 +5,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostMembers = 4096;
+constexpr std::size_t kMaxMembers = 4096;
 
 bool Outranks(const MemberRumour& rumour, const Member& member) {
   if (rumour.instance.start != member.instance.start) {
@@ -23,7 +23,7 @@
 bool MemberTable::Apply(const MemberRumour& rumour, TimePoint now) {
   const auto found = m_members.find(rumour.instance.name);
   if (found == m_members.end()) {
-    if (m_members.size() >= kMostMembers && !MakeRoom()) {
+    if (m_members.size() >= kMaxMembers && !MakeRoom()) {
       return false;
     }
     m_members.emplace(rumour.instance.name,
