--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -365,8 +365,8 @@
   message.sender_incarnation = m_incarnation;
   message.revision = m_host.OwnRevision();
   const std::size_t used = EstimateSize(message);
-  if (used < kLargestDatagram) {
-    for (Rumour& rumour : m_queue.Take(kLargestDatagram - used)) {
+  if (used < kMaxDatagramBytes) {
+    for (Rumour& rumour : m_queue.Take(kMaxDatagramBytes - used)) {
       message.rumours.push_back(std::move(rumour));
     }
   }
@@ -378,7 +378,7 @@
   message.sender = m_settings.self;
   message.sender_incarnation = m_incarnation;
   message.revision = m_host.OwnRevision();
-  const std::size_t max_bytes = kLargestDatagram - EstimateSize(message);
+  const std::size_t max_bytes = kMaxDatagramBytes - EstimateSize(message);
   std::size_t used = 0;
   std::size_t datagrams = 0;
   for (const Rumour& rumour : rumours) {
--- a/packages/zinnia_decisions/membership/message_size.h
+++ b/packages/zinnia_decisions/membership/message_size.h
@@ -7,7 +7,7 @@
 namespace zinnia {
 
 /** What a datagram may hold, so that it is not fragmented on any usual path. */
-constexpr std::size_t kLargestDatagram = 1200;
+constexpr std::size_t kMaxDatagramBytes = 1200;
 
 /** Conservative estimates of encoded sizes in bytes: every number takes a word, every text and list
     a word of its own and is rounded up to words. The real codec must not need more. */
--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -183,7 +183,7 @@
                                   {{Fingerprint::Of(fmt::format("{}", server))}, {}});
   }
   fleet.time.AdvanceBy(seconds(30));
-  CHECK_TRUE(fleet.network.largest <= kLargestDatagram + 28);
+  CHECK_TRUE(fleet.network.largest <= kMaxDatagramBytes + 28);
 }
 
 TEST(Membership, RumourQueueReplacesForgetsAndStaysBounded) {
