--- a/packages/zinnia_decisions/membership/gossip_host.h
+++ b/packages/zinnia_decisions/membership/gossip_host.h
@@ -17,7 +17,7 @@
   /** The revision that is told in every message. */
   virtual ConfigurationRevision OwnRevision() const = 0;
 
-  /** A rumour that is not about members. To pass it on, call GossipMembership::Spread. */
+  /** A rumour that is not about members. To pass it on, call GossipMembership::QueueRumour. */
   virtual void OnRumour(const Rumour& rumour, const Instance& sender) = 0;
 
   /** A peer told the revision of its configuration. */
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -40,7 +40,7 @@
   m_last_tick = m_clock.Now();
   m_last_dead_probe = m_clock.Now();
   m_started_at = m_clock.Now();
-  Spread(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
+  QueueRumour(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
   for (const NetworkAddress& seed : m_settings.seeds) {
     if (seed != m_settings.self.peer_address) {
       Send(seed, {ProbeKind::kPing, m_next_sequence++});
@@ -241,7 +241,7 @@
     return;
   }
   if (!listed) {
-    Spread(rumour);
+    QueueRumour(rumour);
   }
   if (was_live != IsLive(rumour.state)) {
     NotifyListeners();
@@ -253,7 +253,7 @@
   const bool wrong = rumour.state == MemberState::kSuspect || rumour.state == MemberState::kDead;
   if (about_us && wrong && rumour.incarnation >= m_incarnation) {
     m_incarnation = rumour.incarnation + 1;
-    Spread(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
+    QueueRumour(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
   }
 }
 
@@ -397,13 +397,13 @@
   m_transport.SendProbe(to, message);
 }
 
-void GossipMembership::Spread(Rumour rumour) {
+void GossipMembership::QueueRumour(Rumour rumour) {
   m_queue.Add(std::move(rumour), Transmissions());
 }
 
 void GossipMembership::SpreadUrgently(Rumour rumour, bool originated_here, bool also_queue) {
   if (also_queue) {
-    Spread(rumour);
+    QueueRumour(rumour);
   }
   m_urgent.push_back(std::move(rumour));
   m_urgent_originated_here = m_urgent_originated_here || originated_here;
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -66,7 +66,7 @@
   void OnListed(const std::vector<Instance>& instances);
 
   /** Queues a rumour for the probes. */
-  void Spread(Rumour rumour);
+  void QueueRumour(Rumour rumour);
 
   /** Sends a rumour to a few peers at once. `originated_here`: this instance found it out itself.
       Without `also_queue` it is not repeated on probes; something else must repair a loss. */
