--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -200,8 +200,8 @@
        "stop_new_work",
        "the server is leaving",
        {{"incarnation", std::to_string(incarnation)}, {"source", std::string(NameOf(source))}}});
-  m_membership.SpreadUrgently(LeavingRumour{server, incarnation}, source != LeavingSource::kPeer,
-                              true);
+  m_membership.SendUrgently(LeavingRumour{server, incarnation}, source != LeavingSource::kPeer,
+                            true);
   WantSnapshot(kPublishWithin);
 }
 
@@ -255,7 +255,7 @@
                                {{"backend_server", rumour.server}}});
     }
   }
-  m_membership.SpreadUrgently(std::move(forwarded), originated_here, true);
+  m_membership.SendUrgently(std::move(forwarded), originated_here, true);
   PublishQuarantine();
 }
 
@@ -450,7 +450,7 @@
 
 void InstanceControl::PublishDelta(const ConfigurationDelta& delta, bool originated_here) {
   // Not queued: whoever misses it sees the higher revision in a probe and fetches.
-  m_membership.SpreadUrgently(ConfigurationRumour{delta}, originated_here, false);
+  m_membership.SendUrgently(ConfigurationRumour{delta}, originated_here, false);
 }
 
 void InstanceControl::PublishRevision() {
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -401,7 +401,7 @@
   m_queue.Add(std::move(rumour), Transmissions());
 }
 
-void GossipMembership::SpreadUrgently(Rumour rumour, bool originated_here, bool also_queue) {
+void GossipMembership::SendUrgently(Rumour rumour, bool originated_here, bool also_queue) {
   if (also_queue) {
     QueueRumour(rumour);
   }
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -70,7 +70,7 @@
 
   /** Sends a rumour to a few peers at once. `originated_here`: this instance found it out itself.
       Without `also_queue` it is not repeated on probes; something else must repair a loss. */
-  void SpreadUrgently(Rumour rumour, bool originated_here, bool also_queue);
+  void SendUrgently(Rumour rumour, bool originated_here, bool also_queue);
 
   /** Pings a peer with a rumour. Gives the sequence that the acknowledgement will carry; it is
      given to whoever calls OnProbe, not kept here. */
