--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -352,7 +352,7 @@
   Send(target.peer_address, std::move(ping));
 }
 
-std::uint64_t GossipMembership::PingWith(const Instance& peer, Rumour rumour) {
+std::uint64_t GossipMembership::PingWithRumour(const Instance& peer, Rumour rumour) {
   const std::uint64_t sequence = m_next_sequence++;
   ProbeMessage ping{ProbeKind::kPing, sequence};
   ping.rumours.push_back(std::move(rumour));
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -74,7 +74,7 @@
 
   /** Pings a peer with a rumour. Gives the sequence that the acknowledgement will carry; it is
      given to whoever calls OnProbe, not kept here. */
-  std::uint64_t PingWith(const Instance& peer, Rumour rumour);
+  std::uint64_t PingWithRumour(const Instance& peer, Rumour rumour);
 
   /** Tells a few peers at once of this instance's new revision, without its content. */
   void PushRevision();
--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -42,7 +42,7 @@
 void CrashAnnouncer::Send(Announcement& announcement) {
   for (const auto& [name, peer] : announcement.unaware) {
     for (const CrashRumour& rumour : announcement.rumours) {
-      announcement.sent.emplace(m_membership.PingWith(peer, rumour), name);
+      announcement.sent.emplace(m_membership.PingWithRumour(peer, rumour), name);
     }
   }
 }
