--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -418,7 +418,7 @@
   m_configuration.OnPeerRevision(peer, revision);
 }
 
-std::vector<Rumour> InstanceControl::RumoursForNewcomer() const {
+std::vector<Rumour> InstanceControl::RumoursForNewMember() const {
   std::vector<Rumour> rumours;
   for (CrashRumour& crash : m_quarantine.Rumours(m_ports.clock.Now())) {
     rumours.emplace_back(std::move(crash));
@@ -433,7 +433,7 @@
 }
 
 std::vector<Rumour> InstanceControl::RumoursForRepair(std::size_t max_bytes) {
-  const std::vector<Rumour> all = RumoursForNewcomer();
+  const std::vector<Rumour> all = RumoursForNewMember();
   std::vector<Rumour> turn;
   for (std::size_t taken = 0; taken < all.size(); ++taken) {
     const Rumour& rumour = all[m_repair_turn % all.size()];
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -153,7 +153,7 @@
   ConfigurationRevision OwnRevision() const override { return m_configuration.revision(); }
   void OnRumour(const Rumour& rumour, const Instance& sender) override;
   void OnPeerRevision(const Instance& peer, ConfigurationRevision revision) override;
-  std::vector<Rumour> RumoursForNewcomer() const override;
+  std::vector<Rumour> RumoursForNewMember() const override;
   std::vector<Rumour> RumoursForRepair(std::size_t room) override;
   void PublishDelta(const ConfigurationDelta& delta, bool originated_here) override;
   void PublishRevision() override;
--- a/packages/zinnia_decisions/membership/gossip_host.h
+++ b/packages/zinnia_decisions/membership/gossip_host.h
@@ -24,7 +24,7 @@
   virtual void OnPeerRevision(const Instance& peer, ConfigurationRevision revision) = 0;
 
   /** What an instance that was not known before should hear at once. */
-  virtual std::vector<Rumour> RumoursForNewcomer() const = 0;
+  virtual std::vector<Rumour> RumoursForNewMember() const = 0;
 
   /** A few of the same, about `room` bytes, taking turns from call to call. */
   virtual std::vector<Rumour> RumoursForRepair(std::size_t room) = 0;
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -335,7 +335,7 @@
 }
 
 void GossipMembership::WelcomeNewcomer(const Instance& newcomer) {
-  std::vector<Rumour> rumours = m_host.RumoursForNewcomer();
+  std::vector<Rumour> rumours = m_host.RumoursForNewMember();
   for (const Instance& instance : ChooseLive(kMaxInitialMemberRumours, newcomer.name)) {
     const Member& member = *m_table.Find(instance.name);
     rumours.emplace_back(MemberRumour{member.instance, member.incarnation, member.state});
