--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -291,7 +291,7 @@
   // told of at the first word from each would cost kilobytes a second in a large fleet.
   const bool fresh = message.revision == 0 && m_host.OwnRevision() > 0;
   if ((!was_live || fresh) && sender != nullptr && IsLive(sender->state)) {
-    WelcomeNewcomer(message.sender);
+    SendInitialRumours(message.sender);
   }
 }
 
@@ -334,7 +334,7 @@
   }
 }
 
-void GossipMembership::WelcomeNewcomer(const Instance& newcomer) {
+void GossipMembership::SendInitialRumours(const Instance& newcomer) {
   std::vector<Rumour> rumours = m_host.RumoursForNewMember();
   for (const Instance& instance : ChooseLive(kMaxInitialMemberRumours, newcomer.name)) {
     const Member& member = *m_table.Find(instance.name);
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -111,7 +111,7 @@
   void OnPing(const ProbeMessage& message);
   void OnPingRequest(const ProbeMessage& message);
   void OnAcknowledgement(const ProbeMessage& message);
-  void WelcomeNewcomer(const Instance& newcomer);
+  void SendInitialRumours(const Instance& newcomer);
   void SendPing(const Instance& target, std::uint64_t sequence);
   void Send(const NetworkAddress& to, ProbeMessage message);
   void SendRumours(const NetworkAddress& to, const std::vector<Rumour>& rumours);
