--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -139,7 +139,7 @@
   if (!dead.empty()) {
     SendPing(dead[RandomBelow(m_random, dead.size())]->instance, m_next_sequence++);
   }
-  RepairOnePeer();
+  SendRepairRumours();
 }
 
 // The first pings of an instance may come before a seed's socket is open. If the list names nobody,
@@ -164,7 +164,7 @@
 
 // A rumour is sent a bounded number of times, all of which may fall into a short cut or a burst of
 // losses; an instance that missed it would give new work to a leaving server for ever.
-void GossipMembership::RepairOnePeer() {
+void GossipMembership::SendRepairRumours() {
   const std::vector<Rumour> rumours = m_host.RumoursForRepair(kRepairBytes);
   if (rumours.empty()) {
     return;
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -101,7 +101,7 @@
   void ProbeIndirectly();
   void ProbeDead();
   void PingUnknownSeed();
-  void RepairOnePeer();
+  void SendRepairRumours();
   void ExpireSuspicions();
   const Member* NextTarget();
   std::vector<Instance> ChooseLive(std::size_t count, const InstanceName& except);
