--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -129,7 +129,7 @@
     return;
   }
   m_last_dead_probe = now;
-  m_table.ForgetGoneBefore(now - m_settings.forget_dead_after);
+  m_table.RemoveExpired(now - m_settings.forget_dead_after);
   std::vector<const Member*> dead;
   for (const auto& [name, member] : m_table.members()) {
     if (member.state == MemberState::kDead) {
--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -87,7 +87,7 @@
   }
 }
 
-void MemberTable::ForgetGoneBefore(TimePoint deadline) {
+void MemberTable::RemoveExpired(TimePoint deadline) {
   std::erase_if(m_members, [deadline](const auto& row) {
     return !IsLive(row.second.state) && row.second.state_since < deadline;
   });
--- a/packages/zinnia_decisions/membership/member_table.h
+++ b/packages/zinnia_decisions/membership/member_table.h
@@ -48,7 +48,7 @@
   void RestartSuspicions(TimePoint now);
 
   /** Forgets members dead or left since before `deadline`. */
-  void ForgetGoneBefore(TimePoint deadline);
+  void RemoveExpired(TimePoint deadline);
 
  private:
   bool MakeRoom();
