--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -23,7 +23,7 @@
 bool MemberTable::Apply(const MemberRumour& rumour, TimePoint now) {
   const auto found = m_members.find(rumour.instance.name);
   if (found == m_members.end()) {
-    if (m_members.size() >= kMaxMembers && !MakeRoom()) {
+    if (m_members.size() >= kMaxMembers && !EvictOldest()) {
       return false;
     }
     m_members.emplace(rumour.instance.name,
@@ -93,7 +93,7 @@
   });
 }
 
-bool MemberTable::MakeRoom() {
+bool MemberTable::EvictOldest() {
   auto oldest = m_members.end();
   for (auto member = m_members.begin(); member != m_members.end(); ++member) {
     const bool older =
--- a/packages/zinnia_decisions/membership/member_table.h
+++ b/packages/zinnia_decisions/membership/member_table.h
@@ -51,7 +51,7 @@
   void RemoveExpired(TimePoint deadline);
 
  private:
-  bool MakeRoom();
+  bool EvictOldest();
 
   std::map<InstanceName, Member> m_members;
   std::size_t m_live_count = 0;
