--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kMaxMembers = 4096;
 
-bool Outranks(const MemberRumour& rumour, const Member& member) {
+bool Supersedes(const MemberRumour& rumour, const Member& member) {
   if (rumour.instance.start != member.instance.start) {
     return rumour.instance.start > member.instance.start;
   }
@@ -32,7 +32,7 @@
     return true;
   }
   Member& member = found->second;
-  if (!Outranks(rumour, member)) {
+  if (!Supersedes(rumour, member)) {
     return false;
   }
   m_live_count -= IsLive(member.state) ? 1 : 0;
