--- a/packages/zinnia_decisions/membership/rumour_queue.cc
+++ b/packages/zinnia_decisions/membership/rumour_queue.cc
@@ -35,7 +35,7 @@
   const std::size_t size = EstimateSize(rumour);
   const std::string subject = SubjectOf(rumour);
   if (m_items.size() >= kMaxRumours && !m_items.contains(subject)) {
-    DropMostSent();
+    EvictMostSent();
   }
   m_items.insert_or_assign(subject, Item{std::move(rumour), size, 0, transmissions});
 }
@@ -63,7 +63,7 @@
   return taken;
 }
 
-void RumourQueue::DropMostSent() {
+void RumourQueue::EvictMostSent() {
   const auto most = std::max_element(
       m_items.begin(), m_items.end(),
       [](const auto& left, const auto& right) { return left.second.sent < right.second.sent; });
--- a/packages/zinnia_decisions/membership/rumour_queue.h
+++ b/packages/zinnia_decisions/membership/rumour_queue.h
@@ -33,7 +33,7 @@
     std::uint32_t transmissions = 0;
   };
 
-  void DropMostSent();
+  void EvictMostSent();
 
   std::map<std::string, Item> m_items;
 };
