--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -431,8 +431,9 @@
 }
 
 std::uint32_t GossipMembership::Transmissions() const {
-  constexpr std::uint32_t kForEachDoubling = 2;
-  return kForEachDoubling * static_cast<std::uint32_t>(std::bit_width(m_table.LiveCount() + 1));
+  constexpr std::uint32_t kTransmissionsPerDoubling = 2;
+  return kTransmissionsPerDoubling *
+         static_cast<std::uint32_t>(std::bit_width(m_table.LiveCount() + 1));
 }
 
 std::vector<Instance> GossipMembership::LiveInstances() const {
