--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -53,14 +53,14 @@
 
 void GossipMembership::Leave(std::function<void()> done) {
   const MemberRumour left{m_settings.self, m_incarnation, MemberState::kLeft};
-  for (const Instance& peer : ChooseLive(m_settings.first_fanout, "")) {
+  for (const Instance& peer : ChooseLive(m_settings.origin_fanout, "")) {
     SendRumours(peer.peer_address, {left});
   }
   m_tick_call.reset();
   m_indirect_call.reset();
   m_leave_call =
       m_scheduler.ScheduleAfter(kLeaveRepeatDelay, [this, left, done = std::move(done)]() mutable {
-        for (const Instance& peer : ChooseLive(m_settings.first_fanout, "")) {
+        for (const Instance& peer : ChooseLive(m_settings.origin_fanout, "")) {
           SendRumours(peer.peer_address, {left});
         }
         m_stopped = true;
@@ -424,7 +424,7 @@
   m_flush_call.reset();
   const std::size_t doublings = std::bit_width(m_table.LiveCount() + 1);
   const std::size_t onward = std::clamp<std::size_t>(doublings, 4, m_settings.fanout + 2) - 2;
-  const std::size_t fanout = originated_here ? m_settings.first_fanout : onward;
+  const std::size_t fanout = originated_here ? m_settings.origin_fanout : onward;
   for (const Instance& peer : ChooseLive(fanout, "")) {
     SendRumours(peer.peer_address, rumours);
   }
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -29,7 +29,7 @@
   std::size_t indirect_probes = 3;
 
   /** Peers that hear an urgent rumour at once: from whoever found it, and from those who heard. */
-  std::size_t first_fanout = 8;
+  std::size_t origin_fanout = 8;
   std::size_t fanout = 4;
 };
 
