--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -249,9 +249,9 @@
 }
 
 void GossipMembership::RefuteIfNeeded(const MemberRumour& rumour) {
-  const bool about_us = rumour.instance.start == m_settings.self.start;
+  const bool matches_own_start = rumour.instance.start == m_settings.self.start;
   const bool wrong = rumour.state == MemberState::kSuspect || rumour.state == MemberState::kDead;
-  if (about_us && wrong && rumour.incarnation >= m_incarnation) {
+  if (matches_own_start && wrong && rumour.incarnation >= m_incarnation) {
     m_incarnation = rumour.incarnation + 1;
     QueueRumour(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
   }
