--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -151,14 +151,15 @@
   if (!eager && now - m_last_seed_ping < m_settings.repair_interval) {
     return;
   }
-  std::vector<NetworkAddress> unmet = m_settings.seeds;
-  std::erase(unmet, m_settings.self.peer_address);
+  std::vector<NetworkAddress> unknown_seeds = m_settings.seeds;
+  std::erase(unknown_seeds, m_settings.self.peer_address);
   for (const auto& [name, member] : m_table.members()) {
-    std::erase(unmet, member.instance.peer_address);
+    std::erase(unknown_seeds, member.instance.peer_address);
   }
-  if (!unmet.empty()) {
+  if (!unknown_seeds.empty()) {
     m_last_seed_ping = now;
-    Send(unmet[RandomBelow(m_random, unmet.size())], {ProbeKind::kPing, m_next_sequence++});
+    Send(unknown_seeds[RandomBelow(m_random, unknown_seeds.size())],
+         {ProbeKind::kPing, m_next_sequence++});
   }
 }
 
