--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -267,7 +267,7 @@
   const bool was_live =
       known != nullptr && known->instance.start == message.sender.start && IsLive(known->state);
   ApplyMember({message.sender, message.sender_incarnation, MemberState::kAlive});
-  m_table.NoteRevision(message.sender.name, message.revision);
+  m_table.SetMemberRevision(message.sender.name, message.revision);
   for (const Rumour& rumour : message.rumours) {
     if (const auto* member = std::get_if<MemberRumour>(&rumour)) {
       ApplyMember(*member);
--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -46,7 +46,7 @@
   return true;
 }
 
-void MemberTable::NoteRevision(const InstanceName& name, ConfigurationRevision revision) {
+void MemberTable::SetMemberRevision(const InstanceName& name, ConfigurationRevision revision) {
   const auto found = m_members.find(name);
   if (found != m_members.end()) {
     found->second.revision = revision;
--- a/packages/zinnia_decisions/membership/member_table.h
+++ b/packages/zinnia_decisions/membership/member_table.h
@@ -32,7 +32,7 @@
   bool Apply(const MemberRumour& rumour, TimePoint now);
 
   /** Notes the configuration revision that a member said it has. */
-  void NoteRevision(const InstanceName& name, ConfigurationRevision revision);
+  void SetMemberRevision(const InstanceName& name, ConfigurationRevision revision);
 
   const Member* Find(const InstanceName& name) const;
   const std::map<InstanceName, Member>& members() const { return m_members; }
