--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -84,7 +84,7 @@
   const TimePoint now = m_clock.Now();
   if (now - m_last_tick > 2 * m_settings.probe_interval) {
     m_acknowledged = true;
-    m_table.RestartSuspicions(now);
+    m_table.RestartSuspicionTimers(now);
   }
   m_last_tick = now;
 }
--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -79,7 +79,7 @@
   return suspects;
 }
 
-void MemberTable::RestartSuspicions(TimePoint now) {
+void MemberTable::RestartSuspicionTimers(TimePoint now) {
   for (auto& [name, member] : m_members) {
     if (member.state == MemberState::kSuspect) {
       member.state_since = now;
--- a/packages/zinnia_decisions/membership/member_table.h
+++ b/packages/zinnia_decisions/membership/member_table.h
@@ -45,7 +45,7 @@
   std::vector<MemberRumour> SuspectsSince(TimePoint deadline) const;
 
   /** Gives all suspects their whole time again, from `now` on. */
-  void RestartSuspicions(TimePoint now);
+  void RestartSuspicionTimers(TimePoint now);
 
   /** Forgets members dead or left since before `deadline`. */
   void RemoveExpired(TimePoint deadline);
