--- a/packages/zinnia_decisions/membership/message_size.cc
+++ b/packages/zinnia_decisions/membership/message_size.cc
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr std::size_t kWordBytes = 8;
-constexpr std::size_t kFrame = 3 * kWordBytes;
+constexpr std::size_t kFrameBytes = 3 * kWordBytes;
 
 std::size_t SizeOfText(const std::string& text) {
   return kWordBytes + (text.size() + kWordBytes) / kWordBytes * kWordBytes;
@@ -45,7 +45,7 @@
 }
 
 std::size_t EstimateSize(const ProbeMessage& message) {
-  std::size_t size = kFrame + 6 * kWordBytes + EstimateSize(message.sender);
+  std::size_t size = kFrameBytes + 6 * kWordBytes + EstimateSize(message.sender);
   if (message.target) {
     size += EstimateSize(*message.target);
   }
