--- a/packages/zinnia_decisions/membership/gossip_host.h
+++ b/packages/zinnia_decisions/membership/gossip_host.h
@@ -6,7 +6,8 @@
 
 namespace zinnia {
 
-/** What GossipMembership needs from whoever owns it: the rest of what instances tell each other.
+/** The owner's interface for GossipMembership: supplies and handles rumours that are not about
+    members.
 
     @see InstanceControl
 */
@@ -14,20 +15,20 @@
  public:
   virtual ~GossipHost() = default;
 
-  /** The revision that is told in every message. */
+  /** The configuration revision sent in every message. */
   virtual ConfigurationRevision OwnRevision() const = 0;
 
-  /** A rumour that is not about members. To pass it on, call GossipMembership::QueueRumour. */
+  /** Called for a rumour that is not about members. QueueRumour forwards it. */
   virtual void OnRumour(const Rumour& rumour, const Instance& sender) = 0;
 
-  /** A peer told the revision of its configuration. */
+  /** Called with the configuration revision in a peer's message. */
   virtual void OnPeerRevision(const Instance& peer, ConfigurationRevision revision) = 0;
 
-  /** What an instance that was not known before should hear at once. */
+  /** Rumours to send at once to an instance that was not known before. */
   virtual std::vector<Rumour> RumoursForNewMember() const = 0;
 
-  /** A few of the same, about `room` bytes, taking turns from call to call. */
-  virtual std::vector<Rumour> RumoursForRepair(std::size_t room) = 0;
+  /** A subset of those, of about `max_bytes`, rotating from call to call. */
+  virtual std::vector<Rumour> RumoursForRepair(std::size_t max_bytes) = 0;
 };
 
 }  // namespace zinnia
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -78,8 +78,8 @@
   PingUnknownSeed();
 }
 
-// A paused process wakes with acknowledgements that it never had the time to read. Taken at face
-// value it would declare healthy peers dead; the late tick shows the pause, so it starts afresh.
+// After a pause of this process, acknowledgements are still unread and healthy peers would be
+// declared dead. A late tick indicates a pause and restarts the timers.
 void GossipMembership::DetectLocalPause() {
   const TimePoint now = m_clock.Now();
   if (now - m_last_tick > 2 * m_settings.probe_interval) {
@@ -122,7 +122,7 @@
   }
 }
 
-// After a cut each side holds the other for dead and would never speak to it again.
+// After a network partition each side considers the other dead and would never contact it again.
 void GossipMembership::ProbeDead() {
   const TimePoint now = m_clock.Now();
   if (now - m_last_dead_probe < m_settings.repair_interval) {
@@ -142,9 +142,9 @@
   SendRepairRumours();
 }
 
-// The first pings of an instance may come before a seed's socket is open. If the list names nobody,
-// and this instance meets others, it would never speak to that seed again: two fleets that do not
-// know of each other's crashes and leaving servers. Eagerly at first, then at the pace of repairs.
+// A seed may not be listening yet when the first pings are sent. Without retries, and with an empty
+// platform list, the fleet could stay split in two. Pings every tick at first, then at the repair
+// interval.
 void GossipMembership::PingUnknownSeed() {
   const TimePoint now = m_clock.Now();
   const bool eager = now - m_started_at < kFrequentSeedPingPeriod;
@@ -163,8 +163,8 @@
   }
 }
 
-// A rumour is sent a bounded number of times, all of which may fall into a short cut or a burst of
-// losses; an instance that missed it would give new work to a leaving server for ever.
+// All transmissions of a rumour may be lost. Without repair, an instance that missed one would keep
+// sending new work to a leaving server.
 void GossipMembership::SendRepairRumours() {
   const std::vector<Rumour> rumours = m_host.RumoursForRepair(kRepairBytes);
   if (rumours.empty()) {
@@ -234,7 +234,7 @@
   }
   const Member* before = m_table.Find(rumour.instance.name);
   const bool was_live = before != nullptr && IsLive(before->state);
-  // Everybody reads the platform's list: that a listed instance does live is no news worth sending.
+  // All instances read the platform's list, so that a listed instance is alive is not forwarded.
   const bool listed = before != nullptr && before->incarnation == 0 && was_live &&
                       rumour.state == MemberState::kAlive &&
                       before->instance.start == rumour.instance.start;
@@ -288,8 +288,8 @@
       break;
   }
   const Member* sender = m_table.Find(message.sender.name);
-  // Only an instance that has just started has no configuration. To greet all that the list had
-  // told of at the first word from each would cost kilobytes a second in a large fleet.
+  // Only an instance that has just started has no configuration. Sending the initial rumours to
+  // every listed instance on its first message would cost too much bandwidth in a large fleet.
   const bool fresh = message.revision == 0 && m_host.OwnRevision() > 0;
   if ((!was_live || fresh) && sender != nullptr && IsLive(sender->state)) {
     SendInitialRumours(message.sender);
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -17,7 +17,7 @@
 class GossipHost;
 class PeerTransport;
 
-/** Settings of the failure detection. The defaults hold from 6 to 940 instances. */
+/** Settings of failure detection. The defaults suit 6 to 940 instances. */
 struct MembershipSettings {
   Instance self;
   std::vector<NetworkAddress> seeds;
@@ -28,20 +28,21 @@
   Duration forget_dead_after = std::chrono::minutes(30);
   std::size_t indirect_probes = 3;
 
-  /** Peers that hear an urgent rumour at once: from whoever found it, and from those who heard. */
+  /** Peers that an urgent rumour is sent to at once by its originator, and by those forwarding it.
+   */
   std::size_t origin_fanout = 8;
   std::size_t fanout = 4;
 };
 
-/** SWIM-style membership: each instance probes one other each interval, whatever their number.
+/** SWIM-style membership: each instance probes one other per interval, whatever their number.
 
-    A missed acknowledgement leads to probes through others, then to suspicion, which the suspect
-   can refute with a higher incarnation, then to death. Dead members are still probed now and then,
-   so that the two sides of a cut find each other again. Rumours ride along on the probes; urgent
-   ones are also pushed at once in a message of kind kAck with sequence 0, which acknowledges
-   nothing.
+    A missed acknowledgement leads to indirect probes, then to suspicion, which the suspect can
+    refute with a higher incarnation, then to the dead state. Dead members are still probed
+    occasionally, so that the sides of a network partition find each other again. Rumours are
+    piggybacked on probes; urgent ones are also sent at once in a kAck message with sequence 0,
+   which acknowledges nothing.
 
-    Lives on the control thread. Create, Start, feed OnProbe.
+    Call on the control thread only.
 
     @see MemberTable, RumourQueue, GossipHost
 */
@@ -57,26 +58,26 @@
 
   void Start();
 
-  /** Tells the others that this instance leaves; `done` is called once that is sent. */
+  /** Announces that this instance leaves, then calls `done`. */
   void Leave(std::function<void()> done);
 
   void OnProbe(const ProbeMessage& message);
 
-  /** Takes in the platform's list: unknown instances on it are believed alive until probed. */
+  /** Adds the instances of the platform's list; unknown ones are assumed alive until probed. */
   void OnListed(const std::vector<Instance>& instances);
 
-  /** Queues a rumour for the probes. */
+  /** Queues a rumour to be piggybacked on probes. */
   void QueueRumour(Rumour rumour);
 
-  /** Sends a rumour to a few peers at once. `originated_here`: this instance found it out itself.
-      Without `also_queue` it is not repeated on probes; something else must repair a loss. */
+  /** Sends a rumour to a few peers at once. `originated_here`: not received from a peer. Without
+      `also_queue` it is not repeated on probes, and the caller must handle its loss. */
   void SendUrgently(Rumour rumour, bool originated_here, bool also_queue);
 
-  /** Pings a peer with a rumour. Gives the sequence that the acknowledgement will carry; it is
-     given to whoever calls OnProbe, not kept here. */
+  /** Pings a peer with a rumour and returns the sequence number of the ping. The caller must match
+      it with the acknowledgement passed to OnProbe. */
   std::uint64_t PingWithRumour(const Instance& peer, Rumour rumour);
 
-  /** Tells a few peers at once of this instance's new revision, without its content. */
+  /** Sends this instance's new revision, without its content, to a few peers at once. */
   void PushRevision();
 
   const Instance& Self() const override { return m_settings.self; }
--- a/packages/zinnia_decisions/membership/member_table.h
+++ b/packages/zinnia_decisions/membership/member_table.h
@@ -9,7 +9,7 @@
 
 namespace zinnia {
 
-/** What is believed of one other instance. */
+/** The last known state of another instance. */
 struct Member {
   Instance instance;
   std::uint64_t incarnation = 0;
@@ -18,20 +18,21 @@
   ConfigurationRevision revision = 0;
 };
 
-/** The other instances as this one believes them to be, ordered by (start, incarnation, state).
+/** The last known states of the other instances.
 
-    Whatever order rumours come in, the highest word wins, so that all tables that heard the same
-    rumours are equal. Left is final for a start: only a restart brings the name back. Bounded: when
-    full, the member that is dead or left for longest goes; if all are live, newcomers are ignored.
+    A rumour applies only if its (start, incarnation, state) is higher than the stored one, so that
+    tables converge whatever the order of rumours. kLeft is final until the instance restarts.
+    Bounded: when full, the member dead or left for longest is evicted; if all are live, new members
+    are ignored.
 
     @see GossipMembership
 */
 class MemberTable {
  public:
-  /** Takes in a rumour. Returns whether it was news, to be passed on. */
+  /** Applies a rumour. Returns whether it changed the table and should be forwarded. */
   bool Apply(const MemberRumour& rumour, TimePoint now);
 
-  /** Notes the configuration revision that a member said it has. */
+  /** Stores the configuration revision that a member reported. */
   void SetMemberRevision(const InstanceName& name, ConfigurationRevision revision);
 
   const Member* Find(const InstanceName& name) const;
@@ -41,13 +42,13 @@
   std::vector<Instance> Live() const;
   std::size_t LiveCount() const { return m_live_count; }
 
-  /** Suspects that have not refuted since `deadline`. */
+  /** Members that have been suspect since `deadline` or longer. */
   std::vector<MemberRumour> SuspectsSince(TimePoint deadline) const;
 
-  /** Gives all suspects their whole time again, from `now` on. */
+  /** Restarts the suspicion timeout of all suspects at `now`. */
   void RestartSuspicionTimers(TimePoint now);
 
-  /** Forgets members dead or left since before `deadline`. */
+  /** Removes members that have been dead or left since before `deadline`. */
   void RemoveExpired(TimePoint deadline);
 
  private:
@@ -57,7 +58,6 @@
   std::size_t m_live_count = 0;
 };
 
-/** Whether members in this state count as live. */
 constexpr bool IsLive(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
--- a/packages/zinnia_decisions/membership/membership_view.h
+++ b/packages/zinnia_decisions/membership/membership_view.h
@@ -7,21 +7,21 @@
 
 namespace zinnia {
 
-/** Hears of changes in the set of live instances. */
+/** Notified when the set of live instances changes. */
 class MembershipListener {
  public:
   virtual ~MembershipListener() = default;
   virtual void OnMembershipChanged() = 0;
 };
 
-/** Which instances are believed to be alive. Beliefs differ between instances for a while: use it
-   to spread work and to choose who tries first, never as the proof that only one acts. */
+/** The instances observed to be alive. Views of different instances may diverge for a while: use
+    them to distribute work, never for mutual exclusion. */
 class MembershipView {
  public:
   virtual ~MembershipView() = default;
   virtual const Instance& Self() const = 0;
 
-  /** Alive or suspect instances with this one among them, sorted by name. */
+  /** Alive or suspect instances, including this one, sorted by name. */
   virtual std::vector<Instance> LiveInstances() const = 0;
 
   virtual void AddListener(MembershipListener& listener) = 0;
--- a/packages/zinnia_decisions/membership/message_size.h
+++ b/packages/zinnia_decisions/membership/message_size.h
@@ -6,11 +6,11 @@
 
 namespace zinnia {
 
-/** What a datagram may hold, so that it is not fragmented on any usual path. */
+/** Small enough to avoid fragmentation on usual paths. */
 constexpr std::size_t kMaxDatagramBytes = 1200;
 
-/** Conservative estimates of encoded sizes in bytes: every number takes a word, every text and list
-    a word of its own and is rounded up to words. The real codec must not need more. */
+/** Upper bounds of encoded sizes in bytes: one word for each number, and for each text or list one
+    word plus its content rounded up to words. The codec must not need more. */
 std::size_t EstimateSize(const Instance& instance);
 std::size_t EstimateSize(const ConfigurationDelta& delta);
 std::size_t EstimateSize(const Rumour& rumour);
--- a/packages/zinnia_decisions/membership/rendezvous.h
+++ b/packages/zinnia_decisions/membership/rendezvous.h
@@ -9,11 +9,11 @@
 
 namespace zinnia {
 
-/** The weight of a candidate for a subject (highest random weight hashing). Everybody who knows the
-    same candidates orders them alike, and a candidate that goes moves only its own subjects. */
+/** The weight of a candidate for a subject (highest random weight hashing). Instances with the same
+    candidates order them alike, and removing a candidate reassigns only its own subjects. */
 std::uint64_t RendezvousWeight(std::string_view subject, std::string_view candidate);
 
-/** The `count` instances with the highest weight for the subject, best first. */
+/** The `count` instances with the highest weights for the subject, in descending order. */
 std::vector<Instance> ChooseByRendezvous(std::string_view subject,
                                          std::vector<Instance> candidates,
                                          std::size_t count);
--- a/packages/zinnia_decisions/membership/rumour_queue.cc
+++ b/packages/zinnia_decisions/membership/rumour_queue.cc
@@ -16,7 +16,7 @@
   std::string operator()(const MemberRumour& rumour) const { return "m " + rumour.instance.name; }
   std::string operator()(const LeavingRumour& rumour) const { return "l " + rumour.server; }
   std::string operator()(const CrashRumour& rumour) const {
-    // Several instances tell of one crash, each with the requests that it had there.
+    // Several instances may report one crash, each with its own requests.
     const std::uint64_t first = rumour.fingerprints.empty() ? 0 : rumour.fingerprints.front().low;
     return fmt::format("x {} {} {:x} {}", rumour.server, rumour.incarnation, first, rumour.alone);
   }
--- a/packages/zinnia_decisions/membership/rumour_queue.h
+++ b/packages/zinnia_decisions/membership/rumour_queue.h
@@ -9,19 +9,19 @@
 
 namespace zinnia {
 
-/** The rumours that still ride along on probes, each a bounded number of times.
+/** The rumours to piggyback on probes, each a bounded number of times.
 
-    A newer rumour on the same subject takes the older one's place. The least sent go first, so that
-    news is not held up by what most instances know already. Bounded: when full, the rumour that was
-    sent most often is dropped.
+    A newer rumour replaces an older one on the same subject. The least sent rumours go first, since
+    the others have reached more instances already. Bounded: when full, the rumour that was sent
+   most often is evicted.
 */
 class RumourQueue {
  public:
   /** Queues a rumour to be sent `transmissions` times. */
   void Add(Rumour rumour, std::uint32_t transmissions);
 
-  /** Takes rumours for one datagram with `room` bytes left, and counts them as sent. */
-  std::vector<Rumour> Take(std::size_t room);
+  /** Returns rumours of up to `max_bytes` in total and counts them as sent. */
+  std::vector<Rumour> Take(std::size_t max_bytes);
 
   std::size_t size() const { return m_items.size(); }
 
@@ -38,7 +38,7 @@
   std::map<std::string, Item> m_items;
 };
 
-/** Names what a rumour is about: two rumours with one subject replace each other. */
+/** The subject of a rumour; a rumour replaces an older one with the same subject. */
 std::string SubjectOf(const Rumour& rumour);
 
 }  // namespace zinnia
