--- a/packages/zinnia_decisions/fleet_control/engine_poller.cc
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.cc
@@ -41,7 +41,7 @@
 void EnginePoller::Tick() {
   m_tick_call = m_scheduler.ScheduleAfter(kTick, [this] { Tick(); });
   const double wanted = static_cast<double>(m_servers.size()) / Seconds(m_settings.interval);
-  const double rate = std::min(wanted, static_cast<double>(m_settings.most_per_second));
+  const double rate = std::min(wanted, static_cast<double>(m_settings.max_polls_per_second));
   m_credit = std::min(m_credit + rate * Seconds(kTick), std::max(rate, 1.0));
   while (m_credit >= 1.0 && !m_servers.empty()) {
     if (m_turn.empty()) {
--- a/packages/zinnia_decisions/fleet_control/engine_poller.h
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.h
@@ -14,7 +14,7 @@
 /** How often engines are asked for their state. */
 struct EnginePollSettings {
   Duration interval = std::chrono::seconds(1);
-  std::size_t most_per_second = 32;
+  std::size_t max_polls_per_second = 32;
 };
 
 /** Asks the engines of the subset for their state in turn, at a bounded rate whatever their number.
