--- a/packages/zinnia_decisions/fleet_control/engine_poller.cc
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.cc
@@ -30,7 +30,7 @@
 void EnginePoller::SetServers(std::set<BackendServerName> servers) {
   for (const BackendServerName& server : servers) {
     if (!m_servers.contains(server)) {
-      m_turn.push_back(server);
+      m_poll_queue.push_back(server);
       m_never_asked.insert(server);
     }
   }
@@ -44,11 +44,11 @@
   const double rate = std::min(wanted, static_cast<double>(m_settings.max_polls_per_second));
   m_credit = std::min(m_credit + rate * Seconds(kTick), std::max(rate, 1.0));
   while (m_credit >= 1.0 && !m_servers.empty()) {
-    if (m_turn.empty()) {
-      m_turn.assign(m_servers.rbegin(), m_servers.rend());
+    if (m_poll_queue.empty()) {
+      m_poll_queue.assign(m_servers.rbegin(), m_servers.rend());
     }
-    const BackendServerName server = std::move(m_turn.back());
-    m_turn.pop_back();
+    const BackendServerName server = std::move(m_poll_queue.back());
+    m_poll_queue.pop_back();
     m_credit -= 1.0;
     if (m_servers.contains(server) && !m_waiting.contains(server)) {
       Ask(server);
--- a/packages/zinnia_decisions/fleet_control/engine_poller.h
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.h
@@ -47,7 +47,7 @@
   EngineOrders& m_engines;
   const Answer m_answer;
   std::set<BackendServerName> m_servers;
-  std::vector<BackendServerName> m_turn;
+  std::vector<BackendServerName> m_poll_queue;
   std::set<BackendServerName> m_waiting;
   std::set<BackendServerName> m_never_asked;
   double m_credit = 0.0;
