--- a/packages/zinnia_decisions/fleet_control/engine_poller.cc
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.cc
@@ -31,10 +31,11 @@
   for (const BackendServerName& server : servers) {
     if (!m_servers.contains(server)) {
       m_poll_queue.push_back(server);
-      m_never_asked.insert(server);
+      m_awaiting_first_answer.insert(server);
     }
   }
-  std::erase_if(m_never_asked, [&](const auto& server) { return !servers.contains(server); });
+  std::erase_if(m_awaiting_first_answer,
+                [&](const auto& server) { return !servers.contains(server); });
   m_servers = std::move(servers);
 }
 
@@ -60,7 +61,7 @@
   m_waiting.insert(server);
   m_engines.ReadState(server, m_guard.Wrap([this, server](const Result<EngineState>& state) {
     m_waiting.erase(server);
-    m_never_asked.erase(server);
+    m_awaiting_first_answer.erase(server);
     m_answer(server, state);
   }));
 }
--- a/packages/zinnia_decisions/fleet_control/engine_poller.h
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.h
@@ -36,7 +36,7 @@
   void SetServers(std::set<BackendServerName> servers);
 
   /** Whether every server has answered, or failed to, since it was given to SetServers. */
-  bool HasAskedAll() const { return m_never_asked.empty(); }
+  bool HasAskedAll() const { return m_awaiting_first_answer.empty(); }
 
  private:
   void Tick();
@@ -49,7 +49,7 @@
   std::set<BackendServerName> m_servers;
   std::vector<BackendServerName> m_poll_queue;
   std::set<BackendServerName> m_waiting;
-  std::set<BackendServerName> m_never_asked;
+  std::set<BackendServerName> m_awaiting_first_answer;
   double m_credit = 0.0;
   std::unique_ptr<ScheduledCall> m_tick_call;
   CallbackGuard m_guard;
