--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -351,7 +351,7 @@
   if (!m_waits_for_engines_since) {
     m_waits_for_engines_since = now;
   }
-  m_ready = m_poller.HasAskedAll() || now - *m_waits_for_engines_since >= kLongestWaitForEngines;
+  m_ready = m_poller.HasPolledAll() || now - *m_waits_for_engines_since >= kLongestWaitForEngines;
   if (!m_ready) {
     WantSnapshot(kReadinessInterval);
   }
--- a/packages/zinnia_decisions/fleet_control/engine_poller.h
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.h
@@ -36,7 +36,7 @@
   void SetServers(std::set<BackendServerName> servers);
 
   /** Whether every server has answered, or failed to, since it was given to SetServers. */
-  bool HasAskedAll() const { return m_awaiting_first_answer.empty(); }
+  bool HasPolledAll() const { return m_awaiting_first_answer.empty(); }
 
  private:
   void Tick();
