--- a/packages/zinnia_decisions/fleet_control/leaving_tracker.cc
+++ b/packages/zinnia_decisions/fleet_control/leaving_tracker.cc
@@ -6,7 +6,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostMarks = 16'384;
+constexpr std::size_t kMaxMarks = 16'384;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
     found->second = {incarnation, source, now};
     return true;
   }
-  if (m_marks.size() >= kMostMarks) {
+  if (m_marks.size() >= kMaxMarks) {
     DropOldest();
   }
   m_marks.emplace(server, LeavingMark{incarnation, source, now});
