--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -43,8 +43,8 @@
 bool ServerTable::TakeListed(const BackendServer& listed) {
   const auto [found, added] = m_rows.try_emplace(listed.name, ServerRow{listed});
   ServerRow& row = found->second;
-  const bool was_missing = row.missing_reads >= kSuspectAfterMissing;
-  row.missing_reads = 0;
+  const bool was_missing = row.missed_listings >= kSuspectAfterMissing;
+  row.missed_listings = 0;
   if (added) {
     return true;
   }
@@ -81,8 +81,8 @@
     }
     const BackendServerState before = StateOf(row);
     const std::uint32_t most = credible ? kForgottenAfterMissing : kSuspectAfterMissing;
-    if (row.missing_reads < most) {
-      ++row.missing_reads;
+    if (row.missed_listings < most) {
+      ++row.missed_listings;
     }
     changed = changed || StateOf(row) != before;
   }
@@ -92,7 +92,7 @@
 void ServerTable::ForgetGone() {
   std::erase_if(m_rows, [](const auto& entry) {
     const ServerRow& row = entry.second;
-    return row.missing_reads >= kForgottenAfterMissing && !row.answers_polls;
+    return row.missed_listings >= kForgottenAfterMissing && !row.answers_polls;
   });
 }
 
@@ -169,11 +169,11 @@
 }
 
 BackendServerState ServerTable::StateOf(const ServerRow& row) const {
-  if (row.missing_reads >= kGoneAfterMissing && !row.answers_polls) {
+  if (row.missed_listings >= kGoneAfterMissing && !row.answers_polls) {
     return BackendServerState::kGone;
   }
   const bool silent = row.failed_polls >= kSuspectAfterFailedPolls;
-  const bool missing = row.missing_reads >= kSuspectAfterMissing;
+  const bool missing = row.missed_listings >= kSuspectAfterMissing;
   return silent || missing ? BackendServerState::kSuspect : BackendServerState::kLive;
 }
 
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -14,7 +14,7 @@
 /** What is known of one backend server, from the list and from the engine itself. */
 struct ServerRow {
   BackendServer server;
-  std::uint32_t missing_reads = 0;
+  std::uint32_t missed_listings = 0;
   std::uint32_t failed_polls = 0;
   bool answers_polls = false;
   TimePoint last_word{};
