--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -156,7 +156,7 @@
 void InstanceControl::OnEngineAnswer(const BackendServerName& server,
                                      const Result<EngineState>& state) {
   if (!state) {
-    if (m_servers.OnEngineSilent(server)) {
+    if (m_servers.OnPollFailed(server)) {
       WantSnapshot(kPublishWithin);
     }
     return;
--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -120,7 +120,7 @@
   return changed;
 }
 
-bool ServerTable::OnEngineSilent(const BackendServerName& server) {
+bool ServerTable::OnPollFailed(const BackendServerName& server) {
   const auto found = m_rows.find(server);
   if (found == m_rows.end()) {
     return false;
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -38,7 +38,7 @@
   bool OnEngineState(const BackendServerName& server, const EngineState& state, TimePoint now);
 
   /** The engine did not answer. Returns whether its state changed. */
-  bool OnEngineSilent(const BackendServerName& server);
+  bool OnPollFailed(const BackendServerName& server);
 
   /** The engine's load, with any answer of its. */
   void OnLoad(const BackendServerName& server,
