--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -160,7 +160,7 @@
   TakeIfKnown(rates.prefill_tokens_per_second, load.prefill_tokens_per_second);
 }
 
-void ServerTable::NotePoll(const BackendServerName& server, TimePoint now) {
+void ServerTable::RecordPoll(const BackendServerName& server, TimePoint now) {
   const auto found = m_rows.find(server);
   if (found != m_rows.end()) {
     found->second.last_poll = now;
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -49,7 +49,7 @@
   /** How fast the server was measured to be; figures that are not known leave the old ones. */
   void OnRates(const BackendServerName& server, const ServerRatesReport& rates);
 
-  void NotePoll(const BackendServerName& server, TimePoint now);
+  void RecordPoll(const BackendServerName& server, TimePoint now);
 
   /** Live, suspect or gone; leaving is not decided here. @see LeavingTracker */
   BackendServerState StateOf(const ServerRow& row) const;
