--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -30,7 +30,7 @@
   std::set<BackendServerName> listed;
   for (const ListedServer& row : listing.servers) {
     listed.insert(row.server.name);
-    changed = TakeListed(row.server) || changed;
+    changed = ApplyListed(row.server) || changed;
   }
   changed = CountMissing(listed) || changed;
   ForgetGone();
@@ -40,7 +40,7 @@
   return changed;
 }
 
-bool ServerTable::TakeListed(const BackendServer& listed) {
+bool ServerTable::ApplyListed(const BackendServer& listed) {
   const auto [found, added] = m_rows.try_emplace(listed.name, ServerRow{listed});
   ServerRow& row = found->second;
   const bool was_missing = row.missed_listings >= kSuspectAfterMissing;
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -63,7 +63,7 @@
   std::uint64_t topology() const { return m_topology; }
 
  private:
-  bool TakeListed(const BackendServer& listed);
+  bool ApplyListed(const BackendServer& listed);
   bool CountMissing(const std::set<BackendServerName>& listed);
   void ForgetGone();
 
