--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -33,7 +33,7 @@
     changed = ApplyListed(row.server) || changed;
   }
   changed = CountMissing(listed) || changed;
-  ForgetGone();
+  RemoveGone();
   if (changed) {
     ++m_topology;
   }
@@ -89,7 +89,7 @@
   return changed;
 }
 
-void ServerTable::ForgetGone() {
+void ServerTable::RemoveGone() {
   std::erase_if(m_rows, [](const auto& entry) {
     const ServerRow& row = entry.second;
     return row.missed_listings >= kForgottenAfterMissing && !row.answers_polls;
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -65,7 +65,7 @@
  private:
   bool ApplyListed(const BackendServer& listed);
   bool CountMissing(const std::set<BackendServerName>& listed);
-  void ForgetGone();
+  void RemoveGone();
 
   std::map<BackendServerName, ServerRow> m_rows;
   std::uint64_t m_topology = 0;
