--- a/packages/zinnia_decisions/fleet_control/subset_selection.cc
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.cc
@@ -105,7 +105,7 @@
     by_domain[row == rows.end() ? "" : row->second.server.failure_domain].push_back(name);
   }
   for (const std::string& name : TakeTurns(by_domain)) {
-    if (chosen.size() >= kServersPerModel) {
+    if (chosen.size() >= kMaxServersPerModel) {
       return;
     }
     for (const PipelineStage& stage : by_name.at(name)->stages) {
@@ -134,7 +134,7 @@
                                             const Rows& rows,
                                             const Configuration& configuration,
                                             const Group& group) {
-  if (group.servers.size() <= kServersPerModel) {
+  if (group.servers.size() <= kMaxServersPerModel) {
     return group.servers;
   }
   std::set<BackendServerName> chosen;
@@ -144,7 +144,7 @@
     buckets[MixOf(rows.at(name), configuration)].push_back(std::move(name));
   }
   for (const std::string& name : TakeTurns(buckets)) {
-    if (chosen.size() >= kServersPerModel) {
+    if (chosen.size() >= kMaxServersPerModel) {
       break;
     }
     chosen.insert(name);
--- a/packages/zinnia_decisions/fleet_control/subset_selection.h
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.h
@@ -9,7 +9,7 @@
 namespace zinnia {
 
 /** Backend servers of one model that one instance speaks to, at most. */
-constexpr std::size_t kServersPerModel = 64;
+constexpr std::size_t kMaxServersPerModel = 64;
 
 /** Chooses the backend servers that an instance speaks to: all of a model with up to 64, else 64.
 
