--- a/packages/zinnia_decisions/fleet_control/snapshot_builder.cc
+++ b/packages/zinnia_decisions/fleet_control/snapshot_builder.cc
@@ -7,11 +7,11 @@
 namespace zinnia {
 namespace {
 
-using HeldKey = std::tuple<ModelName, std::string, std::uint32_t, std::uint32_t>;
+using LoadedRangeKey = std::tuple<ModelName, std::string, std::uint32_t, std::uint32_t>;
 
 /** The servers of the subset by what they hold. */
-std::map<HeldKey, std::vector<BackendServerName>> IndexHeld(const SnapshotInputs& inputs) {
-  std::map<HeldKey, std::vector<BackendServerName>> held;
+std::map<LoadedRangeKey, std::vector<BackendServerName>> IndexHeld(const SnapshotInputs& inputs) {
+  std::map<LoadedRangeKey, std::vector<BackendServerName>> held;
   for (const BackendServerName& name : inputs.subset) {
     const auto row = inputs.servers.rows().find(name);
     if (row != inputs.servers.rows().end() && row->second.server.loaded) {
