--- a/packages/zinnia_decisions/fleet_control/snapshot_builder.cc
+++ b/packages/zinnia_decisions/fleet_control/snapshot_builder.cc
@@ -10,7 +10,8 @@
 using LoadedRangeKey = std::tuple<ModelName, std::string, std::uint32_t, std::uint32_t>;
 
 /** The servers of the subset by what they hold. */
-std::map<LoadedRangeKey, std::vector<BackendServerName>> IndexHeld(const SnapshotInputs& inputs) {
+std::map<LoadedRangeKey, std::vector<BackendServerName>> IndexByLoadedRange(
+    const SnapshotInputs& inputs) {
   std::map<LoadedRangeKey, std::vector<BackendServerName>> held;
   for (const BackendServerName& name : inputs.subset) {
     const auto row = inputs.servers.rows().find(name);
@@ -70,7 +71,7 @@
   m_matched_topology = inputs.servers.topology();
   m_matched_subset = inputs.subset;
   m_pipelines.clear();
-  const auto held = IndexHeld(inputs);
+  const auto held = IndexByLoadedRange(inputs);
   for (const auto& [name, configured] : inputs.configuration->pipelines()) {
     Pipeline pipeline = configured;
     bool any = false;
