--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -310,7 +310,7 @@
 
 void InstanceControl::ChooseSubset() {
   m_subset_configuration = m_configuration.Current();
-  m_subset = ChooseServers(m_membership.Self().name, m_servers.rows(), *m_configuration.Current());
+  m_subset = SelectServers(m_membership.Self().name, m_servers.rows(), *m_configuration.Current());
   std::set<BackendServerName> engines = m_subset;
   for (const auto& [name, service] : m_configuration.Current()->services()) {
     for (const BackendServerName& server : service.servers) {
--- a/packages/zinnia_decisions/fleet_control/subset_selection.cc
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.cc
@@ -154,7 +154,7 @@
 
 }  // namespace
 
-std::set<BackendServerName> ChooseServers(const InstanceName& self,
+std::set<BackendServerName> SelectServers(const InstanceName& self,
                                           const std::map<BackendServerName, ServerRow>& rows,
                                           const Configuration& configuration) {
   std::set<BackendServerName> chosen;
--- a/packages/zinnia_decisions/fleet_control/subset_selection.h
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.h
@@ -19,7 +19,7 @@
    rest are mixed over failure domains, accelerator kinds and layer ranges. Servers of plain
    services are grouped by service in the same way; servers that no configuration names, by pool.
 */
-std::set<BackendServerName> ChooseServers(const InstanceName& self,
+std::set<BackendServerName> SelectServers(const InstanceName& self,
                                           const std::map<BackendServerName, ServerRow>& rows,
                                           const Configuration& configuration);
 
--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -266,9 +266,9 @@
   std::map<BackendServerName, int> chosen;
   for (int instance = 0; instance < 100; ++instance) {
     const std::string name = fmt::format("instance-{}", instance);
-    const auto subset = ChooseServers(name, rows, {});
+    const auto subset = SelectServers(name, rows, {});
     CHECK_EQUAL(64, subset.size());
-    CHECK_TRUE(subset == ChooseServers(name, rows, {}));
+    CHECK_TRUE(subset == SelectServers(name, rows, {}));
     std::map<std::string, int> mix;
     for (const BackendServerName& server : subset) {
       ++chosen[server];
