--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -139,7 +139,7 @@
   std::vector<InstanceRow> LiveInstanceRows() const;
   const LeavingTracker& LeavingServers() const { return m_leaving; }
   std::vector<QuarantineRow> QuarantineRows() const;
-  bool HoldsConfigurationWatch() const { return m_configuration.IsStoreWatcher(); }
+  bool IsStoreWatcher() const { return m_configuration.IsStoreWatcher(); }
 
   void OnProbe(const ProbeMessage& message) override;
   ConfigurationDelta OnFetchConfiguration(ConfigurationRevision after) override;
--- a/tests/control/configuration_test.cc
+++ b/tests/control/configuration_test.cc
@@ -221,7 +221,7 @@
 TEST(Configuration, FewInstancesWatchTheStore) {
   std::size_t holders = 0;
   for (std::size_t index = 0; index < 6; ++index) {
-    holders += fleet.At(index).HoldsConfigurationWatch() ? 1 : 0;
+    holders += fleet.At(index).IsStoreWatcher() ? 1 : 0;
   }
   LONGS_EQUAL(6, holders);
   ControlFleet larger(30);
@@ -229,7 +229,7 @@
   larger.time.AdvanceBy(seconds(10));
   holders = 0;
   for (std::size_t index = 0; index < 30; ++index) {
-    holders += larger.At(index).HoldsConfigurationWatch() ? 1 : 0;
+    holders += larger.At(index).IsStoreWatcher() ? 1 : 0;
   }
   LONGS_EQUAL(6, holders);
 }
