--- a/packages/zinnia_decisions/fleet_control/engine_poller.h
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.h
@@ -11,16 +11,12 @@
 
 namespace zinnia {
 
-/** How often engines are asked for their state. */
 struct EnginePollSettings {
   Duration interval = std::chrono::seconds(1);
   std::size_t max_polls_per_second = 32;
 };
 
-/** Asks the engines of the subset for their state in turn, at a bounded rate whatever their number.
-
-    With many servers each is asked less often by one instance, but by more instances.
-*/
+/** Polls the engines of the subset for their state in turn, at a bounded total rate. */
 class EnginePoller {
  public:
   using Answer = std::function<void(const BackendServerName&, const Result<EngineState>&)>;
@@ -32,10 +28,10 @@
 
   void Start();
 
-  /** Servers to ask from now on. New ones are asked first. */
+  /** Replaces the servers to poll. New ones are polled first. */
   void SetServers(std::set<BackendServerName> servers);
 
-  /** Whether every server has answered, or failed to, since it was given to SetServers. */
+  /** Whether the first poll of every server has completed or failed. */
   bool HasPolledAll() const { return m_awaiting_first_answer.empty(); }
 
  private:
--- a/packages/zinnia_decisions/fleet_control/leaving_tracker.h
+++ b/packages/zinnia_decisions/fleet_control/leaving_tracker.h
@@ -10,30 +10,30 @@
 
 namespace zinnia {
 
-/** Where the first sign that a backend server leaves came from. */
+/** The source of the first report that a backend server is leaving. */
 enum class LeavingSource { kList, kEngine, kOperator, kPeer };
 
 std::string_view NameOf(LeavingSource source);
 
-/** One row for operators. */
+/** A row of the operators' view of leaving servers. */
 struct LeavingMark {
   std::uint64_t incarnation = 0;
   LeavingSource source = LeavingSource::kList;
   TimePoint since{};
 };
 
-/** Remembers which backend servers are leaving, from the first sign of any source.
+/** Tracks which backend servers are leaving, from the first report of any source.
 
-    A mark holds for one incarnation and is never taken back: a list that lags or flaps, or an
-    engine that changes its mind, cannot bring new work to a server that is about to stop. Only a
-    higher incarnation, which is a restarted server, starts clean. An operator's drain is different:
-    it holds for all incarnations and ends when the configuration no longer says it.
+    A mark applies to one incarnation and is never cleared, so that a stale or flapping list or
+    engine cannot direct new work to a server that is about to stop. A restarted server has a higher
+    incarnation and no mark. An operator's drain applies to all incarnations until it is removed
+   from the configuration.
 
-    Bounded: when full, the oldest mark goes; the list and the engine would give it again.
+    Bounded: when full, the oldest mark is evicted; the list or the engine reports it again.
 */
 class LeavingTracker {
  public:
-  /** Marks that incarnation. Returns whether it was news, to be passed on. */
+  /** Marks an incarnation as leaving. Returns whether the mark is new and should be forwarded. */
   bool Mark(const BackendServerName& server,
             std::uint64_t incarnation,
             LeavingSource source,
@@ -42,7 +42,7 @@
   /** Replaces the operators' drains. Returns whether they changed. */
   bool SetDrains(std::set<BackendServerName> drains);
 
-  /** Whether the server, whose highest known incarnation is given, may get no new work. */
+  /** Whether the server must get no new work. `incarnation` is its highest known incarnation. */
   bool IsLeaving(const BackendServerName& server, std::uint64_t incarnation) const;
 
   const std::map<BackendServerName, LeavingMark>& marks() const { return m_marks; }
--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kSuspectAfterFailedPolls = 2;
 constexpr std::uint32_t kForgottenAfterMissing = 600;
 
-/** With fewer of the known servers on the list than this share, the list itself is in doubt. */
+/** A list with a smaller share of the known servers is considered faulty. */
 constexpr double kCredibleShare = 0.5;
 
 template <typename Figure>
@@ -69,8 +69,8 @@
   return true;
 }
 
-// Never counts past the suspicion while most servers are missing: it is the list that failed then,
-// and a fleet emptied by it would refuse every request.
+// While most servers are missing, the list is considered faulty and servers become at most suspect;
+// otherwise a faulty list would empty the fleet and every request would be refused.
 bool ServerTable::CountMissing(const std::set<BackendServerName>& listed) {
   const bool credible =
       static_cast<double>(listed.size()) >= kCredibleShare * static_cast<double>(m_rows.size());
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -11,7 +11,7 @@
 
 struct ServerRatesReport;
 
-/** What is known of one backend server, from the list and from the engine itself. */
+/** The last known state of a backend server, from the platform's list and from its engine. */
 struct ServerRow {
   BackendServer server;
   std::uint32_t missed_listings = 0;
@@ -23,35 +23,35 @@
   ServerLoad load;
 };
 
-/** All backend servers of the platform's list, with what their engines said.
+/** All backend servers of the platform's list, with the state reported by their engines.
 
-    The list is a hint: a server that is missing from it becomes suspect after some reads, and gone
-    only if its engine does not answer either; a list that loses most of its rows at once makes
-    nobody gone. An incarnation only moves up, whatever an older list says later.
+    The list is only a hint: a server missing from several reads becomes suspect, and gone only if
+    its engine does not answer either. A list that loses most of its rows at once makes no server
+    gone. Incarnations never decrease, even if a later read is stale.
 */
 class ServerTable {
  public:
-  /** Takes in a read of the list. Returns whether servers or their states changed. */
+  /** Applies a read of the list. Returns whether servers or their states changed. */
   bool OnListing(const InstanceListing& listing);
 
-  /** Takes in an engine's word. Returns whether what it holds or its state changed. */
+  /** Applies an engine's state. Returns whether its loaded range or its state changed. */
   bool OnEngineState(const BackendServerName& server, const EngineState& state, TimePoint now);
 
-  /** The engine did not answer. Returns whether its state changed. */
+  /** Counts a failed poll. Returns whether the server's state changed. */
   bool OnPollFailed(const BackendServerName& server);
 
-  /** The engine's load, with any answer of its. */
+  /** Stores the load that came with an engine's answer. */
   void OnLoad(const BackendServerName& server,
               std::uint32_t running,
               std::uint32_t queued,
               TimePoint now);
 
-  /** How fast the server was measured to be; figures that are not known leave the old ones. */
+  /** Stores measured rates; unknown ones keep their previous values. */
   void OnRates(const BackendServerName& server, const ServerRatesReport& rates);
 
   void RecordPoll(const BackendServerName& server, TimePoint now);
 
-  /** Live, suspect or gone; leaving is not decided here. @see LeavingTracker */
+  /** Live, suspect or gone; never leaving. @see LeavingTracker */
   BackendServerState StateOf(const ServerRow& row) const;
 
   /** The highest known incarnation, or 0. */
@@ -59,7 +59,7 @@
 
   const std::map<BackendServerName, ServerRow>& rows() const { return m_rows; }
 
-  /** Counts up whenever servers come, go, move or change what they hold. */
+  /** Incremented whenever servers are added, removed, moved or load another range. */
   std::uint64_t topology() const { return m_topology; }
 
  private:
--- a/packages/zinnia_decisions/fleet_control/snapshot_builder.cc
+++ b/packages/zinnia_decisions/fleet_control/snapshot_builder.cc
@@ -9,7 +9,7 @@
 
 using LoadedRangeKey = std::tuple<ModelName, std::string, std::uint32_t, std::uint32_t>;
 
-/** The servers of the subset by what they hold. */
+/** The servers of the subset by loaded range. */
 std::map<LoadedRangeKey, std::vector<BackendServerName>> IndexByLoadedRange(
     const SnapshotInputs& inputs) {
   std::map<LoadedRangeKey, std::vector<BackendServerName>> held;
--- a/packages/zinnia_decisions/fleet_control/snapshot_builder.h
+++ b/packages/zinnia_decisions/fleet_control/snapshot_builder.h
@@ -10,7 +10,6 @@
 
 namespace zinnia {
 
-/** What a snapshot is made of. */
 struct SnapshotInputs {
   const ServerTable& servers;
   const LeavingTracker& leaving;
@@ -21,8 +20,8 @@
   TimePoint now{};
 };
 
-/** Builds fleet snapshots; keeps the pipelines of the last one while nothing they depend on
-   changed, because matching pipelines with servers costs far more than copying loads.
+/** Builds fleet snapshots. Reuses the previous pipelines while their inputs are unchanged, because
+    matching pipelines with servers is expensive.
 
     @see FleetSnapshot, InstanceControl
 */
--- a/packages/zinnia_decisions/fleet_control/subset_selection.cc
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.cc
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kReplicasPerStage = 4;
 
-/** Servers that stand in for each other, and the pipelines over them. */
+/** Servers of one model, service or pool, and the pipelines of the model. */
 struct Group {
   std::set<BackendServerName> servers;
   std::vector<const Pipeline*> pipelines;
@@ -56,7 +56,7 @@
   return groups;
 }
 
-/** Names in the instance's own order of preference. */
+/** Sorts names by descending rendezvous weight for the instance. */
 std::vector<std::string> InOwnOrder(const InstanceName& self, std::vector<std::string> names) {
   std::vector<std::pair<std::uint64_t, std::string>> weighted;
   weighted.reserve(names.size());
@@ -72,7 +72,7 @@
   return names;
 }
 
-/** Takes names turn by turn from their buckets, so that no bucket is left out. */
+/** Interleaves the buckets round-robin. */
 std::vector<std::string> TakeTurns(const std::map<std::string, std::vector<std::string>>& buckets) {
   std::vector<std::string> mixed;
   bool found = true;
--- a/packages/zinnia_decisions/fleet_control/subset_selection.h
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.h
@@ -8,16 +8,16 @@
 
 namespace zinnia {
 
-/** Backend servers of one model that one instance speaks to, at most. */
+/** The limit on the backend servers of one model that an instance connects to. */
 constexpr std::size_t kMaxServersPerModel = 64;
 
-/** Chooses the backend servers that an instance speaks to: all of a model with up to 64, else 64.
+/** Selects the backend servers that an instance connects to, about kMaxServersPerModel per model.
 
-    Rendezvous hashing on the instance's name makes the choice the same after a restart, moves
-   little when servers come and go, and makes the subsets of all instances overlap evenly. Whole
-   pipelines are taken first, because a pipeline with one stage outside the subset is of no use; the
-   rest are mixed over failure domains, accelerator kinds and layer ranges. Servers of plain
-   services are grouped by service in the same way; servers that no configuration names, by pool.
+    Rendezvous hashing on the instance's name keeps the selection stable across restarts and changes
+    of the fleet, and distributes instances evenly over servers. Whole pipelines are selected first,
+    because a pipeline with a stage outside the subset is unusable; the rest is balanced over
+   failure domains, accelerator kinds and layer ranges. Servers of plain services are grouped by
+   service, and servers that are not in the configuration by pool.
 */
 std::set<BackendServerName> SelectServers(const InstanceName& self,
                                           const std::map<BackendServerName, ServerRow>& rows,
