--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -149,7 +149,7 @@
   }
   if (changed) {
     ChooseSubset();
-    WantSnapshot(kPublishWithin);
+    RequestSnapshot(kPublishWithin);
   }
 }
 
@@ -157,7 +157,7 @@
                                      const Result<EngineState>& state) {
   if (!state) {
     if (m_servers.OnPollFailed(server)) {
-      WantSnapshot(kPublishWithin);
+      RequestSnapshot(kPublishWithin);
     }
     return;
   }
@@ -167,7 +167,7 @@
   if (m_servers.OnEngineState(server, *state, m_ports.clock.Now())) {
     // Matching pipelines anew for each answer would take a whole core while a new instance learns
     // what hundreds of engines hold.
-    WantSnapshot(PublishLoadsWithin());
+    RequestSnapshot(PublishLoadsWithin());
   }
 }
 
@@ -175,13 +175,13 @@
                                        std::uint32_t running,
                                        std::uint32_t queued) {
   m_servers.OnLoad(server, running, queued, m_ports.clock.Now());
-  WantSnapshot(PublishLoadsWithin());
+  RequestSnapshot(PublishLoadsWithin());
 }
 
 void InstanceControl::ReportServerRates(const BackendServerName& server,
                                         const ServerRatesReport& rates) {
   m_servers.OnRates(server, rates);
-  WantSnapshot(kPublishLoadsWithin);
+  RequestSnapshot(kPublishLoadsWithin);
 }
 
 void InstanceControl::ReportServerLeaving(const BackendServerName& server) {
@@ -202,7 +202,7 @@
        {{"incarnation", std::to_string(incarnation)}, {"source", std::string(NameOf(source))}}});
   m_membership.SendUrgently(LeavingRumour{server, incarnation}, source != LeavingSource::kPeer,
                             true);
-  WantSnapshot(kPublishWithin);
+  RequestSnapshot(kPublishWithin);
 }
 
 std::vector<CrashRumour> InstanceControl::CrashRumours(const BackendServerName& server,
@@ -288,7 +288,7 @@
   if (SubsetDependsOn(configuration)) {
     ChooseSubset();
   }
-  WantSnapshot(kPublishWithin);
+  RequestSnapshot(kPublishWithin);
 }
 
 void InstanceControl::OnMembershipChanged() {
@@ -296,7 +296,7 @@
   if (!m_quarantine.IsEmpty()) {
     PublishQuarantine();
   }
-  WantSnapshot(PublishLoadsWithin());
+  RequestSnapshot(PublishLoadsWithin());
 }
 
 // Grouping all servers anew for each change of a contract would be the control thread's largest
@@ -320,7 +320,7 @@
   m_poller.SetServers(std::move(engines));
 }
 
-void InstanceControl::WantSnapshot(Duration within) {
+void InstanceControl::RequestSnapshot(Duration within) {
   const TimePoint due = m_ports.clock.Now() + within;
   if (m_snapshot_call && m_snapshot_due <= due) {
     return;
@@ -353,7 +353,7 @@
   }
   m_ready = m_poller.HasPolledAll() || now - *m_waits_for_engines_since >= kLongestWaitForEngines;
   if (!m_ready) {
-    WantSnapshot(kReadinessInterval);
+    RequestSnapshot(kReadinessInterval);
   }
 }
 
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -175,7 +175,7 @@
   void ChooseSubset();
   Duration ListInterval() const;
   Duration PublishLoadsWithin() const;
-  void WantSnapshot(Duration within);
+  void RequestSnapshot(Duration within);
   void PublishSnapshot();
   void UpdateReadiness();
 
