--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -228,7 +228,7 @@
 void InstanceControl::ReportServerCrash(const BackendServerName& server,
                                         const InFlightAtCrash& in_flight) {
   for (const CrashRumour& rumour : CrashRumours(server, in_flight)) {
-    TakeCrash(rumour, true);
+    ApplyCrash(rumour, true);
   }
 }
 
@@ -240,7 +240,7 @@
   m_crash_announcer.Announce(std::move(rumours), std::move(peers_know));
 }
 
-void InstanceControl::TakeCrash(const CrashRumour& rumour, bool originated_here) {
+void InstanceControl::ApplyCrash(const CrashRumour& rumour, bool originated_here) {
   CrashRumour forwarded = rumour;
   forwarded.fingerprints = m_quarantine.OnCrash(rumour, m_ports.clock.Now());
   if (forwarded.fingerprints.empty()) {
@@ -408,7 +408,7 @@
   if (const auto* leaving = std::get_if<LeavingRumour>(&rumour)) {
     MarkLeaving(leaving->server, leaving->incarnation, LeavingSource::kPeer);
   } else if (const auto* crash = std::get_if<CrashRumour>(&rumour)) {
-    TakeCrash(*crash, false);
+    ApplyCrash(*crash, false);
   } else if (const auto* change = std::get_if<ConfigurationRumour>(&rumour)) {
     m_configuration.OnRumour(change->delta, sender);
   }
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -168,7 +168,7 @@
                    LeavingSource source);
   std::vector<CrashRumour> CrashRumours(const BackendServerName& server,
                                         const InFlightAtCrash& in_flight) const;
-  void TakeCrash(const CrashRumour& rumour, bool originated_here);
+  void ApplyCrash(const CrashRumour& rumour, bool originated_here);
   void TickQuarantine();
   void PublishQuarantine();
   bool SubsetDependsOn(const Configuration& configuration) const;
