--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -77,7 +77,7 @@
       m_snapshot(std::make_shared<const FleetSnapshot>(
           FleetSnapshot{.own_failure_domain = m_settings.membership.self.failure_domain,
                         .configuration = std::make_shared<const Configuration>()})),
-      m_quarantine_picture(std::make_shared<const QuarantineSnapshot>()) {
+      m_quarantine_snapshot(std::make_shared<const QuarantineSnapshot>()) {
   m_membership.AddListener(*this);
   m_configuration.AddListener(*this);
 }
@@ -274,7 +274,7 @@
 }
 
 void InstanceControl::PublishQuarantine() {
-  m_quarantine_picture.store(m_quarantine.BuildSnapshot(m_ports.clock.Now()));
+  m_quarantine_snapshot.store(m_quarantine.BuildSnapshot(m_ports.clock.Now()));
 }
 
 void InstanceControl::OnConfigurationChanged(const Configuration& configuration) {
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -96,7 +96,7 @@
   /** The picture to route by. @see SnapshotListener */
   std::shared_ptr<const FleetSnapshot> Current() const override { return m_snapshot.load(); }
   std::shared_ptr<const QuarantineSnapshot> Quarantine() const {
-    return m_quarantine_picture.load();
+    return m_quarantine_snapshot.load();
   }
   void AddSnapshotListener(SnapshotListener& listener);
   void RemoveSnapshotListener(SnapshotListener& listener);
@@ -199,7 +199,7 @@
   std::shared_ptr<const Configuration> m_subset_configuration;
   std::vector<SnapshotListener*> m_snapshot_listeners;
   std::atomic<std::shared_ptr<const FleetSnapshot>> m_snapshot;
-  std::atomic<std::shared_ptr<const QuarantineSnapshot>> m_quarantine_picture;
+  std::atomic<std::shared_ptr<const QuarantineSnapshot>> m_quarantine_snapshot;
 
   TimePoint m_snapshot_due{};
   std::unique_ptr<ScheduledCall> m_snapshot_call;
