--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -20,7 +20,7 @@
 constexpr Duration kPublishLoadsPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerInstance = std::chrono::milliseconds(20);
-constexpr Duration kLongestWaitForEngines = std::chrono::seconds(10);
+constexpr Duration kEngineWaitTimeout = std::chrono::seconds(10);
 constexpr Duration kReadinessInterval = std::chrono::milliseconds(250);
 constexpr Duration kQuarantineTick = std::chrono::seconds(1);
 constexpr std::size_t kFingerprintsInRumour = 40;
@@ -351,7 +351,7 @@
   if (!m_waits_for_engines_since) {
     m_waits_for_engines_since = now;
   }
-  m_ready = m_poller.HasPolledAll() || now - *m_waits_for_engines_since >= kLongestWaitForEngines;
+  m_ready = m_poller.HasPolledAll() || now - *m_waits_for_engines_since >= kEngineWaitTimeout;
   if (!m_ready) {
     RequestSnapshot(kReadinessInterval);
   }
