--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -24,7 +24,7 @@
 constexpr Duration kReadinessInterval = std::chrono::milliseconds(250);
 constexpr Duration kQuarantineTick = std::chrono::seconds(1);
 constexpr std::size_t kFingerprintsInRumour = 40;
-constexpr std::size_t kMostRumoursForNewcomer = 512;
+constexpr std::size_t kMaxInitialRumours = 512;
 
 Result<void> CheckSettings(const InstanceControlSettings& settings) {
   const Instance& self = settings.membership.self;
@@ -425,7 +425,7 @@
   }
   for (const auto& [server, mark] : m_leaving.marks()) {
     const bool current = mark.incarnation >= m_servers.IncarnationOf(server);
-    if (current && rumours.size() < kMostRumoursForNewcomer) {
+    if (current && rumours.size() < kMaxInitialRumours) {
       rumours.emplace_back(LeavingRumour{server, mark.incarnation});
     }
   }
