--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -348,10 +348,10 @@
     return;
   }
   const TimePoint now = m_ports.clock.Now();
-  if (!m_waits_for_engines_since) {
-    m_waits_for_engines_since = now;
+  if (!m_engine_wait_started) {
+    m_engine_wait_started = now;
   }
-  m_ready = m_poller.HasPolledAll() || now - *m_waits_for_engines_since >= kEngineWaitTimeout;
+  m_ready = m_poller.HasPolledAll() || now - *m_engine_wait_started >= kEngineWaitTimeout;
   if (!m_ready) {
     RequestSnapshot(kReadinessInterval);
   }
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -192,7 +192,7 @@
   IntentHandler* m_intent_handler = nullptr;
 
   bool m_list_was_read = false;
-  std::optional<TimePoint> m_waits_for_engines_since;
+  std::optional<TimePoint> m_engine_wait_started;
   bool m_ready = false;
   std::size_t m_repair_turn = 0;
   std::set<BackendServerName> m_subset;
