--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -15,7 +15,7 @@
 namespace zinnia {
 namespace {
 
-constexpr Duration kPublishWithin = std::chrono::milliseconds(50);
+constexpr Duration kSnapshotDelay = std::chrono::milliseconds(50);
 constexpr Duration kPublishLoadsWithin = std::chrono::milliseconds(250);
 constexpr Duration kPublishLoadsPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerServer = std::chrono::microseconds(500);
@@ -149,7 +149,7 @@
   }
   if (changed) {
     ChooseSubset();
-    RequestSnapshot(kPublishWithin);
+    RequestSnapshot(kSnapshotDelay);
   }
 }
 
@@ -157,7 +157,7 @@
                                      const Result<EngineState>& state) {
   if (!state) {
     if (m_servers.OnPollFailed(server)) {
-      RequestSnapshot(kPublishWithin);
+      RequestSnapshot(kSnapshotDelay);
     }
     return;
   }
@@ -202,7 +202,7 @@
        {{"incarnation", std::to_string(incarnation)}, {"source", std::string(NameOf(source))}}});
   m_membership.SendUrgently(LeavingRumour{server, incarnation}, source != LeavingSource::kPeer,
                             true);
-  RequestSnapshot(kPublishWithin);
+  RequestSnapshot(kSnapshotDelay);
 }
 
 std::vector<CrashRumour> InstanceControl::CrashRumours(const BackendServerName& server,
@@ -288,7 +288,7 @@
   if (SubsetDependsOn(configuration)) {
     ChooseSubset();
   }
-  RequestSnapshot(kPublishWithin);
+  RequestSnapshot(kSnapshotDelay);
 }
 
 void InstanceControl::OnMembershipChanged() {
