--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Duration kSnapshotDelay = std::chrono::milliseconds(50);
-constexpr Duration kPublishLoadsWithin = std::chrono::milliseconds(250);
+constexpr Duration kLoadSnapshotDelay = std::chrono::milliseconds(250);
 constexpr Duration kPublishLoadsPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerInstance = std::chrono::milliseconds(20);
@@ -130,7 +130,7 @@
 }
 
 Duration InstanceControl::PublishLoadsWithin() const {
-  return kPublishLoadsWithin + kPublishLoadsPerServer * static_cast<std::int64_t>(m_subset.size());
+  return kLoadSnapshotDelay + kPublishLoadsPerServer * static_cast<std::int64_t>(m_subset.size());
 }
 
 void InstanceControl::OnListing(const Result<InstanceListing>& listing) {
@@ -181,7 +181,7 @@
 void InstanceControl::ReportServerRates(const BackendServerName& server,
                                         const ServerRatesReport& rates) {
   m_servers.OnRates(server, rates);
-  RequestSnapshot(kPublishLoadsWithin);
+  RequestSnapshot(kLoadSnapshotDelay);
 }
 
 void InstanceControl::ReportServerLeaving(const BackendServerName& server) {
