--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -129,7 +129,7 @@
                    kListIntervalPerServer * servers});
 }
 
-Duration InstanceControl::PublishLoadsWithin() const {
+Duration InstanceControl::LoadSnapshotDelay() const {
   return kLoadSnapshotDelay + kPublishLoadsPerServer * static_cast<std::int64_t>(m_subset.size());
 }
 
@@ -167,7 +167,7 @@
   if (m_servers.OnEngineState(server, *state, m_ports.clock.Now())) {
     // Matching pipelines anew for each answer would take a whole core while a new instance learns
     // what hundreds of engines hold.
-    RequestSnapshot(PublishLoadsWithin());
+    RequestSnapshot(LoadSnapshotDelay());
   }
 }
 
@@ -175,7 +175,7 @@
                                        std::uint32_t running,
                                        std::uint32_t queued) {
   m_servers.OnLoad(server, running, queued, m_ports.clock.Now());
-  RequestSnapshot(PublishLoadsWithin());
+  RequestSnapshot(LoadSnapshotDelay());
 }
 
 void InstanceControl::ReportServerRates(const BackendServerName& server,
@@ -296,7 +296,7 @@
   if (!m_quarantine.IsEmpty()) {
     PublishQuarantine();
   }
-  RequestSnapshot(PublishLoadsWithin());
+  RequestSnapshot(LoadSnapshotDelay());
 }
 
 // Grouping all servers anew for each change of a contract would be the control thread's largest
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -174,7 +174,7 @@
   bool SubsetDependsOn(const Configuration& configuration) const;
   void ChooseSubset();
   Duration ListInterval() const;
-  Duration PublishLoadsWithin() const;
+  Duration LoadSnapshotDelay() const;
   void RequestSnapshot(Duration within);
   void PublishSnapshot();
   void UpdateReadiness();
