--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -17,7 +17,7 @@
 
 constexpr Duration kSnapshotDelay = std::chrono::milliseconds(50);
 constexpr Duration kLoadSnapshotDelay = std::chrono::milliseconds(250);
-constexpr Duration kPublishLoadsPerServer = std::chrono::microseconds(500);
+constexpr Duration kLoadSnapshotDelayPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerInstance = std::chrono::milliseconds(20);
 constexpr Duration kEngineWaitTimeout = std::chrono::seconds(10);
@@ -130,7 +130,8 @@
 }
 
 Duration InstanceControl::LoadSnapshotDelay() const {
-  return kLoadSnapshotDelay + kPublishLoadsPerServer * static_cast<std::int64_t>(m_subset.size());
+  return kLoadSnapshotDelay +
+         kLoadSnapshotDelayPerServer * static_cast<std::int64_t>(m_subset.size());
 }
 
 void InstanceControl::OnListing(const Result<InstanceListing>& listing) {
