--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -235,10 +235,10 @@
 
 void InstanceControl::ReportServerCrash(const BackendServerName& server,
                                         const InFlightAtCrash& in_flight,
-                                        std::function<void()> peers_know) {
+                                        std::function<void()> on_peers_informed) {
   std::vector<CrashRumour> rumours = CrashRumours(server, in_flight);
   ReportServerCrash(server, in_flight);
-  m_crash_announcer.Announce(std::move(rumours), std::move(peers_know));
+  m_crash_announcer.Announce(std::move(rumours), std::move(on_peers_informed));
 }
 
 void InstanceControl::ApplyCrash(const CrashRumour& rumour, bool originated_here) {
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -130,7 +130,7 @@
       may one of those requests be tried again. */
   void ReportServerCrash(const BackendServerName& server,
                          const InFlightAtCrash& in_flight,
-                         std::function<void()> peers_know);
+                         std::function<void()> on_peers_informed);
 
   /** @see CrashQuarantine::Claim */
   bool ClaimSuspect(const Fingerprint& fingerprint);
