--- a/packages/zinnia_decisions/control/callback_guard.h
+++ b/packages/zinnia_decisions/control/callback_guard.h
@@ -5,10 +5,9 @@
 
 namespace zinnia {
 
-/** Makes callbacks do nothing once their owner is gone.
+/** Disables callbacks after their owner is destroyed.
 
-    Answers of the store, the list, engines and peers may come after the object that asked was
-    destroyed. Keep one as the last member and wrap every callback that captures `this`.
+    Make it the last member and wrap every asynchronous callback that captures `this`.
 */
 class CallbackGuard {
  public:
--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -120,8 +120,8 @@
       m_guard.Wrap([this](const Result<InstanceListing>& listing) { OnListing(listing); }));
 }
 
-// With many instances each reads less often: whoever reads a sign first tells the others, and the
-// platform's list would not stand hundreds of full reads a second.
+// Bounds the fleet's total rate of list reads: changes found by one instance are sent to the
+// others.
 Duration InstanceControl::ListInterval() const {
   const auto live = static_cast<std::int64_t>(m_membership.table().LiveCount() + 1);
   const auto servers = static_cast<std::int64_t>(m_servers.rows().size());
@@ -166,8 +166,8 @@
     MarkLeaving(server, state->incarnation, LeavingSource::kEngine);
   }
   if (m_servers.OnEngineState(server, *state, m_ports.clock.Now())) {
-    // Matching pipelines anew for each answer would take a whole core while a new instance learns
-    // what hundreds of engines hold.
+    // Batches answers: matching pipelines for each one would take a whole core while a new instance
+    // polls hundreds of engines for the first time.
     RequestSnapshot(LoadSnapshotDelay());
   }
 }
@@ -300,8 +300,7 @@
   RequestSnapshot(LoadSnapshotDelay());
 }
 
-// Grouping all servers anew for each change of a contract would be the control thread's largest
-// cost.
+// Avoids regrouping all servers when a change concerns only contracts.
 bool InstanceControl::SubsetDependsOn(const Configuration& configuration) const {
   return !m_subset_configuration ||
          m_subset_configuration->pipelines() != configuration.pipelines() ||
@@ -450,7 +449,7 @@
 }
 
 void InstanceControl::PublishDelta(const ConfigurationDelta& delta, bool originated_here) {
-  // Not queued: whoever misses it sees the higher revision in a probe and fetches.
+  // Not queued: an instance that misses it sees the higher revision in a probe and fetches it.
   m_membership.SendUrgently(ConfigurationRumour{delta}, originated_here, false);
 }
 
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -30,7 +30,6 @@
 struct InFlightAtCrash;
 struct ServerRatesReport;
 
-/** Settings of the control core. */
 struct InstanceControlSettings {
   MembershipSettings membership;
   QuarantineSettings quarantine;
@@ -38,7 +37,7 @@
   Duration list_interval = std::chrono::seconds(2);
 };
 
-/** The outside world of the control core. All must outlive it. */
+/** Dependencies of the control core, which must outlive it. */
 struct InstanceControlPorts {
   Clock& clock;
   Scheduler& scheduler;
@@ -51,14 +50,14 @@
   std::uint64_t seed = 0;
 };
 
-/** Hears of each newly published snapshot. Called on the control thread. */
+/** Notified of each published snapshot, on the control thread. */
 class SnapshotListener {
  public:
   virtual ~SnapshotListener() = default;
   virtual void OnSnapshot(std::shared_ptr<const FleetSnapshot> snapshot) = 0;
 };
 
-/** A live instance with the revision that it told last. */
+/** A live instance and its last reported configuration revision. */
 struct InstanceRow {
   Instance instance;
   MemberState state = MemberState::kAlive;
@@ -66,10 +65,10 @@
 };
 
 /** The control core of an instance: membership, configuration, leaving servers, quarantine, and the
-    fleet snapshot that traffic works from.
+    fleet snapshot used for routing.
 
-    Everything but Current() and Quarantine() belongs to the control thread; traffic threads post
-    their reports to it. Create, SetIntentHandler, Start; StopPlanned before a planned stop.
+    Only Current() and Quarantine() may be called on other threads than the control thread. Call
+    SetIntentHandler before Start, and StopPlanned before a planned stop.
 
     @see GossipMembership, ConfigurationKeeper, LeavingTracker, CrashQuarantine, FleetSnapshot
 */
@@ -80,20 +79,20 @@
                               private ConfigurationListener,
                               private MembershipListener {
  public:
-  /** Fails with kInvalidSettings naming the field. */
+  /** Fails with kInvalidSettings, naming the missing field. */
   static Result<std::unique_ptr<InstanceControl>> Create(InstanceControlSettings settings,
                                                          InstanceControlPorts ports);
   ~InstanceControl() override;
 
   void Start();
 
-  /** Tells the other instances that this one leaves, then calls back. It answers peers until it is
-      destroyed, but sends nothing more. */
+  /** Announces to the other instances that this one leaves, then calls `callback`. Calls from peers
+      are still answered until destruction; probes are neither sent nor answered. */
   void StopPlanned(std::function<void()> callback);
 
   void SetIntentHandler(IntentHandler* handler) { m_intent_handler = handler; }
 
-  /** The picture to route by. @see SnapshotListener */
+  /** The latest snapshot, for routing. @see SnapshotListener */
   std::shared_ptr<const FleetSnapshot> Current() const override { return m_snapshot.load(); }
   std::shared_ptr<const QuarantineSnapshot> Quarantine() const {
     return m_quarantine_snapshot.load();
@@ -102,32 +101,32 @@
   void RemoveSnapshotListener(SnapshotListener& listener);
 
   /** Whether callers can be served: a configuration is in force, the platform's list was read, and
-      the engines have told what they hold (or had ten seconds to). Stays true once it was.
+      all engines were polled or the wait for them timed out. Never becomes false again.
 
-      Without the last, a new instance refuses its first callers with kNoPipeline, though all others
-      could serve them. */
+      Without waiting for engines, a new instance would refuse its first callers with kNoPipeline.
+   */
   bool IsReady() const { return m_ready; }
 
   MembershipView& Membership() { return m_membership; }
   ConfigurationView& ConfigurationInForce() { return m_configuration; }
   void ChangeConfiguration(ConfigurationChange change, ConfigurationAcceptance::Callback callback);
 
-  /** An engine's answer told its load. */
+  /** Reports the load that came with an engine's answer. */
   void ReportServerLoad(const BackendServerName& server,
                         std::uint32_t running,
                         std::uint32_t queued);
 
-  /** The links measured how fast a server is. */
+  /** Reports rates measured by the engine links. */
   void ReportServerRates(const BackendServerName& server, const ServerRatesReport& rates);
 
-  /** An engine answered that it is leaving. */
+  /** Reports that an engine answered that it is leaving. */
   void ReportServerLeaving(const BackendServerName& server);
 
-  /** A server crashed while these requests of this instance were in flight at it. */
+  /** Reports a server crash and this instance's requests that were in flight at the server. */
   void ReportServerCrash(const BackendServerName& server, const InFlightAtCrash& in_flight);
 
-  /** The same, and says when the live peers know, or after CrashAnnouncer::kLongestWait. Only then
-      may one of those requests be tried again. */
+  /** As above; calls `on_peers_informed` when all live peers have acknowledged the report, or after
+      CrashAnnouncer::kLongestWait. Those requests must not be retried earlier. */
   void ReportServerCrash(const BackendServerName& server,
                          const InFlightAtCrash& in_flight,
                          std::function<void()> on_peers_informed);
