--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -107,7 +107,7 @@
   const BackendServerState before = StateOf(row);
   row.failed_polls = 0;
   row.answers_polls = true;
-  row.last_word = now;
+  row.last_answer = now;
   const bool changed = row.server.loaded != state.loaded ||
                        row.server.incarnation != state.incarnation ||
                        row.server.checks_fencing != state.checks_fencing || StateOf(row) != before;
@@ -143,7 +143,7 @@
     found->second.load.reported_running = running;
     found->second.load.reported_queued = queued;
     found->second.load.reported_at = now;
-    found->second.last_word = now;
+    found->second.last_answer = now;
   }
 }
 
--- a/packages/zinnia_decisions/fleet_control/server_table.h
+++ b/packages/zinnia_decisions/fleet_control/server_table.h
@@ -17,7 +17,7 @@
   std::uint32_t missed_listings = 0;
   std::uint32_t failed_polls = 0;
   bool answers_polls = false;
-  TimePoint last_word{};
+  TimePoint last_answer{};
   TimePoint last_poll{};
   bool polled = false;
   ServerLoad load;
