--- a/tests/control/configuration_test.cc
+++ b/tests/control/configuration_test.cc
@@ -119,7 +119,7 @@
 // Symptom: a limit that was raised an hour ago is back at its old value on one instance.
 // Sequence: an instance sleeps through changes and wakes with old datagrams in its buffers.
 // Cause: news taken by time of arrival instead of by revision.
-TEST(Configuration, FrozenInstanceWakesWithOldNewsAndMovesOnlyUp) {
+TEST(Configuration, PausedInstanceIgnoresStaleDatagramsOnResume) {
   fleet.processes[5]->scheduler.Pause();
   for (ConfigurationRevision revision = 1; revision < 5; ++revision) {
     fleet.Change(0, revision, {OrganisationPath("kitanda", static_cast<int>(revision) + 1)});
