--- a/tests/control/configuration_test.cc
+++ b/tests/control/configuration_test.cc
@@ -181,7 +181,7 @@
 // Symptom: the store was restored in the night, nobody orders a change, and changes ordered through
 // a fresh instance are accepted against the old state.
 // Sequence: restore, no operator. Cause: a watch after a version that the store has yet to reach.
-TEST(Configuration, WatchHolderNoticesARestoreWithoutAnyChange) {
+TEST(Configuration, StoreWatcherDetectsARestoreWithoutAnyChange) {
   const FakeStore::State backup = fleet.store.Save();
   fleet.Change(0, 1, {OrganisationPath("kitanda", 2)});
   fleet.time.AdvanceBy(seconds(2));
