--- a/tests/control/configuration_test.cc
+++ b/tests/control/configuration_test.cc
@@ -237,7 +237,7 @@
 // Symptom: an instance cut from its peers but not from the store works with old limits for ever.
 // Sequence: a cut; a change on the other side; the cut side holds a watch of its own. Cause: one
 // watch for the whole fleet.
-TEST(Configuration, BothSidesOfACutGetChanges) {
+TEST(Configuration, BothSidesOfAPartitionGetChanges) {
   fleet.Cut(3);
   fleet.time.AdvanceBy(seconds(10));
   fleet.Change(0, 1, {OrganisationPath("kitanda", 2)});
