--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -38,7 +38,7 @@
   }
 };
 
-TEST(Leaving, ListSaysSo) {
+TEST(Leaving, ListReportsLeaving) {
   fleet.Listed("b-1").leaving = true;
   fleet.time.AdvanceBy(seconds(3));
   Everywhere(BackendServerState::kLeaving);
