--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -58,7 +58,7 @@
 
 // Symptom: new work for ten seconds after the engine said that it leaves. Sequence: the engine says
 // so, the list lags. Cause: the list as the only source.
-TEST(Leaving, EngineSaysSoFirstWhileTheListLags) {
+TEST(Leaving, EngineReportsLeavingBeforeTheList) {
   fleet.engines.states["b-1"].leaving = true;
   fleet.time.AdvanceBy(seconds(3));
   Everywhere(BackendServerState::kLeaving);
