--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -68,7 +68,7 @@
 // Symptom: instances that cannot reach the engine go on choosing it. Sequence: one instance gets
 // the engine's word with a step's answer; the others reach neither engine nor list.
 // Cause: the sign kept to the instance that got it.
-TEST(Leaving, OneInstanceThatHearsTellsAllOthers) {
+TEST(Leaving, ReportOfOneInstanceReachesAllOthers) {
   fleet.list.outage = true;
   for (auto& process : fleet.processes) {
     process->engines.cut = true;
