--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -106,7 +106,7 @@
 
 // Symptom: a restarted instance gives new work to a leaving server. Sequence: the engine said so an
 // hour ago and is silent now, the list lags; an instance restarts. Cause: rumours are told once.
-TEST(Leaving, NewInstanceHearsOfLeavingServersFromItsPeers) {
+TEST(Leaving, NewInstanceGetsLeavingServersFromItsPeers) {
   fleet.engines.states["b-1"].leaving = true;
   fleet.time.AdvanceBy(seconds(60));
   fleet.engines.states["b-1"].leaving = false;
