--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -115,7 +115,7 @@
   Everywhere(BackendServerState::kLeaving);
 }
 
-TEST(Leaving, SidesOfACutBothStop) {
+TEST(Leaving, BothSidesOfAPartitionStop) {
   fleet.Cut(3);
   fleet.time.AdvanceBy(seconds(20));
   fleet.engines.states["b-1"].leaving = true;
