--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -48,7 +48,7 @@
 // leaving servers and configuration reach nobody. Sequence: the list names no instances; the seed's
 // socket is not open yet when the others send their first pings. Cause: seeds were asked again only
 // while no instance at all was known, and the others knew each other.
-TEST(Membership, ASeedThatMissedTheFirstPingsIsMetLater) {
+TEST(Membership, SeedThatMissedTheFirstPingsIsFoundLater) {
   ControlFleet blind(3);
   blind.list.outage = true;
   blind.seeds_are_earlier_instances = true;
