--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -71,7 +71,7 @@
 // Symptom: a dead instance comes back to life in the membership every two seconds.
 // Sequence: an instance crashes; the platform's list, which lags, still shows it.
 // Cause: the list believed more than the probes.
-TEST(Membership, LaggingListDoesNotRaiseTheDead) {
+TEST(Membership, StaleListDoesNotReviveDeadMembers) {
   fleet.Crash(2);
   fleet.time.AdvanceBy(seconds(15));
   for (int second = 0; second < 30; ++second) {
