--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -97,7 +97,7 @@
 
 // Symptom: two instances that cannot reach each other directly hold each other for dead.
 // Sequence: one link is cut, both ends reach all others. Cause: no probes through others.
-TEST(Membership, OneCutLinkKillsNobody) {
+TEST(Membership, FailedLinkCausesNoFalseDetection) {
   const NetworkAddress one = fleet.instances[1].peer_address;
   const NetworkAddress two = fleet.instances[2].peer_address;
   fleet.network.is_cut = [one, two](const NetworkAddress& from, const NetworkAddress& to) {
