--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -114,7 +114,7 @@
 // Symptom: after a cut between regions the two sides never work together again.
 // Sequence: a cut longer than the suspicion; both sides declare the other dead; the cut heals.
 // Cause: nobody speaks to the dead.
-TEST(Membership, SidesOfACutFindEachOtherAgain) {
+TEST(Membership, PartitionedSidesMergeAfterHealing) {
   fleet.Cut(3);
   fleet.list.outage = true;
   fleet.time.AdvanceBy(seconds(60));
