--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -128,7 +128,7 @@
 // Symptom: an instance that was stopped for a minute takes all others for dead when it wakes.
 // Sequence: SIGSTOP in the middle of a probe, SIGCONT a minute later. Cause: its own pause read as
 // the silence of the others.
-TEST(Membership, PausedInstanceBlamesNobodyWhenItWakes) {
+TEST(Membership, PausedInstanceSuspectsNobodyOnResume) {
   fleet.processes[3]->scheduler.Pause();
   fleet.time.AdvanceBy(seconds(60));
   CHECK_EQUAL(5, LiveAt(fleet, 0));
