--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -143,7 +143,7 @@
 }
 
 // The same with a suspicion that was running when the pause began, refuted while nobody listened.
-TEST(Membership, PausedInstanceGivesASuspectItsTimeAgain) {
+TEST(Membership, PausedInstanceRestartsSuspicionTimers) {
   const NetworkAddress lost = fleet.instances[0].peer_address;
   fleet.network.is_cut = [lost](const NetworkAddress& from, const NetworkAddress& to) {
     return from == lost || to == lost;
