--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -82,7 +82,7 @@
 // request in flight, before its session is rebuilt. Cause: crashes of two servers were proof,
 // whatever lay between them. Evidence: the error kind of the ended answer; two reports 0 to 50 ms
 // apart quarantine the request here, and no other one was in flight.
-TEST(Quarantine, ServersThatDieInOneMomentProveNothing) {
+TEST(Quarantine, SimultaneousServerCrashesAreNoEvidence) {
   const Fingerprint innocent = Fingerprint::Of("innocent");
   quarantine.OnCrash(CrashOf("b-1", {innocent}), At(seconds(1)));
   quarantine.OnCrash(CrashOf("b-2", {innocent}), At(milliseconds(1'050)));
