--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -91,7 +91,7 @@
 }
 
 // Guards against a culprit that goes free because its second server died soon after the first.
-TEST(Quarantine, ACrashUnderASecondTryAloneIsProofHoweverSoon) {
+TEST(Quarantine, CrashDuringAnIsolatedRetryQuarantinesAtOnce) {
   quarantine.OnCrash(CrashOf("b-1", {kPoison}), At(seconds(1)));
   CrashRumour second = CrashOf("b-2", {kPoison});
   second.alone = true;
