--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -100,7 +100,7 @@
 }
 
 // Guards against evidence that is lost when another instance told of the same crash first.
-TEST(Quarantine, EvidenceThatComesAfterTheCrashIsKnownIsTakenInAndToldOn) {
+TEST(Quarantine, LateEvidenceOfAKnownCrashIsAppliedAndForwarded) {
   quarantine.OnCrash(CrashOf("b-1", {kPoison}), At(seconds(1)));
   quarantine.OnCrash(CrashOf("b-2", {kPoison}), At(milliseconds(1'020)));
   CrashRumour second = CrashOf("b-2", {kPoison});
