--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -207,7 +207,7 @@
 }
 
 // Symptom: recoveries hang. Cause: one frozen instance was waited for.
-TEST(Poison, AFrozenPeerIsNotWaitedFor) {
+TEST(Poison, UnresponsivePeerDoesNotDelayRecovery) {
   fleet.processes[3]->scheduler.Pause();
   bool known = false;
   fleet.At(0).ReportServerCrash("b-0", {{kPoison}, {}}, [&] { known = true; });
