--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -217,7 +217,7 @@
   CHECK_TRUE(known);
 }
 
-TEST(Poison, TakesDownNoThirdServerWhoeverSendsItAgain) {
+TEST(Poison, ResubmissionsThroughAnyInstanceCrashNoThirdServer) {
   Send(0);
   for (int attempt = 0; attempt < 600; ++attempt) {
     fleet.time.AdvanceBy(milliseconds(attempt < 50 ? 50 : 1000));
