--- a/tests/control/schedule_test.cc
+++ b/tests/control/schedule_test.cc
@@ -51,7 +51,7 @@
 // Symptom: an accepted change is missing on an instance, or comes and goes; a leaving server gets
 // new work. Sequence: any. Cause: whatever the single tests did not think of; the schedule that
 // failed is printed, shrunk.
-TEST(Schedules, PromisesHoldUnderAnySchedule) {
+TEST(Schedules, InvariantsHoldUnderRandomSchedules) {
   CHECK_TRUE(AllHold());
 }
 
