--- a/tests/control/control_fleet.h
+++ b/tests/control/control_fleet.h
@@ -24,7 +24,7 @@
     FakeStoreClient store;
     FakeInstanceList list;
     FakeEngines engines;
-    KeptDecisions decisions;
+    RecordedDecisions decisions;
     SilentLogger logger;
     std::unique_ptr<InstanceControl> control;
 
--- a/tests/control/fake_platform.h
+++ b/tests/control/fake_platform.h
@@ -76,7 +76,7 @@
   ProcessScheduler& m_scheduler;
 };
 
-class KeptDecisions final : public DecisionRecorder {
+class RecordedDecisions final : public DecisionRecorder {
  public:
   void Record(DecisionRecord record) override { records.push_back(std::move(record)); }
 
