--- a/tests/control/fake_store.h
+++ b/tests/control/fake_store.h
@@ -48,7 +48,7 @@
     return batch;
   }
 
-  void WakeWatches() {
+  void NotifyWatches() {
     for (auto watch = watches.begin(); watch != watches.end();) {
       StoreBatch batch = ChangedUnder(watch->prefix, watch->after);
       if (batch.records.empty() && !watch->owner.expired()) {
@@ -172,7 +172,7 @@
         return Result<std::uint64_t>(MakeError(ErrorKind::kStoreConflict, "other version"));
       }
       m_store.records[key] = {key, ++m_store.version, value};
-      m_store.WakeWatches();
+      m_store.NotifyWatches();
       if (m_store.lose_answers > 0) {
         --m_store.lose_answers;
         return Result<std::uint64_t>(MakeError(ErrorKind::kStoreOutcomeUnknown, "answer lost"));
