--- a/tests/control/configuration_test.cc
+++ b/tests/control/configuration_test.cc
@@ -70,7 +70,7 @@
 // Symptom: the operator is told that the change failed, but it is in force; sent again, it fails.
 // Sequence: the store takes the write, its answer is lost. Cause: a lost answer read as a failure.
 TEST(Configuration, LostStoreAnswerIsSettledByReadingBack) {
-  fleet.store.lose_answers = 1;
+  fleet.store.responses_to_lose = 1;
   const auto change = fleet.Change(3, 1, {OrganisationPath("kitanda", 7)}, "id-7");
   fleet.time.AdvanceBy(seconds(3));
   CHECK_TRUE(*change && **change);
--- a/tests/control/fake_store.h
+++ b/tests/control/fake_store.h
@@ -25,7 +25,7 @@
   std::map<std::string, StoreRecord> records;
   std::uint64_t version = 0;
   bool outage = false;
-  int lose_answers = 0;
+  int responses_to_lose = 0;
   Duration delay = std::chrono::milliseconds(2);
   std::list<Watch> watches;
   std::uint64_t reads = 0;
@@ -173,8 +173,8 @@
       }
       m_store.records[key] = {key, ++m_store.version, value};
       m_store.NotifyWatches();
-      if (m_store.lose_answers > 0) {
-        --m_store.lose_answers;
+      if (m_store.responses_to_lose > 0) {
+        --m_store.responses_to_lose;
         return Result<std::uint64_t>(MakeError(ErrorKind::kStoreOutcomeUnknown, "answer lost"));
       }
       return Result<std::uint64_t>(m_store.version);
--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -90,7 +90,7 @@
         Order(index, step.choice);
         return Order((index + 1) % kInstances, step.choice / 2);
       case ScheduleAction::kLoseAnswer:
-        m_fleet.store.lose_answers += 1 + static_cast<int>(step.choice % 2);
+        m_fleet.store.responses_to_lose += 1 + static_cast<int>(step.choice % 2);
         return;
       case ScheduleAction::kStoreOutage:
         m_fleet.store.outage = true;
@@ -210,7 +210,7 @@
     m_fleet.network.drop = 0.0;
     m_fleet.network.doubled = 0.0;
     m_fleet.store.outage = false;
-    m_fleet.store.lose_answers = 0;
+    m_fleet.store.responses_to_lose = 0;
     m_fleet.store.delay = std::chrono::milliseconds(2);
     for (std::size_t index = 0; index < kInstances; ++index) {
       if (!m_fleet.IsUp(index)) {
