--- a/tests/control/fake_network.h
+++ b/tests/control/fake_network.h
@@ -52,8 +52,8 @@
   }
 
   Duration Delay() {
-    const auto spread = static_cast<std::uint64_t>((most_delay - least_delay).count()) + 1;
-    return least_delay + Duration(RandomBelow(m_random, spread));
+    const auto spread = static_cast<std::uint64_t>((most_delay - min_delay).count()) + 1;
+    return min_delay + Duration(RandomBelow(m_random, spread));
   }
 
   std::function<bool(const NetworkAddress&, const NetworkAddress&)> is_cut = [](auto&, auto&) {
@@ -61,7 +61,7 @@
   };
   double drop = 0.0;
   double doubled = 0.0;
-  Duration least_delay = std::chrono::microseconds(200);
+  Duration min_delay = std::chrono::microseconds(200);
   Duration most_delay = std::chrono::milliseconds(2);
   std::uint64_t datagrams = 0;
   std::uint64_t bytes = 0;
