--- a/tests/control/fake_network.h
+++ b/tests/control/fake_network.h
@@ -52,7 +52,7 @@
   }
 
   Duration Delay() {
-    const auto spread = static_cast<std::uint64_t>((most_delay - min_delay).count()) + 1;
+    const auto spread = static_cast<std::uint64_t>((max_delay - min_delay).count()) + 1;
     return min_delay + Duration(RandomBelow(m_random, spread));
   }
 
@@ -62,7 +62,7 @@
   double drop = 0.0;
   double doubled = 0.0;
   Duration min_delay = std::chrono::microseconds(200);
-  Duration most_delay = std::chrono::milliseconds(2);
+  Duration max_delay = std::chrono::milliseconds(2);
   std::uint64_t datagrams = 0;
   std::uint64_t bytes = 0;
   std::uint64_t fetches = 0;
