--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -73,7 +73,7 @@
   static constexpr std::size_t kInstances = 5;
   static constexpr std::size_t kPaths = 4;
   static constexpr std::uint32_t kHealingMs = 45'000;
-  static constexpr std::uint32_t kLookEveryMs = 250;
+  static constexpr std::uint32_t kCheckIntervalMs = 250;
 
   struct Ordered {
     std::string path;
@@ -158,9 +158,9 @@
   }
 
   void Advance(std::uint32_t milliseconds) {
-    for (std::uint32_t done = 0; done < milliseconds; done += kLookEveryMs) {
+    for (std::uint32_t done = 0; done < milliseconds; done += kCheckIntervalMs) {
       m_fleet.time.AdvanceBy(
-          std::chrono::milliseconds(std::min(kLookEveryMs, milliseconds - done)));
+          std::chrono::milliseconds(std::min(kCheckIntervalMs, milliseconds - done)));
       Look();
     }
     Look();
