--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -161,12 +161,12 @@
     for (std::uint32_t done = 0; done < milliseconds; done += kCheckIntervalMs) {
       m_fleet.time.AdvanceBy(
           std::chrono::milliseconds(std::min(kCheckIntervalMs, milliseconds - done)));
-      Look();
+      CheckInvariants();
     }
-    Look();
+    CheckInvariants();
   }
 
-  void Look() {
+  void CheckInvariants() {
     for (const Ordered& ordered : m_ordered) {
       if (*ordered.answer && (*ordered.answer)->has_value()) {
         m_accepted[***ordered.answer] = {ordered.path, ordered.weight};
