--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -174,12 +174,12 @@
     }
     for (std::size_t index = 0; index < kInstances; ++index) {
       if (m_fleet.IsUp(index)) {
-        LookAt(index);
+        CheckInstance(index);
       }
     }
   }
 
-  void LookAt(std::size_t index) {
+  void CheckInstance(std::size_t index) {
     const std::string process =
         fmt::format("{}/{}", m_fleet.instances[index].name, m_fleet.instances[index].start);
     const auto configuration = m_fleet.At(index).ConfigurationInForce().Current();
