--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -185,8 +185,8 @@
     const auto configuration = m_fleet.At(index).ConfigurationInForce().Current();
     ConfigurationRevision& highest = m_highest[process];
     if (configuration->revision() < highest) {
-      Violated(fmt::format("{} went back from revision {} to {}", process, highest,
-                           configuration->revision()));
+      ReportViolation(fmt::format("{} went back from revision {} to {}", process, highest,
+                                  configuration->revision()));
     }
     highest = configuration->revision();
     std::map<std::string, int> content;
@@ -195,12 +195,12 @@
     }
     const auto [known, first] = m_contents.try_emplace(highest, content);
     if (!first && known->second != content) {
-      Violated(fmt::format("{} has another content at revision {}", process, highest));
+      ReportViolation(fmt::format("{} has another content at revision {}", process, highest));
     }
     const bool leaving = m_fleet.StateAt(index, "b-1") == BackendServerState::kLeaving;
     bool& seen = m_seen_leaving[process];
     if (seen && !leaving) {
-      Violated(process + " gives new work to a server that was leaving");
+      ReportViolation(process + " gives new work to a server that was leaving");
     }
     seen = seen || leaving;
   }
@@ -223,14 +223,14 @@
 
   void CheckEnd() {
     if (!m_fleet.MembershipConverged()) {
-      Violated("membership did not converge");
+      ReportViolation("membership did not converge");
     }
     const ConfigurationRevision revision = m_fleet.RevisionAt(0);
     if (!m_fleet.AllAt(revision)) {
-      Violated("instances hold different revisions after healing");
+      ReportViolation("instances hold different revisions after healing");
     }
     if (!m_accepted.empty() && m_accepted.rbegin()->first > revision) {
-      Violated("an accepted change is not in force");
+      ReportViolation("an accepted change is not in force");
     }
     CheckAcceptedInForce();
     bool marked = false;
@@ -239,7 +239,7 @@
     }
     for (std::size_t index = 0; index < kInstances && marked && AnybodyAliveSaw(); ++index) {
       if (m_fleet.StateAt(index, "b-1") != BackendServerState::kLeaving) {
-        Violated("an instance gives new work to a leaving server after healing");
+        ReportViolation("an instance gives new work to a leaving server after healing");
       }
     }
   }
@@ -259,7 +259,7 @@
     for (const auto& [revision, change] : m_accepted) {
       const auto content = m_contents.find(revision);
       if (content != m_contents.end() && content->second[change.first] != change.second) {
-        Violated(fmt::format("revision {} does not hold its change", revision));
+        ReportViolation(fmt::format("revision {} does not hold its change", revision));
       }
     }
     std::map<std::string, int> weights;
@@ -272,7 +272,7 @@
       const int in_force =
           found == now->organisations().end() ? 0 : static_cast<int>(found->second.weight);
       if (in_force != weight && !IsOpen(name, in_force)) {
-        Violated(fmt::format("{} has weight {}, accepted was {}", name, in_force, weight));
+        ReportViolation(fmt::format("{} has weight {}, accepted was {}", name, in_force, weight));
       }
     }
   }
@@ -288,7 +288,7 @@
     return false;
   }
 
-  void Violated(const std::string& what) {
+  void ReportViolation(const std::string& what) {
     if (m_violation.empty()) {
       m_violation = what;
     }
