--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -237,7 +237,8 @@
     for (const auto& [process, seen] : m_seen_leaving) {
       marked = marked || seen;
     }
-    for (std::size_t index = 0; index < kInstances && marked && AnybodyAliveSaw(); ++index) {
+    for (std::size_t index = 0; index < kInstances && marked && MarkSeenByRunningProcess();
+         ++index) {
       if (m_fleet.StateAt(index, "b-1") != BackendServerState::kLeaving) {
         ReportViolation("an instance gives new work to a leaving server after healing");
       }
@@ -245,7 +246,7 @@
   }
 
   /** A mark that only processes saw which are gone since, and no source repeats, is forgotten. */
-  bool AnybodyAliveSaw() {
+  bool MarkSeenByRunningProcess() {
     for (const Instance& instance : m_fleet.instances) {
       if (m_seen_leaving[fmt::format("{}/{}", instance.name, instance.start)]) {
         return true;
