--- a/tests/control/configuration_test.cc
+++ b/tests/control/configuration_test.cc
@@ -41,9 +41,8 @@
   LONGS_EQUAL(2, WeightAt(fleet, 5, "kitanda"));
 }
 
-// Symptom: one of two operators' changes is silently lost, or both are half applied.
-// Sequence: two operators order different changes of one path against the same revision, through
-// two instances, at the same moment. Cause: without the compare-and-swap, the last writer wins.
+// Two operators change one path against the same revision at once. Without the compare-and-swap,
+// one change would be lost silently.
 TEST(Configuration, RaceLosesWithConflictThatNamesTheNewerRevision) {
   const auto one = fleet.Change(1, 1, {OrganisationPath("kitanda", 2)});
   const auto other = fleet.Change(2, 1, {OrganisationPath("kitanda", 3)});
@@ -67,8 +66,7 @@
   STRCMP_CONTAINS("none of the touched paths changed", (*stale)->error().message.c_str());
 }
 
-// Symptom: the operator is told that the change failed, but it is in force; sent again, it fails.
-// Sequence: the store takes the write, its answer is lost. Cause: a lost answer read as a failure.
+// A write succeeds but its response is lost: the change must not be reported as failed.
 TEST(Configuration, LostStoreAnswerIsSettledByReadingBack) {
   fleet.store.responses_to_lose = 1;
   const auto change = fleet.Change(3, 1, {OrganisationPath("kitanda", 7)}, "id-7");
@@ -103,8 +101,7 @@
   CHECK_TRUE(fleet.AllAt(1));
 }
 
-// Symptom: an instance that joins while the store is down serves nobody, or with no limits at all.
-// Sequence: store outage; a new instance starts. Cause: only the store was asked.
+// An instance that starts during a store outage must get its configuration from peers.
 TEST(Configuration, NewInstanceTakesTheHighestRevisionOfItsPeersDuringAnOutage) {
   fleet.Change(0, 1, {OrganisationPath("kitanda", 5)});
   fleet.time.AdvanceBy(seconds(2));
@@ -116,9 +113,8 @@
   CHECK_TRUE(fleet.At(5).IsReady());
 }
 
-// Symptom: a limit that was raised an hour ago is back at its old value on one instance.
-// Sequence: an instance sleeps through changes and wakes with old datagrams in its buffers.
-// Cause: news taken by time of arrival instead of by revision.
+// An instance resumes with stale datagrams in its buffers: the revision must decide, not the time
+// of arrival.
 TEST(Configuration, PausedInstanceIgnoresStaleDatagramsOnResume) {
   fleet.processes[5]->scheduler.Pause();
   for (ConfigurationRevision revision = 1; revision < 5; ++revision) {
@@ -150,10 +146,7 @@
   LONGS_EQUAL(9, WeightAt(fleet, 3, "kitanda"));
 }
 
-// Symptom: after a restore of the store from a backup, accepted changes vanish one instance after
-// the other, or later changes get revisions that everybody ignores.
-// Sequence: two changes after the backup; the store is restored; an operator orders a change.
-// Cause: the store believed more than the instances, or written with revisions given away before.
+// Restoring the store from a backup must neither revert accepted changes nor reuse their revisions.
 TEST(Configuration, RestoredStoreDoesNotRevertAndIsReinstated) {
   const FakeStore::State backup = fleet.store.Save();
   fleet.Change(0, 1, {OrganisationPath("kitanda", 2)});
@@ -178,9 +171,7 @@
   LONGS_EQUAL(4, WeightAt(fleet, 1, "kitanda"));
 }
 
-// Symptom: the store was restored in the night, nobody orders a change, and changes ordered through
-// a fresh instance are accepted against the old state.
-// Sequence: restore, no operator. Cause: a watch after a version that the store has yet to reach.
+// A watch after a version that the restored store has not reached yet would miss the restore.
 TEST(Configuration, StoreWatcherDetectsARestoreWithoutAnyChange) {
   const FakeStore::State backup = fleet.store.Save();
   fleet.Change(0, 1, {OrganisationPath("kitanda", 2)});
@@ -201,9 +192,8 @@
   LONGS_EQUAL(0, WeightAt(fleet, 5, "kitanda"));
 }
 
-// Symptom: the store refuses the configuration for its size, or a fresh instance misses entries.
-// Sequence: many changes; the tail of the head record is moved into shards; an instance starts
-// while no peer can be reached. Cause: a compaction that loses or doubles entries.
+// Compaction must not lose or duplicate entries: an instance without peers reads all from the
+// store.
 TEST(Configuration, CompactedConfigurationIsReadWholeFromTheStore) {
   for (int change = 1; change <= 250; ++change) {
     fleet.Change(0, static_cast<ConfigurationRevision>(change), {LongOrganisationPath(change)});
@@ -234,9 +224,7 @@
   LONGS_EQUAL(6, holders);
 }
 
-// Symptom: an instance cut from its peers but not from the store works with old limits for ever.
-// Sequence: a cut; a change on the other side; the cut side holds a watch of its own. Cause: one
-// watch for the whole fleet.
+// A single watcher for the whole fleet would leave one side of a network partition without changes.
 TEST(Configuration, BothSidesOfAPartitionGetChanges) {
   fleet.Cut(3);
   fleet.time.AdvanceBy(seconds(10));
--- a/tests/control/control_fleet.h
+++ b/tests/control/control_fleet.h
@@ -15,7 +15,7 @@
 
 namespace zinnia {
 
-/** A handful of real control cores over fakes, in virtual time. */
+/** Real control cores over fake ports, in virtual time. */
 class ControlFleet {
  public:
   struct Process {
@@ -98,7 +98,7 @@
   bool IsUp(std::size_t index) const { return processes[index] != nullptr; }
   InstanceControl& At(std::size_t index) { return *processes[index]->control; }
 
-  /** Separates the first `count` instances from the others. */
+  /** Partitions the network between the first `count` instances and the others. */
   void Cut(std::size_t count) {
     std::set<std::string> first;
     for (std::size_t index = 0; index < count; ++index) {
@@ -130,7 +130,7 @@
                          [&](const ListedServer& row) { return row.server.name == name; });
   }
 
-  /** Orders a change at an instance. The result appears in `*out` once it is known. */
+  /** Submits a change to an instance. The returned pointer receives the result. */
   std::shared_ptr<std::optional<Result<ConfigurationRevision>>> Change(
       std::size_t index,
       ConfigurationRevision against,
--- a/tests/control/fake_network.h
+++ b/tests/control/fake_network.h
@@ -13,7 +13,7 @@
 
 namespace zinnia {
 
-/** The network between simulated instances: delays, drops, doubles and cuts, and counts. */
+/** A simulated network with delays, loss, duplicates, partitions and traffic counters. */
 class FakeNetwork {
  public:
   struct Endpoint {
@@ -28,7 +28,7 @@
   }
   void Detach(const NetworkAddress& address) { m_endpoints.erase(address.ToString()); }
 
-  /** The endpoint, or null if it is not there or cut off from `from`. */
+  /** The endpoint, or null if it is missing or unreachable from `from`. */
   Endpoint* Reach(const NetworkAddress& from, const NetworkAddress& to) {
     const auto found = m_endpoints.find(to.ToString());
     return found == m_endpoints.end() || is_cut(from, to) ? nullptr : &found->second;
@@ -76,7 +76,7 @@
   std::unordered_map<std::string, Endpoint> m_endpoints;
 };
 
-/** One instance's way into the FakeNetwork. */
+/** One instance's transport over FakeNetwork. */
 class FakeTransport final : public PeerTransport {
  public:
   FakeTransport(FakeNetwork& network, ProcessScheduler& scheduler, NetworkAddress own)
--- a/tests/control/fake_platform.h
+++ b/tests/control/fake_platform.h
@@ -15,7 +15,7 @@
 
 namespace zinnia {
 
-/** What the platform's list says, with outages; tests let it lag or flap by changing it late. */
+/** The contents of the simulated platform's list, with outages. */
 struct FakeListState {
   InstanceListing listing;
   bool outage = false;
@@ -43,7 +43,7 @@
   ProcessScheduler& m_scheduler;
 };
 
-/** The engines: what each says of itself; a server that is not there does not answer. */
+/** The states reported by simulated engines; a server without a state does not answer. */
 struct FakeEngineStates {
   std::map<BackendServerName, EngineState> states;
   std::uint64_t reads = 0;
--- a/tests/control/fake_store.h
+++ b/tests/control/fake_store.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-/** The state of the simulated platform store, with outages, lost answers and restores. */
+/** The state of the simulated platform store, with outages, lost responses and restores. */
 struct FakeStore {
   struct Watch {
     std::string prefix;
@@ -64,7 +64,7 @@
   }
 };
 
-/** One instance's way to the FakeStore. */
+/** One instance's client of FakeStore. */
 class FakeStoreClient final : public PlatformStore {
  public:
   FakeStoreClient(FakeStore& store, VirtualTime& time, ProcessScheduler& scheduler)
@@ -148,7 +148,7 @@
 
   static Error Unavailable() { return MakeError(ErrorKind::kStoreUnavailable, "store outage"); }
 
-  /** The call takes effect half way, its answer comes later; either may fail. */
+  /** Applies the call after one delay and answers after another; outages are checked in between. */
   template <typename Value>
   void Answer(std::function<void(Result<Value>)> callback, std::function<Result<Value>()> effect) {
     m_scheduler.Post(m_store.delay, [this, callback, effect] {
--- a/tests/control/leaving_test.cc
+++ b/tests/control/leaving_test.cc
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Holds for a while, whatever the sources say meanwhile. */
+  /** Checks that the state holds for a while. */
   void StaysLeaving() {
     for (int second = 0; second < 30; ++second) {
       fleet.time.AdvanceBy(seconds(1));
@@ -45,8 +45,8 @@
   StaysLeaving();
 }
 
-// Symptom: a server that is about to stop gets new work again. Sequence: the list says leaving, the
-// engine says leaving, then both say the opposite. Cause: the newest word believed, not the first.
+// The first report of leaving counts: later contradicting reports must not direct new work to the
+// server.
 TEST(Leaving, ListAndEngineFlapBackWithoutEffect) {
   fleet.Listed("b-1").leaving = true;
   fleet.engines.states["b-1"].leaving = true;
@@ -56,8 +56,7 @@
   StaysLeaving();
 }
 
-// Symptom: new work for ten seconds after the engine said that it leaves. Sequence: the engine says
-// so, the list lags. Cause: the list as the only source.
+// The list must not be the only source: it may lag by many seconds.
 TEST(Leaving, EngineReportsLeavingBeforeTheList) {
   fleet.engines.states["b-1"].leaving = true;
   fleet.time.AdvanceBy(seconds(3));
@@ -65,9 +64,7 @@
   StaysLeaving();
 }
 
-// Symptom: instances that cannot reach the engine go on choosing it. Sequence: one instance gets
-// the engine's word with a step's answer; the others reach neither engine nor list.
-// Cause: the sign kept to the instance that got it.
+// Instances that can reach neither the engine nor the list must learn of it from a peer.
 TEST(Leaving, ReportOfOneInstanceReachesAllOthers) {
   fleet.list.outage = true;
   for (auto& process : fleet.processes) {
@@ -104,8 +101,8 @@
   Everywhere(BackendServerState::kLive);
 }
 
-// Symptom: a restarted instance gives new work to a leaving server. Sequence: the engine said so an
-// hour ago and is silent now, the list lags; an instance restarts. Cause: rumours are told once.
+// A restarted instance missed the rumour, the engine is silent and the list lags: peers must send
+// it.
 TEST(Leaving, NewInstanceGetsLeavingServersFromItsPeers) {
   fleet.engines.states["b-1"].leaving = true;
   fleet.time.AdvanceBy(seconds(60));
@@ -125,8 +122,7 @@
   StaysLeaving();
 }
 
-// Symptom: every request is refused although all servers run. Sequence: the list loses all its rows
-// for a minute, or cannot be read. Cause: missing from the list taken for gone.
+// An empty or unreadable list must not make all servers gone.
 TEST(Leaving, EmptyListDoesNotEmptyTheFleet) {
   const InstanceListing whole = fleet.list.listing;
   fleet.list.listing.servers.clear();
@@ -190,9 +186,7 @@
   CHECK_EQUAL(2, snapshot->live_instances);
 }
 
-// Symptom: callers get no_pipeline from an instance that has just started, though others could
-// serve. Sequence: the instance has its configuration and the list; the balancer sends to it at
-// once. Cause: it was ready before its engines had told what they hold.
+// An instance that is ready before its first engine polls refuses callers with no_pipeline.
 TEST(Fleet, AnInstanceThatStartsIsReadyOnceItsEnginesHaveAnswered) {
   fleet.AddServer("b-0", {0, 16});
   fleet.StartAll();
@@ -209,7 +203,7 @@
   CHECK_EQUAL(1, fleet.At(1).Current()->pipelines[0].stages[0].replicas.size());
 }
 
-// Symptom: a whole fleet that never becomes ready. Cause: one engine that does not answer.
+// One engine that does not answer must not keep the whole fleet from being ready.
 TEST(Fleet, AnEngineThatIsSilentDoesNotKeepAnInstanceFromBeingReady) {
   fleet.AddServer("b-0", {0, 16});
   fleet.engines.states.erase("b-0");
@@ -241,7 +235,7 @@
   rates.step_time_p50 = milliseconds(2);
   rates.decode_tokens_per_second = 32'000.0;
   fleet.At(0).ReportServerRates("b-0", rates);
-  // Another traffic thread, which has seen too little to know the rate.
+  // Another traffic thread, without enough samples for the rate.
   rates.step_time_p50 = milliseconds(3);
   rates.decode_tokens_per_second = 0.0;
   fleet.At(0).ReportServerRates("b-0", rates);
--- a/tests/control/membership_test.cc
+++ b/tests/control/membership_test.cc
@@ -44,10 +44,8 @@
   CHECK_TRUE(blind.MembershipConverged());
 }
 
-// Symptom: one instance knows no other for ever, and the others do not know it; its crashes,
-// leaving servers and configuration reach nobody. Sequence: the list names no instances; the seed's
-// socket is not open yet when the others send their first pings. Cause: seeds were asked again only
-// while no instance at all was known, and the others knew each other.
+// A seed that was not listening yet at the first pings must be pinged again, even when other
+// instances are known; otherwise the fleet stays split.
 TEST(Membership, SeedThatMissedTheFirstPingsIsFoundLater) {
   ControlFleet blind(3);
   blind.list.outage = true;
@@ -68,9 +66,7 @@
   CHECK_TRUE(fleet.MembershipConverged());
 }
 
-// Symptom: a dead instance comes back to life in the membership every two seconds.
-// Sequence: an instance crashes; the platform's list, which lags, still shows it.
-// Cause: the list believed more than the probes.
+// A stale platform list must not override failure detection.
 TEST(Membership, StaleListDoesNotReviveDeadMembers) {
   fleet.Crash(2);
   fleet.time.AdvanceBy(seconds(15));
@@ -80,8 +76,7 @@
   }
 }
 
-// Symptom: a healthy instance is taken for dead because some of its datagrams were lost.
-// Sequence: heavy loss for a while, then none. Cause: suspicion that nobody can refute.
+// A healthy instance must be able to refute a suspicion caused by lost datagrams.
 TEST(Membership, SuspicionIsRefutedUnderLoss) {
   fleet.network.drop = 0.3;
   for (int step = 0; step < 600; ++step) {
@@ -95,8 +90,7 @@
   }
 }
 
-// Symptom: two instances that cannot reach each other directly hold each other for dead.
-// Sequence: one link is cut, both ends reach all others. Cause: no probes through others.
+// Indirect probes must prevent a false detection when one link between two instances fails.
 TEST(Membership, FailedLinkCausesNoFalseDetection) {
   const NetworkAddress one = fleet.instances[1].peer_address;
   const NetworkAddress two = fleet.instances[2].peer_address;
@@ -111,9 +105,7 @@
   }
 }
 
-// Symptom: after a cut between regions the two sides never work together again.
-// Sequence: a cut longer than the suspicion; both sides declare the other dead; the cut heals.
-// Cause: nobody speaks to the dead.
+// Dead members must still be probed, or the sides of a healed partition never merge.
 TEST(Membership, PartitionedSidesMergeAfterHealing) {
   fleet.Cut(3);
   fleet.list.outage = true;
@@ -125,9 +117,7 @@
   CHECK_TRUE(fleet.MembershipConverged());
 }
 
-// Symptom: an instance that was stopped for a minute takes all others for dead when it wakes.
-// Sequence: SIGSTOP in the middle of a probe, SIGCONT a minute later. Cause: its own pause read as
-// the silence of the others.
+// An instance stopped in the middle of a probe must not treat its own pause as its peers' silence.
 TEST(Membership, PausedInstanceSuspectsNobodyOnResume) {
   fleet.processes[3]->scheduler.Pause();
   fleet.time.AdvanceBy(seconds(60));
@@ -142,7 +132,7 @@
   CHECK_TRUE(fleet.MembershipConverged());
 }
 
-// The same with a suspicion that was running when the pause began, refuted while nobody listened.
+// As above, with a suspicion that was running when the pause began.
 TEST(Membership, PausedInstanceRestartsSuspicionTimers) {
   const NetworkAddress lost = fleet.instances[0].peer_address;
   fleet.network.is_cut = [lost](const NetworkAddress& from, const NetworkAddress& to) {
--- a/tests/control/process_scheduler.h
+++ b/tests/control/process_scheduler.h
@@ -9,8 +9,8 @@
 
 namespace zinnia {
 
-/** The scheduler of one simulated process, which can be paused: what falls due meanwhile runs when
-    it wakes, as after SIGSTOP. Answers and datagrams for the process come through Post. */
+/** The scheduler of one simulated process. While it is paused, as by SIGSTOP, due calls are held
+   until Resume. Responses and datagrams for the process are delivered through Post. */
 class ProcessScheduler final : public Scheduler {
  public:
   explicit ProcessScheduler(VirtualTime& time) : m_time(time) {}
@@ -26,7 +26,7 @@
     return std::make_unique<Handle>(std::move(pending));
   }
 
-  /** Runs `call` after `delay`, unless the process is gone by then. */
+  /** Runs `call` after `delay` unless the process was destroyed. */
   void Post(Duration delay, std::function<void()> call) {
     auto slot = std::make_shared<std::unique_ptr<ScheduledCall>>();
     *slot = m_time.ScheduleAfter(
--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -38,9 +38,7 @@
   CHECK_TRUE(quarantine.IsQuarantined(kPoison));
 }
 
-// Symptom: thirty callers are refused because one request crashed the server they shared.
-// Sequence: poison and ordinary requests in flight at a crash; each is tried again alone; the
-// poison crashes a second server with other ordinary requests. Cause: all in flight blamed alike.
+// Requests that merely shared a server with the culprit must not be quarantined.
 TEST(Quarantine, OrdinaryRequestsBesideThePoisonAreCleared) {
   const Fingerprint beside_first = Fingerprint::Of("one");
   const Fingerprint beside_second = Fingerprint::Of("two");
@@ -54,9 +52,8 @@
   CHECK_FALSE(quarantine.IsSuspect(beside_second));
 }
 
-// Symptom: the real poison goes free and crashes a third server. Sequence: two instances had an
-// isolated request each at the second crash; the report of the innocent one came first.
-// Cause: the others cleared before all reports of the crash were in.
+// Other suspects must not be cleared before all reports of the crash are in: the culprit may be in
+// a later one.
 TEST(Quarantine, LateReportOfAnExplainedCrashStillCounts) {
   const Fingerprint innocent = Fingerprint::Of("innocent");
   quarantine.OnCrash(CrashOf("b-1", {innocent, kPoison}), At(seconds(1)));
@@ -66,8 +63,8 @@
   CHECK_TRUE(quarantine.IsQuarantined(kPoison));
 }
 
-// Symptom: a request is quarantined after one crash. Sequence: in flight through two instances, one
-// of which reports after it read of the restart. Cause: one crash counted as two.
+// Two instances report one crash, one of them with the incarnation after the restart: it must not
+// count as two.
 TEST(Quarantine, OneCrashUnderTwoIncarnationsIsOne) {
   quarantine.OnCrash({"b-1", 1, {kPoison}, 0}, At(seconds(1)));
   quarantine.OnCrash({"b-1", 2, {kPoison}, 0}, At(milliseconds(1500)));
@@ -76,12 +73,8 @@
   CHECK_TRUE(quarantine.IsQuarantined(kPoison));
 }
 
-// What callers saw: an answer whose two servers died in the same moment ended as quarantined,
-// though other servers could have gone on with it. Order of events: the request has a step in
-// flight at one server; both of its servers are killed; the crash of each is reported with the
-// request in flight, before its session is rebuilt. Cause: crashes of two servers were proof,
-// whatever lay between them. Evidence: the error kind of the ended answer; two reports 0 to 50 ms
-// apart quarantine the request here, and no other one was in flight.
+// Two servers that die at the same time, before the session is rebuilt, are no evidence against a
+// request that was in flight at both.
 TEST(Quarantine, SimultaneousServerCrashesAreNoEvidence) {
   const Fingerprint innocent = Fingerprint::Of("innocent");
   quarantine.OnCrash(CrashOf("b-1", {innocent}), At(seconds(1)));
@@ -90,7 +83,7 @@
   CHECK_FALSE(quarantine.IsQuarantined(innocent));
 }
 
-// Guards against a culprit that goes free because its second server died soon after the first.
+// A culprit must be quarantined even if its second server crashes soon after the first.
 TEST(Quarantine, CrashDuringAnIsolatedRetryQuarantinesAtOnce) {
   quarantine.OnCrash(CrashOf("b-1", {kPoison}), At(seconds(1)));
   CrashRumour second = CrashOf("b-2", {kPoison});
@@ -99,7 +92,7 @@
   CHECK_TRUE(quarantine.IsQuarantined(kPoison));
 }
 
-// Guards against evidence that is lost when another instance told of the same crash first.
+// Evidence must not be lost when another instance reported the same crash first.
 TEST(Quarantine, LateEvidenceOfAKnownCrashIsAppliedAndForwarded) {
   quarantine.OnCrash(CrashOf("b-1", {kPoison}), At(seconds(1)));
   quarantine.OnCrash(CrashOf("b-2", {kPoison}), At(milliseconds(1'020)));
@@ -145,7 +138,7 @@
   CHECK_FALSE(bounded.IsSuspect(Fingerprint::Of("0 0")));
 }
 
-/** Callers that send a poison request again and again, and servers that it crashes. */
+/** Callers that keep sending a request that crashes servers. */
 TEST_GROUP(Poison) {
   ControlFleet fleet{5};
   std::set<std::string> crashes;
@@ -159,13 +152,13 @@
     fleet.time.AdvanceBy(seconds(5));
   }
 
-  /** Runs it on the next server, which crashes 30 ms later; a running request is tried again once
-      more on another server unless it is quarantined by then. */
+  /** Runs the request on the next server, which crashes 30 ms later; it is then retried once on
+      another server unless it is quarantined. */
   void RunAt(std::size_t index, bool recovering) {
     const BackendServerName server = fmt::format("b-{}", next_server++ % 12);
     fleet.processes[index]->scheduler.Post(milliseconds(30), [this, index, server, recovering] {
       crashes.insert(fmt::format("{} {}", server, ++fleet.engines.states[server].incarnation));
-      // The second try is alone at its server, as the engine links have it.
+      // The retry is alone at its server, as with the engine links.
       const InFlightAtCrash in_flight =
           recovering ? InFlightAtCrash{{Fingerprint::Of(server)}, {kPoison}}
                      : InFlightAtCrash{{kPoison, Fingerprint::Of(server)}, {}};
@@ -187,12 +180,8 @@
   }
 };
 
-// Symptom: a third server goes down under a request that crashed two. Sequence: the caller sends it
-// again, at once and for minutes, through whichever instance. Cause: knowledge of one instance
-// only.
-// Symptom: a third server dies of one request. Sequence: a crash, a second try at once, and a copy
-// started through an instance that the rumour of the crash has not reached. Cause: the second try
-// did not wait until the others knew.
+// A retry must wait until peers know of the crash: a copy started through an uninformed instance
+// would crash a third server.
 TEST(Poison, PeersKnowOfACrashBeforeTheSecondTry) {
   int known_at = -1;
   fleet.At(0).ReportServerCrash("b-0", {{kPoison}, {}}, [&] {
@@ -206,7 +195,7 @@
   CHECK_EQUAL(5, known_at);
 }
 
-// Symptom: recoveries hang. Cause: one frozen instance was waited for.
+// One unresponsive peer must not block recovery.
 TEST(Poison, UnresponsivePeerDoesNotDelayRecovery) {
   fleet.processes[3]->scheduler.Pause();
   bool known = false;
@@ -230,9 +219,7 @@
   }
 }
 
-// Symptom: two servers go down at once under copies of one suspect, the second and the third.
-// Sequence: its first caller is gone after one crash; two copies come through two instances at the
-// same moment. Cause: each instance alone may try a suspect once more.
+// Two instances must not retry copies of one suspect at the same time.
 TEST(Poison, CopiesOfASuspectRunOneAtATime) {
   fleet.At(0).ReportServerCrash("b-11", {{kPoison}, {}});
   crashes.insert("b-11 1");
@@ -247,10 +234,9 @@
   CHECK_EQUAL(2, crashes.size());
 }
 
-// What the evidence costs: copies that already run through two instances when the first server goes
-// down each get their second try, so a culprit takes down four servers instead of two. An innocent
-// request in flight at both of two servers that die together is never refused for it, and its
-// second try waits no longer than that of any request after a crash.
+// Copies already running through two instances at the first crash are each retried once, so that a
+// culprit may crash four servers. Innocent requests are never refused, and are retried without
+// extra delay.
 TEST(Poison, CopiesUnderWayTakeDownAServerMoreEachAndInnocentsGoFree) {
   const Fingerprint innocent = Fingerprint::Of("innocent");
   int waits_ended = 0;
--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -12,7 +12,6 @@
 
 namespace zinnia {
 
-/** What may happen in a schedule. */
 enum class ScheduleAction {
   kChange,
   kRacingChanges,
@@ -45,8 +44,9 @@
                             step.choice, step.wait_ms);
 }
 
-/** Runs a schedule of failures and operators' changes over real control cores, then heals all, and
-    says which promise was broken, or nothing. Looks at every instance after every step. */
+/** Runs a schedule of failures and operators' changes over real control cores, then heals all
+    failures. Checks invariants on every instance throughout and returns the first violation, or an
+    empty string. */
 class ScheduleRunner {
  public:
   explicit ScheduleRunner(std::uint64_t seed) : m_fleet(kInstances, seed) {
@@ -245,7 +245,8 @@
     }
   }
 
-  /** A mark that only processes saw which are gone since, and no source repeats, is forgotten. */
+  /** Whether a running process has seen the mark. Otherwise it may be lost if no source repeats it.
+   */
   bool MarkSeenByRunningProcess() {
     for (const Instance& instance : m_fleet.instances) {
       if (m_seen_leaving[fmt::format("{}/{}", instance.name, instance.start)]) {
@@ -255,7 +256,7 @@
     return false;
   }
 
-  /** Each revision that was accepted must show its own weight in the content at that revision. */
+  /** Checks that the content at each accepted revision includes its change. */
   void CheckAcceptedInForce() {
     for (const auto& [revision, change] : m_accepted) {
       const auto content = m_contents.find(revision);
@@ -278,7 +279,7 @@
     }
   }
 
-  /** Whether nobody was told the outcome of that change: it may be in force or not. */
+  /** Whether the outcome of the change is unknown, so that it may or may not be in force. */
   bool IsOpen(const std::string& path, int weight) const {
     for (const Ordered& ordered : m_ordered) {
       if (ordered.path == path && ordered.weight == weight) {
--- a/tests/control/schedule_test.cc
+++ b/tests/control/schedule_test.cc
@@ -48,9 +48,7 @@
 
 TEST_GROUP(Schedules){};
 
-// Symptom: an accepted change is missing on an instance, or comes and goes; a leaving server gets
-// new work. Sequence: any. Cause: whatever the single tests did not think of; the schedule that
-// failed is printed, shrunk.
+// Random schedules of failures and changes; a failing schedule is printed after shrinking.
 TEST(Schedules, InvariantsHoldUnderRandomSchedules) {
   CHECK_TRUE(AllHold());
 }
