--- a/packages/zinnia_decisions/configuration/configuration_acceptance.h
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.h
@@ -30,8 +30,8 @@
 /** Writes one operator's change to the store at most once.
 
     A change is accepted when its compare-and-swap of the head takes effect. If the response is
-   lost, the head is read back and searched for the change id; the swap is retried only while the
-   head is unchanged.
+    lost, the head is read back and searched for the change id; the swap is retried only while the
+    head is unchanged.
 
     Create it with Start and keep it until IsFinished. If it is destroyed earlier, the callback is
     not called and the outcome is unknown.
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -50,7 +50,7 @@
     others receive changes from peers as rumours, or fetch them when a probe carries a higher
     revision. A new instance takes the highest revision available from the store or from peers. If
     the store shows an older revision than is in force here, it was restored from a backup: the
-   newer configuration stays in force and is written back.
+    newer configuration stays in force and is written back.
 
     @see ConfigurationAcceptance, ConfigurationState, GossipMembership
 */
--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -103,8 +103,7 @@
   /** Whether callers can be served: a configuration is in force, the platform's list was read, and
       all engines were polled or the wait for them timed out. Never becomes false again.
 
-      Without waiting for engines, a new instance would refuse its first callers with kNoPipeline.
-   */
+      Without waiting for engines, a new instance refuses its first callers with kNoPipeline. */
   bool IsReady() const { return m_ready; }
 
   MembershipView& Membership() { return m_membership; }
--- a/packages/zinnia_decisions/fleet_control/leaving_tracker.h
+++ b/packages/zinnia_decisions/fleet_control/leaving_tracker.h
@@ -27,7 +27,7 @@
     A mark applies to one incarnation and is never cleared, so that a stale or flapping list or
     engine cannot direct new work to a server that is about to stop. A restarted server has a higher
     incarnation and no mark. An operator's drain applies to all incarnations until it is removed
-   from the configuration.
+    from the configuration.
 
     Bounded: when full, the oldest mark is evicted; the list or the engine reports it again.
 */
--- a/packages/zinnia_decisions/fleet_control/subset_selection.h
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.h
@@ -16,8 +16,8 @@
     Rendezvous hashing on the instance's name keeps the selection stable across restarts and changes
     of the fleet, and distributes instances evenly over servers. Whole pipelines are selected first,
     because a pipeline with a stage outside the subset is unusable; the rest is balanced over
-   failure domains, accelerator kinds and layer ranges. Servers of plain services are grouped by
-   service, and servers that are not in the configuration by pool.
+    failure domains, accelerator kinds and layer ranges. Servers of plain services are grouped by
+    service, and servers that are not in the configuration by pool.
 */
 std::set<BackendServerName> SelectServers(const InstanceName& self,
                                           const std::map<BackendServerName, ServerRow>& rows,
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -28,8 +28,7 @@
   Duration forget_dead_after = std::chrono::minutes(30);
   std::size_t indirect_probes = 3;
 
-  /** Peers that an urgent rumour is sent to at once by its originator, and by those forwarding it.
-   */
+  /** Peers that the originator and each forwarder send an urgent rumour to at once. */
   std::size_t origin_fanout = 8;
   std::size_t fanout = 4;
 };
@@ -40,7 +39,7 @@
     refute with a higher incarnation, then to the dead state. Dead members are still probed
     occasionally, so that the sides of a network partition find each other again. Rumours are
     piggybacked on probes; urgent ones are also sent at once in a kAck message with sequence 0,
-   which acknowledges nothing.
+    which acknowledges nothing.
 
     Call on the control thread only.
 
--- a/packages/zinnia_decisions/membership/rumour_queue.h
+++ b/packages/zinnia_decisions/membership/rumour_queue.h
@@ -13,7 +13,7 @@
 
     A newer rumour replaces an older one on the same subject. The least sent rumours go first, since
     the others have reached more instances already. Bounded: when full, the rumour that was sent
-   most often is evicted.
+    most often is evicted.
 */
 class RumourQueue {
  public:
--- a/tests/control/process_scheduler.h
+++ b/tests/control/process_scheduler.h
@@ -10,7 +10,7 @@
 namespace zinnia {
 
 /** The scheduler of one simulated process. While it is paused, as by SIGSTOP, due calls are held
-   until Resume. Responses and datagrams for the process are delivered through Post. */
+    until Resume. Responses and datagrams for the process are delivered through Post. */
 class ProcessScheduler final : public Scheduler {
  public:
   explicit ProcessScheduler(VirtualTime& time) : m_time(time) {}
--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -245,8 +245,7 @@
     }
   }
 
-  /** Whether a running process has seen the mark. Otherwise it may be lost if no source repeats it.
-   */
+  /** Whether a running process has seen the mark; otherwise it may be lost. */
   bool MarkSeenByRunningProcess() {
     for (const Instance& instance : m_fleet.instances) {
       if (m_seen_leaving[fmt::format("{}/{}", instance.name, instance.start)]) {
