--- a/packages/zinnia_decisions/configuration/configuration_acceptance.cc
+++ b/packages/zinnia_decisions/configuration/configuration_acceptance.cc
@@ -10,11 +10,11 @@
 namespace zinnia {
 namespace {
 
-constexpr Duration kSettleWithin = std::chrono::seconds(10);
+constexpr Duration kOutcomeTimeout = std::chrono::seconds(10);
 constexpr Duration kRetryDelay = std::chrono::milliseconds(250);
-constexpr std::chrono::milliseconds kComeBackAfter{1000};
-constexpr std::size_t kLargestChange = 512UL * 1024;
-constexpr std::size_t kLargestTail = 900UL * 1024;
+constexpr std::chrono::milliseconds kUnavailableRetryAfter{1000};
+constexpr std::size_t kMaxChangeBytes = 512UL * 1024;
+constexpr std::size_t kMaxTailBytes = 900UL * 1024;
 
 std::size_t SizeOf(const ConfigurationChange& change) {
   std::size_t size = 0;
@@ -26,17 +26,17 @@
 
 Error Unavailable(const std::string& why) {
   Error error = MakeError(ErrorKind::kStoreUnavailable, "the change was not applied: " + why);
-  error.retry_after = kComeBackAfter;
+  error.retry_after = kUnavailableRetryAfter;
   return error;
 }
 
-Result<void> CheckShape(const ConfigurationChange& change) {
+Result<void> ValidateChange(const ConfigurationChange& change) {
   if (change.change_id.empty() || change.paths.empty()) {
     return MakeError(ErrorKind::kInvalidRequest, "a change needs an id and at least one path");
   }
-  if (SizeOf(change) > kLargestChange) {
+  if (SizeOf(change) > kMaxChangeBytes) {
     return MakeError(ErrorKind::kPayloadTooLarge,
-                     fmt::format("a change may hold {} bytes: split it", kLargestChange));
+                     fmt::format("a change may hold {} bytes: split it", kMaxChangeBytes));
   }
   return {};
 }
@@ -51,7 +51,7 @@
                                                                         Callback callback) {
   std::shared_ptr<ConfigurationAcceptance> acceptance(new ConfigurationAcceptance(
       std::move(change), host, store, clock, scheduler, std::move(callback)));
-  const Result<void> shape = CheckShape(acceptance->m_change);
+  const Result<void> shape = ValidateChange(acceptance->m_change);
   if (shape) {
     acceptance->ReadHead();
   } else {
@@ -72,36 +72,37 @@
       m_clock(clock),
       m_scheduler(scheduler),
       m_callback(std::move(callback)),
-      m_deadline(clock.Now() + kSettleWithin) {}
+      m_deadline(clock.Now() + kOutcomeTimeout) {}
 
 void ConfigurationAcceptance::Finish(Result<ConfigurationRevision> outcome) {
-  // Finished only afterwards: the callback may order a change, which drops the finished ones.
+  // Set only after the callback, which may submit a change and so destroy finished acceptances.
   std::exchange(m_callback, nullptr)(std::move(outcome));
   m_finished = true;
 }
 
 void ConfigurationAcceptance::ReadHead() {
-  const ConfigurationRevision known_before = m_host.State().revision();
-  m_store.ReadHead(m_guard.Wrap(
-      [this, known_before](Result<VersionedHead> head) { OnHead(std::move(head), known_before); }));
+  const ConfigurationRevision revision_before_read = m_host.State().revision();
+  m_store.ReadHead(m_guard.Wrap([this, revision_before_read](Result<VersionedHead> head) {
+    OnHead(std::move(head), revision_before_read);
+  }));
 }
 
 void ConfigurationAcceptance::OnHead(Result<VersionedHead> head,
-                                     ConfigurationRevision known_before) {
+                                     ConfigurationRevision revision_before_read) {
   if (!head) {
-    if (m_may_have_landed) {
-      TryLater();
+    if (m_may_have_been_written) {
+      ScheduleRetry();
     } else {
       Finish(Unavailable(head.error().message));
     }
     return;
   }
-  m_host.CatchUp(*head, known_before,
+  m_host.CatchUp(*head, revision_before_read,
                  m_guard.Wrap([this, head = *head](const Result<void>& caught_up) {
                    if (caught_up) {
                      Decide(head);
-                   } else if (m_may_have_landed) {
-                     TryLater();
+                   } else if (m_may_have_been_written) {
+                     ScheduleRetry();
                    } else {
                      Finish(Unavailable(caught_up.error().message));
                    }
@@ -124,7 +125,7 @@
     return;
   }
   head.head.Append(m_change.change_id, Entries(next));
-  if (head.head.TailSize() > kLargestTail) {
+  if (head.head.TailSize() > kMaxTailBytes) {
     Finish(Unavailable("the changes before it are still being compacted"));
     return;
   }
@@ -148,23 +149,24 @@
   }
   switch (answer.error().kind) {
     case ErrorKind::kStoreConflict:
-      // Another change or a compaction was faster, or our own earlier swap whose answer was lost.
+      // The head was written by another change, a compaction, or an earlier attempt whose response
+      // was lost.
       ReadHead();
       break;
     case ErrorKind::kStoreUnavailable:
-      if (m_may_have_landed) {
-        TryLater();
+      if (m_may_have_been_written) {
+        ScheduleRetry();
       } else {
         Finish(Unavailable(answer.error().message));
       }
       break;
     default:
-      m_may_have_landed = true;
-      TryLater();
+      m_may_have_been_written = true;
+      ScheduleRetry();
   }
 }
 
-void ConfigurationAcceptance::TryLater() {
+void ConfigurationAcceptance::ScheduleRetry() {
   if (m_clock.Now() >= m_deadline) {
     Error error = MakeError(ErrorKind::kStoreOutcomeUnknown,
                             fmt::format("whether change {} was accepted could not be read back: "
--- a/packages/zinnia_decisions/configuration/configuration_keeper.cc
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.cc
@@ -13,21 +13,21 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kWatchHoldersPerDomain = 2;
-constexpr std::chrono::milliseconds kLongestWatch{10'000};
+constexpr std::size_t kStoreWatchersPerDomain = 2;
+constexpr std::chrono::milliseconds kWatchTimeout{10'000};
 constexpr Duration kFirstRetry = std::chrono::milliseconds(500);
-constexpr std::uint32_t kMostDoublings = 3;
+constexpr std::uint32_t kMaxDoublings = 3;
 constexpr Duration kFetchDelay = std::chrono::milliseconds(50);
-constexpr Duration kFetchGivenUp = std::chrono::seconds(5);
-constexpr std::size_t kMostAcceptances = 64;
-constexpr std::size_t kLargestRumour = 800;
-constexpr std::size_t kCompactAbove = 32UL * 1024;
+constexpr Duration kFetchTimeout = std::chrono::seconds(5);
+constexpr std::size_t kMaxPendingAcceptances = 64;
+constexpr std::size_t kMaxRumourBytes = 800;
+constexpr std::size_t kCompactionThresholdBytes = 32UL * 1024;
 
-// Long enough for every instance to have heard the highest revision before the store is rewritten.
+// Allows the highest revision to reach every instance before the store is rewritten.
 constexpr Duration kReinstateDelay = std::chrono::seconds(6);
 
-// Clear of every revision that the lost part of the store may have given away.
-constexpr ConfigurationRevision kReinstateJump = 1000;
+// Skips revisions that may have been assigned in the lost part of the store.
+constexpr ConfigurationRevision kReinstateRevisionGap = 1000;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 }
 
 void ConfigurationKeeper::Start() {
-  ChooseWatchHolders();
+  SelectStoreWatchers();
   if (!m_watching) {
     ReadThenWatch();
   }
@@ -50,7 +50,7 @@
 void ConfigurationKeeper::Change(ConfigurationChange change,
                                  ConfigurationAcceptance::Callback callback) {
   std::erase_if(m_acceptances, [](const auto& acceptance) { return acceptance->IsFinished(); });
-  if (m_acceptances.size() >= kMostAcceptances) {
+  if (m_acceptances.size() >= kMaxPendingAcceptances) {
     Error error = MakeError(ErrorKind::kOverloaded, "too many changes are waiting for the store");
     error.retry_after = std::chrono::seconds(1);
     callback(error);
@@ -60,19 +60,20 @@
       std::move(change), *this, m_store, m_parts.clock, m_parts.scheduler, std::move(callback)));
 }
 
-// No lease decides who watches: a watch only brings news, and two or five holders bring the same
-// news. Instances that disagree on the membership cost a few calls more, never a wrong revision.
-void ConfigurationKeeper::ChooseWatchHolders() {
+// No lease is needed: extra watchers, caused by differing views of the membership, only cost a few
+// more store calls.
+void ConfigurationKeeper::SelectStoreWatchers() {
   const Instance& self = m_parts.membership.Self();
   std::vector<Instance> candidates = m_parts.membership.LiveInstances();
   std::erase_if(candidates, [&self](const Instance& instance) {
     return instance.failure_domain != self.failure_domain;
   });
   const std::vector<Instance> holders =
-      ChooseByRendezvous("configuration watch", std::move(candidates), kWatchHoldersPerDomain);
-  m_holds_watch = std::any_of(holders.begin(), holders.end(),
-                              [&self](const Instance& holder) { return holder.name == self.name; });
-  if (m_holds_watch && !m_watching && !m_read_call) {
+      ChooseByRendezvous("configuration watch", std::move(candidates), kStoreWatchersPerDomain);
+  m_is_store_watcher = std::any_of(holders.begin(), holders.end(), [&self](const Instance& holder) {
+    return holder.name == self.name;
+  });
+  if (m_is_store_watcher && !m_watching && !m_read_call) {
     ReadThenWatch();
   }
 }
@@ -80,40 +81,42 @@
 void ConfigurationKeeper::ReadThenWatch() {
   m_read_call.reset();
   m_watching = true;
-  const ConfigurationRevision known_before = m_state.revision();
-  m_store.ReadHead(m_guard.Wrap(
-      [this, known_before](const Result<VersionedHead>& head) { OnHead(head, known_before); }));
+  const ConfigurationRevision revision_before_read = m_state.revision();
+  m_store.ReadHead(m_guard.Wrap([this, revision_before_read](const Result<VersionedHead>& head) {
+    OnHead(head, revision_before_read);
+  }));
 }
 
 void ConfigurationKeeper::OnHead(const Result<VersionedHead>& head,
-                                 ConfigurationRevision known_before) {
+                                 ConfigurationRevision revision_before_read) {
   if (!head) {
     ReadLater();
     return;
   }
   m_store_failures = 0;
-  CatchUp(*head, known_before, [this, version = head->version](const Result<void>& caught_up) {
-    if (!caught_up && !m_store_went_back) {
-      ReadLater();
-    } else if (m_holds_watch) {
-      Watch(version);
-    } else {
-      m_watching = false;
-      if (!IsReady()) {
-        ReadLater();
-      }
-    }
-  });
+  CatchUp(*head, revision_before_read,
+          [this, version = head->version](const Result<void>& caught_up) {
+            if (!caught_up && !m_store_rolled_back) {
+              ReadLater();
+            } else if (m_is_store_watcher) {
+              Watch(version);
+            } else {
+              m_watching = false;
+              if (!IsReady()) {
+                ReadLater();
+              }
+            }
+          });
 }
 
 void ConfigurationKeeper::ReadLater() {
   m_watching = false;
-  m_store_failures = std::min(m_store_failures + 1, kMostDoublings);
+  m_store_failures = std::min(m_store_failures + 1, kMaxDoublings);
   const Duration delay = kFirstRetry * (1U << m_store_failures);
   const auto jitter = RandomBelow(m_random, static_cast<std::uint64_t>(delay.count()));
   m_read_call = m_parts.scheduler.ScheduleAfter(delay / 2 + Duration(jitter), [this] {
     m_read_call.reset();
-    if (m_holds_watch || !IsReady()) {
+    if (m_is_store_watcher || !IsReady()) {
       ReadThenWatch();
     }
   });
@@ -121,24 +124,25 @@
 
 void ConfigurationKeeper::Watch(std::uint64_t after_version) {
   m_watching = true;
-  const ConfigurationRevision known_before = m_state.revision();
-  m_store.Watch(after_version, kLongestWatch,
-                m_guard.Wrap([this, after_version, known_before](const Result<StoreBatch>& batch) {
-                  OnWatchAnswer(after_version, known_before, batch);
-                }));
+  const ConfigurationRevision revision_before_read = m_state.revision();
+  m_store.Watch(
+      after_version, kWatchTimeout,
+      m_guard.Wrap([this, after_version, revision_before_read](const Result<StoreBatch>& batch) {
+        OnWatchAnswer(after_version, revision_before_read, batch);
+      }));
 }
 
-// A store that was restored counts its versions from an earlier state: a watch after the version of
-// yesterday would sleep through every change until the count has caught up.
+// A restored store may return a lower version than the one being watched. Watching the old version
+// would miss all changes until the store's version exceeds it, so the head is read again.
 void ConfigurationKeeper::OnWatchAnswer(std::uint64_t after_version,
-                                        ConfigurationRevision known_before,
+                                        ConfigurationRevision revision_before_read,
                                         const Result<StoreBatch>& batch) {
   if (!batch) {
     ReadLater();
-  } else if (!m_holds_watch) {
+  } else if (!m_is_store_watcher) {
     m_watching = false;
   } else if (!batch->records.empty()) {
-    OnHead(ConfigurationStore::HeadFrom(batch->records.front()), known_before);
+    OnHead(ConfigurationStore::ParseHeadRecord(batch->records.front()), revision_before_read);
   } else if (batch->version < after_version) {
     ReadThenWatch();
   } else {
@@ -147,13 +151,13 @@
 }
 
 void ConfigurationKeeper::CatchUp(VersionedHead head,
-                                  ConfigurationRevision known_before,
+                                  ConfigurationRevision revision_before_read,
                                   std::function<void(Result<void>)> callback) {
-  if (head.head.revision < known_before) {
-    NoticeStoreWentBack(head.head.revision);
+  if (head.head.revision < revision_before_read) {
+    HandleStoreRollback(head.head.revision);
     callback(MakeError(ErrorKind::kStoreUnavailable,
                        fmt::format("the store went back to revision {} while {} is in force",
-                                   head.head.revision, known_before)));
+                                   head.head.revision, revision_before_read)));
     return;
   }
   m_recent_ids = head.head.ids;
@@ -173,26 +177,26 @@
           callback(copy.error());
           return;
         }
-        ApplyAndSpread(*copy, false);
+        ApplyAndPublish(*copy, false);
         callback({});
       }));
 }
 
 void ConfigurationKeeper::ApplyTail(const ConfigurationHead& head) {
   for (const AcceptedChange& change : head.tail) {
-    ApplyAndSpread(change.AsDelta(), false);
+    ApplyAndPublish(change.AsDelta(), false);
   }
 }
 
 void ConfigurationKeeper::OnAccepted(VersionedHead head) {
   m_recent_ids = head.head.ids;
-  ApplyAndSpread(head.head.tail.back().AsDelta(), true);
+  ApplyAndPublish(head.head.tail.back().AsDelta(), true);
   CompactIfLarge(head);
 }
 
 void ConfigurationKeeper::CompactIfLarge(const VersionedHead& head) {
   const bool current = m_state.revision() == head.head.revision;
-  if (m_compacting || !current || head.head.TailSize() <= kCompactAbove) {
+  if (m_compacting || !current || head.head.TailSize() <= kCompactionThresholdBytes) {
     return;
   }
   m_compacting = true;
@@ -210,11 +214,11 @@
     OnPeerRevision(sender, delta.revision);
     return;
   }
-  ApplyAndSpread(delta, false);
+  ApplyAndPublish(delta, false);
 }
 
 void ConfigurationKeeper::OnPeerRevision(const Instance& peer, ConfigurationRevision revision) {
-  const bool waiting = m_fetching && m_parts.clock.Now() - m_fetch_started < kFetchGivenUp;
+  const bool waiting = m_fetching && m_parts.clock.Now() - m_fetch_started < kFetchTimeout;
   if (revision <= m_state.revision() || waiting) {
     return;
   }
@@ -240,7 +244,7 @@
 void ConfigurationKeeper::OnFetched(const Result<ConfigurationDelta>& answer) {
   m_fetching = false;
   if (answer) {
-    ApplyAndSpread(*answer, false);
+    ApplyAndPublish(*answer, false);
   }
 }
 
@@ -256,26 +260,26 @@
   }
   m_parts.logger.Log(LogLevel::kInfo, "configuration_in_force",
                      {{"revision", std::to_string(m_state.revision())}});
-  TellListeners();
+  NotifyListeners();
   return true;
 }
 
-void ConfigurationKeeper::ApplyAndSpread(const ConfigurationDelta& delta, bool first_hand) {
+void ConfigurationKeeper::ApplyAndPublish(const ConfigurationDelta& delta, bool originated_here) {
   if (!Apply(delta)) {
     return;
   }
-  if (EstimateSize(delta) <= kLargestRumour) {
-    m_parts.spreader.SpreadDelta(delta, first_hand);
+  if (EstimateSize(delta) <= kMaxRumourBytes) {
+    m_parts.spreader.PublishDelta(delta, originated_here);
   } else {
-    m_parts.spreader.SpreadRevision();
+    m_parts.spreader.PublishRevision();
   }
 }
 
-void ConfigurationKeeper::NoticeStoreWentBack(ConfigurationRevision store_revision) {
-  if (m_store_went_back) {
+void ConfigurationKeeper::HandleStoreRollback(ConfigurationRevision store_revision) {
+  if (m_store_rolled_back) {
     return;
   }
-  m_store_went_back = true;
+  m_store_rolled_back = true;
   m_parts.logger.Log(LogLevel::kError, "configuration_store_went_back",
                      {{"store_revision", std::to_string(store_revision)},
                       {"in_force", std::to_string(m_state.revision())}});
@@ -289,16 +293,16 @@
 }
 
 void ConfigurationKeeper::CheckReinstate() {
-  const ConfigurationRevision known_before = m_state.revision();
-  m_store.ReadHead(m_guard.Wrap([this, known_before](const Result<VersionedHead>& head) {
+  const ConfigurationRevision revision_before_read = m_state.revision();
+  m_store.ReadHead(m_guard.Wrap([this, revision_before_read](const Result<VersionedHead>& head) {
     if (!head) {
       m_reinstate_call =
           m_parts.scheduler.ScheduleAfter(kReinstateDelay, [this] { CheckReinstate(); });
       return;
     }
-    m_store_went_back = false;
-    if (head->head.revision < known_before) {
-      m_store_went_back = true;
+    m_store_rolled_back = false;
+    if (head->head.revision < revision_before_read) {
+      m_store_rolled_back = true;
       Reinstate(*head);
     }
   }));
@@ -306,17 +310,17 @@
 
 void ConfigurationKeeper::Reinstate(const VersionedHead& lost) {
   ConfigurationHead head;
-  head.revision = m_state.revision() + kReinstateJump;
+  head.revision = m_state.revision() + kReinstateRevisionGap;
   head.ids = m_recent_ids;
   const ConfigurationRevision from = m_state.revision();
   const auto reinstated = [this, from, revision = head.revision](const Result<void>& done) {
-    m_store_went_back = false;
+    m_store_rolled_back = false;
     if (done && m_state.revision() == from) {
-      m_state.JumpTo(revision);
+      m_state.AdvanceTo(revision);
       m_parts.logger.Log(LogLevel::kWarning, "configuration_store_reinstated",
                          {{"revision", std::to_string(revision)}});
-      m_parts.spreader.SpreadRevision();
-      TellListeners();
+      m_parts.spreader.PublishRevision();
+      NotifyListeners();
     }
   };
   m_store.Reinstate(lost, std::move(head), m_state, m_guard.Wrap(reinstated));
@@ -330,7 +334,7 @@
   std::erase(m_listeners, &listener);
 }
 
-void ConfigurationKeeper::TellListeners() {
+void ConfigurationKeeper::NotifyListeners() {
   const std::shared_ptr<const Configuration> current = m_state.parsed();
   const std::vector<ConfigurationListener*> listeners = m_listeners;
   for (ConfigurationListener* listener : listeners) {
--- a/packages/zinnia_decisions/configuration/configuration_keeper.h
+++ b/packages/zinnia_decisions/configuration/configuration_keeper.h
@@ -20,37 +20,37 @@
 class DecisionRecorder;
 class PeerTransport;
 
-/** How ConfigurationKeeper tells the other instances of news. */
-class ConfigurationSpreader {
+/** Sends configuration updates to the other instances. */
+class ConfigurationPublisher {
  public:
-  virtual ~ConfigurationSpreader() = default;
+  virtual ~ConfigurationPublisher() = default;
 
-  /** A delta small enough for a datagram. `first_hand`: accepted here. */
-  virtual void SpreadDelta(const ConfigurationDelta& delta, bool first_hand) = 0;
+  /** Sends a delta that fits into a datagram. `originated_here`: accepted on this instance. */
+  virtual void PublishDelta(const ConfigurationDelta& delta, bool originated_here) = 0;
 
-  /** The new revision alone, when the content is too large: peers fetch it. */
-  virtual void SpreadRevision() = 0;
+  /** Sends only the new revision; peers fetch the content, which is too large for a datagram. */
+  virtual void PublishRevision() = 0;
 };
 
-/** The objects that the keeper works with. All must outlive it. */
+/** Dependencies of ConfigurationKeeper, which must outlive it. */
 struct ConfigurationKeeperParts {
   Clock& clock;
   Scheduler& scheduler;
   PlatformStore& store;
   PeerTransport& transport;
   MembershipView& membership;
-  ConfigurationSpreader& spreader;
+  ConfigurationPublisher& spreader;
   DecisionRecorder& recorder;
   Logger& logger;
 };
 
-/** Keeps the accepted configuration in force on this instance; its revision only moves up.
+/** Keeps the accepted configuration in force on this instance. Its revision never decreases.
 
-    Two live instances of each failure domain, chosen by rendezvous hashing, hold a watch on the
-    store; all others hear of changes from peers, by rumour or by fetching what a higher revision
-    told in a probe stands for. A new instance takes the highest revision it can get from the store
-    or from peers. A store that shows an older revision than this instance holds was restored to an
-    earlier state: the newer configuration stays in force and is written back.
+    In each failure domain, two live instances chosen by rendezvous hashing watch the store. The
+    others receive changes from peers as rumours, or fetch them when a probe carries a higher
+    revision. A new instance takes the highest revision available from the store or from peers. If
+    the store shows an older revision than is in force here, it was restored from a backup: the
+    newer configuration stays in force and is written back.
 
     @see ConfigurationAcceptance, ConfigurationState, GossipMembership
 */
@@ -63,8 +63,8 @@
 
   void Start();
 
-  /** Accepts an operator's change or refuses it whole. kRevisionConflict names the newer revision
-      and the touched paths that changed; kStoreUnavailable: nothing was applied. */
+  /** Submits an operator's change, which is applied atomically. kRevisionConflict names the newer
+      revision and the conflicting paths; on kStoreUnavailable nothing was applied. */
   void Change(ConfigurationChange change, ConfigurationAcceptance::Callback callback);
 
   void OnRumour(const ConfigurationDelta& delta, const Instance& sender);
@@ -73,10 +73,10 @@
     return m_state.DeltaAfter(after);
   }
 
-  /** Whether some configuration is in force here. */
+  /** Whether a configuration has been loaded. */
   bool IsReady() const { return m_state.revision() > 0; }
   ConfigurationRevision revision() const { return m_state.revision(); }
-  bool HoldsWatch() const { return m_holds_watch; }
+  bool IsStoreWatcher() const { return m_is_store_watcher; }
   const ConfigurationState& State() const override { return m_state; }
 
   std::shared_ptr<const Configuration> Current() const override { return m_state.parsed(); }
@@ -84,30 +84,30 @@
   void RemoveListener(ConfigurationListener& listener) override;
 
  private:
-  void OnMembershipChanged() override { ChooseWatchHolders(); }
+  void OnMembershipChanged() override { SelectStoreWatchers(); }
   void CatchUp(VersionedHead head,
-               ConfigurationRevision known_before,
+               ConfigurationRevision revision_before_read,
                std::function<void(Result<void>)> callback) override;
   void OnAccepted(VersionedHead head) override;
 
-  void ChooseWatchHolders();
+  void SelectStoreWatchers();
   void ReadThenWatch();
   void Watch(std::uint64_t after_version);
-  void OnHead(const Result<VersionedHead>& head, ConfigurationRevision known_before);
+  void OnHead(const Result<VersionedHead>& head, ConfigurationRevision revision_before_read);
   void OnWatchAnswer(std::uint64_t after_version,
-                     ConfigurationRevision known_before,
+                     ConfigurationRevision revision_before_read,
                      const Result<StoreBatch>& batch);
   void ReadLater();
   void ApplyTail(const ConfigurationHead& head);
   bool Apply(const ConfigurationDelta& delta);
-  void ApplyAndSpread(const ConfigurationDelta& delta, bool first_hand);
+  void ApplyAndPublish(const ConfigurationDelta& delta, bool originated_here);
   void Fetch(const Instance& peer);
   void OnFetched(const Result<ConfigurationDelta>& answer);
   void CompactIfLarge(const VersionedHead& head);
-  void NoticeStoreWentBack(ConfigurationRevision store_revision);
+  void HandleStoreRollback(ConfigurationRevision store_revision);
   void CheckReinstate();
   void Reinstate(const VersionedHead& lost);
-  void TellListeners();
+  void NotifyListeners();
 
   ConfigurationKeeperParts m_parts;
   ConfigurationStore m_store;
@@ -116,7 +116,7 @@
   std::vector<ConfigurationListener*> m_listeners;
   std::vector<std::pair<std::string, ConfigurationRevision>> m_recent_ids;
 
-  bool m_holds_watch = false;
+  bool m_is_store_watcher = false;
   bool m_watching = false;
   bool m_compacting = false;
   std::uint32_t m_store_failures = 0;
@@ -125,7 +125,7 @@
   TimePoint m_fetch_started{};
   Instance m_fetch_from;
 
-  bool m_store_went_back = false;
+  bool m_store_rolled_back = false;
   std::unique_ptr<ScheduledCall> m_read_call;
   std::unique_ptr<ScheduledCall> m_fetch_call;
   std::unique_ptr<ScheduledCall> m_reinstate_call;
--- a/packages/zinnia_decisions/configuration/configuration_state.cc
+++ b/packages/zinnia_decisions/configuration/configuration_state.cc
@@ -6,7 +6,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostTombstones = 4096;
+constexpr std::size_t kMaxTombstones = 4096;
 
 }  // namespace
 
@@ -22,19 +22,19 @@
   if (delta.after > m_revision) {
     return DeltaOutcome::kGap;
   }
-  std::vector<ConfigurationEntry> news;
+  std::vector<ConfigurationEntry> new_entries;
   for (const ConfigurationEntry& entry : delta.entries) {
     if (entry.revision > m_revision) {
-      news.push_back(entry);
+      new_entries.push_back(entry);
     }
   }
-  Result<Configuration> parsed = m_parsed->WithChanges(delta.revision, news);
+  Result<Configuration> parsed = m_parsed->WithChanges(delta.revision, new_entries);
   if (!parsed) {
     return DeltaOutcome::kInvalid;
   }
   m_parsed = std::make_shared<const Configuration>(std::move(*parsed));
   m_revision = delta.revision;
-  for (const ConfigurationEntry& entry : news) {
+  for (const ConfigurationEntry& entry : new_entries) {
     Put(entry);
   }
   DropOldTombstones();
@@ -80,7 +80,7 @@
   return delta;
 }
 
-void ConfigurationState::JumpTo(ConfigurationRevision revision) {
+void ConfigurationState::AdvanceTo(ConfigurationRevision revision) {
   Configuration parsed = m_parsed->WithChanges(revision, {}).value();
   m_parsed = std::make_shared<const Configuration>(std::move(parsed));
   m_revision = revision;
@@ -113,7 +113,7 @@
 }
 
 void ConfigurationState::DropOldTombstones() {
-  while (m_tombstones.size() > kMostTombstones) {
+  while (m_tombstones.size() > kMaxTombstones) {
     const auto oldest = m_tombstones.begin();
     m_floor = std::max(m_floor, oldest->first);
     m_by_revision.erase(*oldest);
--- a/packages/zinnia_decisions/configuration/configuration_store.cc
+++ b/packages/zinnia_decisions/configuration/configuration_store.cc
@@ -9,8 +9,8 @@
 
 namespace zinnia {
 
-/** Shards on their way to the store, and the head that makes them count. */
-struct ConfigurationStore::Writing {
+/** Shards being written, and the head that will refer to them. */
+struct ConfigurationStore::ShardWrite {
   VersionedHead base;
   ConfigurationHead head;
   ConfigurationRevision revision = 0;
@@ -27,11 +27,11 @@
                   callback(answer.error());
                   return;
                 }
-                callback(*answer ? HeadFrom(**answer) : VersionedHead{});
+                callback(*answer ? ParseHeadRecord(**answer) : VersionedHead{});
               });
 }
 
-Result<VersionedHead> ConfigurationStore::HeadFrom(const StoreRecord& record) {
+Result<VersionedHead> ConfigurationStore::ParseHeadRecord(const StoreRecord& record) {
   if (!record.value) {
     return VersionedHead{};
   }
@@ -113,7 +113,7 @@
       contents[ShardOf(path)].push_back(entry);
     }
   }
-  auto writing = std::make_shared<Writing>();
+  auto writing = std::make_shared<ShardWrite>();
   writing->base = head;
   writing->head = head.head;
   writing->revision = head.head.revision;
@@ -135,7 +135,7 @@
       contents[ShardOf(path)].push_back(entry);
     }
   }
-  auto writing = std::make_shared<Writing>();
+  auto writing = std::make_shared<ShardWrite>();
   writing->base = lost;
   writing->revision = head.revision;
   writing->head = std::move(head);
@@ -146,16 +146,16 @@
   WriteNextShard(writing);
 }
 
-void ConfigurationStore::WriteNextShard(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::WriteNextShard(const std::shared_ptr<ShardWrite>& writing) {
   if (writing->next == writing->shards.size()) {
-    FinishWriting(writing);
+    CommitShardWrite(writing);
     return;
   }
   auto& [shard, json] = writing->shards[writing->next];
   m_store.CompareAndSwap(ShardKey(shard, writing->revision), 0, json, std::nullopt,
                          m_guard.Wrap([this, writing](const Result<std::uint64_t>& answer) {
-                           // A shard that exists at this revision was written by somebody else with
-                           // the same content.
+                           // Shards are immutable: one that exists at this revision has the same
+                           // content.
                            const bool there =
                                answer || answer.error().kind == ErrorKind::kStoreConflict;
                            if (!there) {
@@ -167,7 +167,7 @@
                          }));
 }
 
-void ConfigurationStore::FinishWriting(const std::shared_ptr<Writing>& writing) {
+void ConfigurationStore::CommitShardWrite(const std::shared_ptr<ShardWrite>& writing) {
   ConfigurationHead& head = writing->head;
   std::vector<std::string> replaced;
   head.floor = writing->revision;
@@ -186,15 +186,15 @@
                 DeleteReplaced(replaced);
                 writing->callback({});
               } else if (answer.error().kind == ErrorKind::kStoreConflict && writing->rebase) {
-                RebaseWriting(writing);
+                RebaseShardWrite(writing);
               } else {
                 writing->callback(answer.error());
               }
             }));
 }
 
-// Changes go on being accepted while shards are written; they stay in the tail of the newer head.
-void ConfigurationStore::RebaseWriting(const std::shared_ptr<Writing>& writing) {
+// Keeps changes that were accepted while the shards were written in the tail of the newer head.
+void ConfigurationStore::RebaseShardWrite(const std::shared_ptr<ShardWrite>& writing) {
   ReadHead(m_guard.Wrap([this, writing](Result<VersionedHead> newer) {
     if (!newer) {
       writing->callback(newer.error());
@@ -208,7 +208,7 @@
     }
     writing->base = *newer;
     writing->head = std::move(newer->head);
-    FinishWriting(writing);
+    CommitShardWrite(writing);
   }));
 }
 
--- a/packages/zinnia_decisions/configuration/configuration_store.h
+++ b/packages/zinnia_decisions/configuration/configuration_store.h
@@ -12,13 +12,13 @@
 
 class ConfigurationState;
 
-/** The head record with the store's version of it; version 0 and an empty head if there is none. */
+/** The head record and its version in the store; version 0 and an empty head if it is missing. */
 struct VersionedHead {
   std::uint64_t version = 0;
   ConfigurationHead head;
 };
 
-/** Reads and writes the configuration's records in the platform's store.
+/** Reads and writes the configuration records in the platform's store.
 
     @see ConfigurationHead, ConfigurationKeeper, ConfigurationAcceptance
 */
@@ -32,8 +32,8 @@
 
   void ReadHead(HeadCallback callback);
 
-  /** The head in a record that a watch brought. */
-  static Result<VersionedHead> HeadFrom(const StoreRecord& record);
+  /** Parses a head record returned by a watch. */
+  static Result<VersionedHead> ParseHeadRecord(const StoreRecord& record);
   void WriteHead(const VersionedHead& base,
                  const ConfigurationHead& head,
                  PlatformStore::WriteCallback callback);
@@ -41,25 +41,25 @@
              std::chrono::milliseconds longest_wait,
              PlatformStore::BatchCallback callback);
 
-  /** Reads all entries up to the head's revision. Fails with kStoreConflict if a compaction
-      replaced a shard meanwhile: read the head again. */
+  /** Reads all entries up to the head's revision. Fails with kStoreConflict if a concurrent
+      compaction replaced a shard; the caller must read the head again. */
   void ReadFullCopy(const ConfigurationHead& head, CopyCallback callback);
 
-  /** Moves the head's tail into shards, from `state`, which must be at the head's revision. */
+  /** Moves the head's tail into shards. `state` must be at the head's revision. */
   void Compact(const VersionedHead& head, const ConfigurationState& state, DoneCallback callback);
 
-  /** Writes all of `state` as `head` over a store that lost some of it. */
+  /** Writes all of `state`, with `head`, to a store that was restored from a backup. */
   void Reinstate(const VersionedHead& lost,
                  ConfigurationHead head,
                  const ConfigurationState& state,
                  DoneCallback callback);
 
  private:
-  struct Writing;
+  struct ShardWrite;
 
-  void WriteNextShard(const std::shared_ptr<Writing>& writing);
-  void FinishWriting(const std::shared_ptr<Writing>& writing);
-  void RebaseWriting(const std::shared_ptr<Writing>& writing);
+  void WriteNextShard(const std::shared_ptr<ShardWrite>& writing);
+  void CommitShardWrite(const std::shared_ptr<ShardWrite>& writing);
+  void RebaseShardWrite(const std::shared_ptr<ShardWrite>& writing);
   void DeleteReplaced(const std::vector<std::string>& keys);
 
   PlatformStore& m_store;
--- a/packages/zinnia_decisions/control/instance_control.cc
+++ b/packages/zinnia_decisions/control/instance_control.cc
@@ -15,16 +15,16 @@
 namespace zinnia {
 namespace {
 
-constexpr Duration kPublishWithin = std::chrono::milliseconds(50);
-constexpr Duration kPublishLoadsWithin = std::chrono::milliseconds(250);
-constexpr Duration kPublishLoadsPerServer = std::chrono::microseconds(500);
+constexpr Duration kSnapshotDelay = std::chrono::milliseconds(50);
+constexpr Duration kLoadSnapshotDelay = std::chrono::milliseconds(250);
+constexpr Duration kLoadSnapshotDelayPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerServer = std::chrono::microseconds(500);
 constexpr Duration kListIntervalPerInstance = std::chrono::milliseconds(20);
-constexpr Duration kLongestWaitForEngines = std::chrono::seconds(10);
+constexpr Duration kEngineWaitTimeout = std::chrono::seconds(10);
 constexpr Duration kReadinessInterval = std::chrono::milliseconds(250);
 constexpr Duration kQuarantineTick = std::chrono::seconds(1);
 constexpr std::size_t kFingerprintsInRumour = 40;
-constexpr std::size_t kMostRumoursForNewcomer = 512;
+constexpr std::size_t kMaxInitialRumours = 512;
 
 Result<void> CheckSettings(const InstanceControlSettings& settings) {
   const Instance& self = settings.membership.self;
@@ -77,7 +77,7 @@
       m_snapshot(std::make_shared<const FleetSnapshot>(
           FleetSnapshot{.own_failure_domain = m_settings.membership.self.failure_domain,
                         .configuration = std::make_shared<const Configuration>()})),
-      m_quarantine_picture(std::make_shared<const QuarantineSnapshot>()) {
+      m_quarantine_snapshot(std::make_shared<const QuarantineSnapshot>()) {
   m_membership.AddListener(*this);
   m_configuration.AddListener(*this);
 }
@@ -120,8 +120,8 @@
       m_guard.Wrap([this](const Result<InstanceListing>& listing) { OnListing(listing); }));
 }
 
-// With many instances each reads less often: whoever reads a sign first tells the others, and the
-// platform's list would not stand hundreds of full reads a second.
+// Bounds the fleet's total rate of list reads: changes found by one instance are sent to the
+// others.
 Duration InstanceControl::ListInterval() const {
   const auto live = static_cast<std::int64_t>(m_membership.table().LiveCount() + 1);
   const auto servers = static_cast<std::int64_t>(m_servers.rows().size());
@@ -129,8 +129,9 @@
                    kListIntervalPerServer * servers});
 }
 
-Duration InstanceControl::PublishLoadsWithin() const {
-  return kPublishLoadsWithin + kPublishLoadsPerServer * static_cast<std::int64_t>(m_subset.size());
+Duration InstanceControl::LoadSnapshotDelay() const {
+  return kLoadSnapshotDelay +
+         kLoadSnapshotDelayPerServer * static_cast<std::int64_t>(m_subset.size());
 }
 
 void InstanceControl::OnListing(const Result<InstanceListing>& listing) {
@@ -149,15 +150,15 @@
   }
   if (changed) {
     ChooseSubset();
-    WantSnapshot(kPublishWithin);
+    RequestSnapshot(kSnapshotDelay);
   }
 }
 
 void InstanceControl::OnEngineAnswer(const BackendServerName& server,
                                      const Result<EngineState>& state) {
   if (!state) {
-    if (m_servers.OnEngineSilent(server)) {
-      WantSnapshot(kPublishWithin);
+    if (m_servers.OnPollFailed(server)) {
+      RequestSnapshot(kSnapshotDelay);
     }
     return;
   }
@@ -165,9 +166,9 @@
     MarkLeaving(server, state->incarnation, LeavingSource::kEngine);
   }
   if (m_servers.OnEngineState(server, *state, m_ports.clock.Now())) {
-    // Matching pipelines anew for each answer would take a whole core while a new instance learns
-    // what hundreds of engines hold.
-    WantSnapshot(PublishLoadsWithin());
+    // Batches answers: matching pipelines for each one would take a whole core while a new instance
+    // polls hundreds of engines for the first time.
+    RequestSnapshot(LoadSnapshotDelay());
   }
 }
 
@@ -175,13 +176,13 @@
                                        std::uint32_t running,
                                        std::uint32_t queued) {
   m_servers.OnLoad(server, running, queued, m_ports.clock.Now());
-  WantSnapshot(PublishLoadsWithin());
+  RequestSnapshot(LoadSnapshotDelay());
 }
 
 void InstanceControl::ReportServerRates(const BackendServerName& server,
                                         const ServerRatesReport& rates) {
   m_servers.OnRates(server, rates);
-  WantSnapshot(kPublishLoadsWithin);
+  RequestSnapshot(kLoadSnapshotDelay);
 }
 
 void InstanceControl::ReportServerLeaving(const BackendServerName& server) {
@@ -200,9 +201,9 @@
        "stop_new_work",
        "the server is leaving",
        {{"incarnation", std::to_string(incarnation)}, {"source", std::string(NameOf(source))}}});
-  m_membership.SpreadUrgently(LeavingRumour{server, incarnation}, source != LeavingSource::kPeer,
-                              true);
-  WantSnapshot(kPublishWithin);
+  m_membership.SendUrgently(LeavingRumour{server, incarnation}, source != LeavingSource::kPeer,
+                            true);
+  RequestSnapshot(kSnapshotDelay);
 }
 
 std::vector<CrashRumour> InstanceControl::CrashRumours(const BackendServerName& server,
@@ -228,25 +229,25 @@
 void InstanceControl::ReportServerCrash(const BackendServerName& server,
                                         const InFlightAtCrash& in_flight) {
   for (const CrashRumour& rumour : CrashRumours(server, in_flight)) {
-    TakeCrash(rumour, true);
+    ApplyCrash(rumour, true);
   }
 }
 
 void InstanceControl::ReportServerCrash(const BackendServerName& server,
                                         const InFlightAtCrash& in_flight,
-                                        std::function<void()> peers_know) {
+                                        std::function<void()> on_peers_informed) {
   std::vector<CrashRumour> rumours = CrashRumours(server, in_flight);
   ReportServerCrash(server, in_flight);
-  m_crash_announcer.Announce(std::move(rumours), std::move(peers_know));
+  m_crash_announcer.Announce(std::move(rumours), std::move(on_peers_informed));
 }
 
-void InstanceControl::TakeCrash(const CrashRumour& rumour, bool first_hand) {
-  CrashRumour news = rumour;
-  news.fingerprints = m_quarantine.OnCrash(rumour, m_ports.clock.Now());
-  if (news.fingerprints.empty()) {
+void InstanceControl::ApplyCrash(const CrashRumour& rumour, bool originated_here) {
+  CrashRumour forwarded = rumour;
+  forwarded.fingerprints = m_quarantine.OnCrash(rumour, m_ports.clock.Now());
+  if (forwarded.fingerprints.empty()) {
     return;
   }
-  for (const Fingerprint& fingerprint : news.fingerprints) {
+  for (const Fingerprint& fingerprint : forwarded.fingerprints) {
     if (m_quarantine.IsQuarantined(fingerprint)) {
       m_ports.recorder.Record({m_ports.clock.Now(),
                                "request " + fingerprint.ToHex(),
@@ -255,7 +256,7 @@
                                {{"backend_server", rumour.server}}});
     }
   }
-  m_membership.SpreadUrgently(std::move(news), first_hand, true);
+  m_membership.SendUrgently(std::move(forwarded), originated_here, true);
   PublishQuarantine();
 }
 
@@ -274,7 +275,7 @@
 }
 
 void InstanceControl::PublishQuarantine() {
-  m_quarantine_picture.store(m_quarantine.BuildSnapshot(m_ports.clock.Now()));
+  m_quarantine_snapshot.store(m_quarantine.BuildSnapshot(m_ports.clock.Now()));
 }
 
 void InstanceControl::OnConfigurationChanged(const Configuration& configuration) {
@@ -288,7 +289,7 @@
   if (SubsetDependsOn(configuration)) {
     ChooseSubset();
   }
-  WantSnapshot(kPublishWithin);
+  RequestSnapshot(kSnapshotDelay);
 }
 
 void InstanceControl::OnMembershipChanged() {
@@ -296,11 +297,10 @@
   if (!m_quarantine.IsEmpty()) {
     PublishQuarantine();
   }
-  WantSnapshot(PublishLoadsWithin());
+  RequestSnapshot(LoadSnapshotDelay());
 }
 
-// Grouping all servers anew for each change of a contract would be the control thread's largest
-// cost.
+// Avoids regrouping all servers when a change concerns only contracts.
 bool InstanceControl::SubsetDependsOn(const Configuration& configuration) const {
   return !m_subset_configuration ||
          m_subset_configuration->pipelines() != configuration.pipelines() ||
@@ -310,7 +310,7 @@
 
 void InstanceControl::ChooseSubset() {
   m_subset_configuration = m_configuration.Current();
-  m_subset = ChooseServers(m_membership.Self().name, m_servers.rows(), *m_configuration.Current());
+  m_subset = SelectServers(m_membership.Self().name, m_servers.rows(), *m_configuration.Current());
   std::set<BackendServerName> engines = m_subset;
   for (const auto& [name, service] : m_configuration.Current()->services()) {
     for (const BackendServerName& server : service.servers) {
@@ -320,7 +320,7 @@
   m_poller.SetServers(std::move(engines));
 }
 
-void InstanceControl::WantSnapshot(Duration within) {
+void InstanceControl::RequestSnapshot(Duration within) {
   const TimePoint due = m_ports.clock.Now() + within;
   if (m_snapshot_call && m_snapshot_due <= due) {
     return;
@@ -348,12 +348,12 @@
     return;
   }
   const TimePoint now = m_ports.clock.Now();
-  if (!m_waits_for_engines_since) {
-    m_waits_for_engines_since = now;
+  if (!m_engine_wait_started) {
+    m_engine_wait_started = now;
   }
-  m_ready = m_poller.HasAskedAll() || now - *m_waits_for_engines_since >= kLongestWaitForEngines;
+  m_ready = m_poller.HasPolledAll() || now - *m_engine_wait_started >= kEngineWaitTimeout;
   if (!m_ready) {
-    WantSnapshot(kReadinessInterval);
+    RequestSnapshot(kReadinessInterval);
   }
 }
 
@@ -408,7 +408,7 @@
   if (const auto* leaving = std::get_if<LeavingRumour>(&rumour)) {
     MarkLeaving(leaving->server, leaving->incarnation, LeavingSource::kPeer);
   } else if (const auto* crash = std::get_if<CrashRumour>(&rumour)) {
-    TakeCrash(*crash, false);
+    ApplyCrash(*crash, false);
   } else if (const auto* change = std::get_if<ConfigurationRumour>(&rumour)) {
     m_configuration.OnRumour(change->delta, sender);
   }
@@ -418,42 +418,42 @@
   m_configuration.OnPeerRevision(peer, revision);
 }
 
-std::vector<Rumour> InstanceControl::RumoursForNewcomer() const {
+std::vector<Rumour> InstanceControl::RumoursForNewMember() const {
   std::vector<Rumour> rumours;
   for (CrashRumour& crash : m_quarantine.Rumours(m_ports.clock.Now())) {
     rumours.emplace_back(std::move(crash));
   }
   for (const auto& [server, mark] : m_leaving.marks()) {
     const bool current = mark.incarnation >= m_servers.IncarnationOf(server);
-    if (current && rumours.size() < kMostRumoursForNewcomer) {
+    if (current && rumours.size() < kMaxInitialRumours) {
       rumours.emplace_back(LeavingRumour{server, mark.incarnation});
     }
   }
   return rumours;
 }
 
-std::vector<Rumour> InstanceControl::RumoursForRepair(std::size_t room) {
-  const std::vector<Rumour> all = RumoursForNewcomer();
+std::vector<Rumour> InstanceControl::RumoursForRepair(std::size_t max_bytes) {
+  const std::vector<Rumour> all = RumoursForNewMember();
   std::vector<Rumour> turn;
   for (std::size_t taken = 0; taken < all.size(); ++taken) {
     const Rumour& rumour = all[m_repair_turn % all.size()];
     const std::size_t size = EstimateSize(rumour);
-    if (size > room && !turn.empty()) {
+    if (size > max_bytes && !turn.empty()) {
       break;
     }
-    room -= std::min(size, room);
+    max_bytes -= std::min(size, max_bytes);
     turn.push_back(rumour);
     ++m_repair_turn;
   }
   return turn;
 }
 
-void InstanceControl::SpreadDelta(const ConfigurationDelta& delta, bool first_hand) {
-  // Not queued: whoever misses it sees the higher revision in a probe and fetches.
-  m_membership.SpreadUrgently(ConfigurationRumour{delta}, first_hand, false);
+void InstanceControl::PublishDelta(const ConfigurationDelta& delta, bool originated_here) {
+  // Not queued: an instance that misses it sees the higher revision in a probe and fetches it.
+  m_membership.SendUrgently(ConfigurationRumour{delta}, originated_here, false);
 }
 
-void InstanceControl::SpreadRevision() {
+void InstanceControl::PublishRevision() {
   m_membership.PushRevision();
 }
 
--- a/packages/zinnia_decisions/fleet_control/engine_poller.cc
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.cc
@@ -30,25 +30,26 @@
 void EnginePoller::SetServers(std::set<BackendServerName> servers) {
   for (const BackendServerName& server : servers) {
     if (!m_servers.contains(server)) {
-      m_turn.push_back(server);
-      m_never_asked.insert(server);
+      m_poll_queue.push_back(server);
+      m_awaiting_first_answer.insert(server);
     }
   }
-  std::erase_if(m_never_asked, [&](const auto& server) { return !servers.contains(server); });
+  std::erase_if(m_awaiting_first_answer,
+                [&](const auto& server) { return !servers.contains(server); });
   m_servers = std::move(servers);
 }
 
 void EnginePoller::Tick() {
   m_tick_call = m_scheduler.ScheduleAfter(kTick, [this] { Tick(); });
   const double wanted = static_cast<double>(m_servers.size()) / Seconds(m_settings.interval);
-  const double rate = std::min(wanted, static_cast<double>(m_settings.most_per_second));
+  const double rate = std::min(wanted, static_cast<double>(m_settings.max_polls_per_second));
   m_credit = std::min(m_credit + rate * Seconds(kTick), std::max(rate, 1.0));
   while (m_credit >= 1.0 && !m_servers.empty()) {
-    if (m_turn.empty()) {
-      m_turn.assign(m_servers.rbegin(), m_servers.rend());
+    if (m_poll_queue.empty()) {
+      m_poll_queue.assign(m_servers.rbegin(), m_servers.rend());
     }
-    const BackendServerName server = std::move(m_turn.back());
-    m_turn.pop_back();
+    const BackendServerName server = std::move(m_poll_queue.back());
+    m_poll_queue.pop_back();
     m_credit -= 1.0;
     if (m_servers.contains(server) && !m_waiting.contains(server)) {
       Ask(server);
@@ -60,7 +61,7 @@
   m_waiting.insert(server);
   m_engines.ReadState(server, m_guard.Wrap([this, server](const Result<EngineState>& state) {
     m_waiting.erase(server);
-    m_never_asked.erase(server);
+    m_awaiting_first_answer.erase(server);
     m_answer(server, state);
   }));
 }
--- a/packages/zinnia_decisions/fleet_control/engine_poller.h
+++ b/packages/zinnia_decisions/fleet_control/engine_poller.h
@@ -11,16 +11,12 @@
 
 namespace zinnia {
 
-/** How often engines are asked for their state. */
 struct EnginePollSettings {
   Duration interval = std::chrono::seconds(1);
-  std::size_t most_per_second = 32;
+  std::size_t max_polls_per_second = 32;
 };
 
-/** Asks the engines of the subset for their state in turn, at a bounded rate whatever their number.
-
-    With many servers each is asked less often by one instance, but by more instances.
-*/
+/** Polls the engines of the subset for their state in turn, at a bounded total rate. */
 class EnginePoller {
  public:
   using Answer = std::function<void(const BackendServerName&, const Result<EngineState>&)>;
@@ -32,11 +28,11 @@
 
   void Start();
 
-  /** Servers to ask from now on. New ones are asked first. */
+  /** Replaces the servers to poll. New ones are polled first. */
   void SetServers(std::set<BackendServerName> servers);
 
-  /** Whether every server has answered, or failed to, since it was given to SetServers. */
-  bool HasAskedAll() const { return m_never_asked.empty(); }
+  /** Whether the first poll of every server has completed or failed. */
+  bool HasPolledAll() const { return m_awaiting_first_answer.empty(); }
 
  private:
   void Tick();
@@ -47,9 +43,9 @@
   EngineOrders& m_engines;
   const Answer m_answer;
   std::set<BackendServerName> m_servers;
-  std::vector<BackendServerName> m_turn;
+  std::vector<BackendServerName> m_poll_queue;
   std::set<BackendServerName> m_waiting;
-  std::set<BackendServerName> m_never_asked;
+  std::set<BackendServerName> m_awaiting_first_answer;
   double m_credit = 0.0;
   std::unique_ptr<ScheduledCall> m_tick_call;
   CallbackGuard m_guard;
--- a/packages/zinnia_decisions/fleet_control/server_table.cc
+++ b/packages/zinnia_decisions/fleet_control/server_table.cc
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kSuspectAfterFailedPolls = 2;
 constexpr std::uint32_t kForgottenAfterMissing = 600;
 
-/** With fewer of the known servers on the list than this share, the list itself is in doubt. */
+/** A list with a smaller share of the known servers is considered faulty. */
 constexpr double kCredibleShare = 0.5;
 
 template <typename Figure>
@@ -30,21 +30,21 @@
   std::set<BackendServerName> listed;
   for (const ListedServer& row : listing.servers) {
     listed.insert(row.server.name);
-    changed = TakeListed(row.server) || changed;
+    changed = ApplyListed(row.server) || changed;
   }
   changed = CountMissing(listed) || changed;
-  ForgetGone();
+  RemoveGone();
   if (changed) {
     ++m_topology;
   }
   return changed;
 }
 
-bool ServerTable::TakeListed(const BackendServer& listed) {
+bool ServerTable::ApplyListed(const BackendServer& listed) {
   const auto [found, added] = m_rows.try_emplace(listed.name, ServerRow{listed});
   ServerRow& row = found->second;
-  const bool was_missing = row.missing_reads >= kSuspectAfterMissing;
-  row.missing_reads = 0;
+  const bool was_missing = row.missed_listings >= kSuspectAfterMissing;
+  row.missed_listings = 0;
   if (added) {
     return true;
   }
@@ -69,8 +69,8 @@
   return true;
 }
 
-// Never counts past the suspicion while most servers are missing: it is the list that failed then,
-// and a fleet emptied by it would refuse every request.
+// While most servers are missing, the list is considered faulty and servers become at most suspect;
+// otherwise a faulty list would empty the fleet and every request would be refused.
 bool ServerTable::CountMissing(const std::set<BackendServerName>& listed) {
   const bool credible =
       static_cast<double>(listed.size()) >= kCredibleShare * static_cast<double>(m_rows.size());
@@ -81,18 +81,18 @@
     }
     const BackendServerState before = StateOf(row);
     const std::uint32_t most = credible ? kForgottenAfterMissing : kSuspectAfterMissing;
-    if (row.missing_reads < most) {
-      ++row.missing_reads;
+    if (row.missed_listings < most) {
+      ++row.missed_listings;
     }
     changed = changed || StateOf(row) != before;
   }
   return changed;
 }
 
-void ServerTable::ForgetGone() {
+void ServerTable::RemoveGone() {
   std::erase_if(m_rows, [](const auto& entry) {
     const ServerRow& row = entry.second;
-    return row.missing_reads >= kForgottenAfterMissing && !row.answers_polls;
+    return row.missed_listings >= kForgottenAfterMissing && !row.answers_polls;
   });
 }
 
@@ -107,7 +107,7 @@
   const BackendServerState before = StateOf(row);
   row.failed_polls = 0;
   row.answers_polls = true;
-  row.last_word = now;
+  row.last_answer = now;
   const bool changed = row.server.loaded != state.loaded ||
                        row.server.incarnation != state.incarnation ||
                        row.server.checks_fencing != state.checks_fencing || StateOf(row) != before;
@@ -120,7 +120,7 @@
   return changed;
 }
 
-bool ServerTable::OnEngineSilent(const BackendServerName& server) {
+bool ServerTable::OnPollFailed(const BackendServerName& server) {
   const auto found = m_rows.find(server);
   if (found == m_rows.end()) {
     return false;
@@ -143,7 +143,7 @@
     found->second.load.reported_running = running;
     found->second.load.reported_queued = queued;
     found->second.load.reported_at = now;
-    found->second.last_word = now;
+    found->second.last_answer = now;
   }
 }
 
@@ -160,7 +160,7 @@
   TakeIfKnown(rates.prefill_tokens_per_second, load.prefill_tokens_per_second);
 }
 
-void ServerTable::NotePoll(const BackendServerName& server, TimePoint now) {
+void ServerTable::RecordPoll(const BackendServerName& server, TimePoint now) {
   const auto found = m_rows.find(server);
   if (found != m_rows.end()) {
     found->second.last_poll = now;
@@ -169,11 +169,11 @@
 }
 
 BackendServerState ServerTable::StateOf(const ServerRow& row) const {
-  if (row.missing_reads >= kGoneAfterMissing && !row.answers_polls) {
+  if (row.missed_listings >= kGoneAfterMissing && !row.answers_polls) {
     return BackendServerState::kGone;
   }
   const bool silent = row.failed_polls >= kSuspectAfterFailedPolls;
-  const bool missing = row.missing_reads >= kSuspectAfterMissing;
+  const bool missing = row.missed_listings >= kSuspectAfterMissing;
   return silent || missing ? BackendServerState::kSuspect : BackendServerState::kLive;
 }
 
--- a/packages/zinnia_decisions/fleet_control/subset_selection.cc
+++ b/packages/zinnia_decisions/fleet_control/subset_selection.cc
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kReplicasPerStage = 4;
 
-/** Servers that stand in for each other, and the pipelines over them. */
+/** Servers of one model, service or pool, and the pipelines of the model. */
 struct Group {
   std::set<BackendServerName> servers;
   std::vector<const Pipeline*> pipelines;
@@ -56,7 +56,7 @@
   return groups;
 }
 
-/** Names in the instance's own order of preference. */
+/** Sorts names by descending rendezvous weight for the instance. */
 std::vector<std::string> InOwnOrder(const InstanceName& self, std::vector<std::string> names) {
   std::vector<std::pair<std::uint64_t, std::string>> weighted;
   weighted.reserve(names.size());
@@ -72,7 +72,7 @@
   return names;
 }
 
-/** Takes names turn by turn from their buckets, so that no bucket is left out. */
+/** Interleaves the buckets round-robin. */
 std::vector<std::string> TakeTurns(const std::map<std::string, std::vector<std::string>>& buckets) {
   std::vector<std::string> mixed;
   bool found = true;
@@ -105,7 +105,7 @@
     by_domain[row == rows.end() ? "" : row->second.server.failure_domain].push_back(name);
   }
   for (const std::string& name : TakeTurns(by_domain)) {
-    if (chosen.size() >= kServersPerModel) {
+    if (chosen.size() >= kMaxServersPerModel) {
       return;
     }
     for (const PipelineStage& stage : by_name.at(name)->stages) {
@@ -134,7 +134,7 @@
                                             const Rows& rows,
                                             const Configuration& configuration,
                                             const Group& group) {
-  if (group.servers.size() <= kServersPerModel) {
+  if (group.servers.size() <= kMaxServersPerModel) {
     return group.servers;
   }
   std::set<BackendServerName> chosen;
@@ -144,7 +144,7 @@
     buckets[MixOf(rows.at(name), configuration)].push_back(std::move(name));
   }
   for (const std::string& name : TakeTurns(buckets)) {
-    if (chosen.size() >= kServersPerModel) {
+    if (chosen.size() >= kMaxServersPerModel) {
       break;
     }
     chosen.insert(name);
@@ -154,7 +154,7 @@
 
 }  // namespace
 
-std::set<BackendServerName> ChooseServers(const InstanceName& self,
+std::set<BackendServerName> SelectServers(const InstanceName& self,
                                           const std::map<BackendServerName, ServerRow>& rows,
                                           const Configuration& configuration) {
   std::set<BackendServerName> chosen;
--- a/packages/zinnia_decisions/membership/gossip_membership.cc
+++ b/packages/zinnia_decisions/membership/gossip_membership.cc
@@ -11,13 +11,13 @@
 namespace zinnia {
 namespace {
 
-constexpr Duration kMeetSeedsEagerly = std::chrono::seconds(30);
-constexpr std::size_t kMostRelays = 256;
-constexpr std::size_t kMostNewcomerDatagrams = 8;
-constexpr std::size_t kNewcomerMembers = 16;
+constexpr Duration kFrequentSeedPingPeriod = std::chrono::seconds(30);
+constexpr std::size_t kMaxRelays = 256;
+constexpr std::size_t kMaxDatagramsPerSend = 8;
+constexpr std::size_t kMaxInitialMemberRumours = 16;
 constexpr std::size_t kRepairBytes = 500;
 constexpr Duration kFlushDelay = std::chrono::milliseconds(2);
-constexpr Duration kLeaveRepeat = std::chrono::milliseconds(200);
+constexpr Duration kLeaveRepeatDelay = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -40,7 +40,7 @@
   m_last_tick = m_clock.Now();
   m_last_dead_probe = m_clock.Now();
   m_started_at = m_clock.Now();
-  Spread(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
+  QueueRumour(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
   for (const NetworkAddress& seed : m_settings.seeds) {
     if (seed != m_settings.self.peer_address) {
       Send(seed, {ProbeKind::kPing, m_next_sequence++});
@@ -53,14 +53,14 @@
 
 void GossipMembership::Leave(std::function<void()> done) {
   const MemberRumour left{m_settings.self, m_incarnation, MemberState::kLeft};
-  for (const Instance& peer : ChooseLive(m_settings.first_fanout, "")) {
+  for (const Instance& peer : ChooseLive(m_settings.origin_fanout, "")) {
     SendRumours(peer.peer_address, {left});
   }
   m_tick_call.reset();
   m_indirect_call.reset();
   m_leave_call =
-      m_scheduler.ScheduleAfter(kLeaveRepeat, [this, left, done = std::move(done)]() mutable {
-        for (const Instance& peer : ChooseLive(m_settings.first_fanout, "")) {
+      m_scheduler.ScheduleAfter(kLeaveRepeatDelay, [this, left, done = std::move(done)]() mutable {
+        for (const Instance& peer : ChooseLive(m_settings.origin_fanout, "")) {
           SendRumours(peer.peer_address, {left});
         }
         m_stopped = true;
@@ -70,21 +70,21 @@
 
 void GossipMembership::Tick() {
   m_tick_call = m_scheduler.ScheduleAfter(m_settings.probe_interval, [this] { Tick(); });
-  NoticeOwnPause();
+  DetectLocalPause();
   FinishProbe();
   ExpireSuspicions();
   StartProbe();
   ProbeDead();
-  PingUnmetSeed();
+  PingUnknownSeed();
 }
 
-// A paused process wakes with acknowledgements that it never had the time to read. Taken at face
-// value it would declare healthy peers dead; the late tick shows the pause, so it starts afresh.
-void GossipMembership::NoticeOwnPause() {
+// After a pause of this process, acknowledgements are still unread and healthy peers would be
+// declared dead. A late tick indicates a pause and restarts the timers.
+void GossipMembership::DetectLocalPause() {
   const TimePoint now = m_clock.Now();
   if (now - m_last_tick > 2 * m_settings.probe_interval) {
     m_acknowledged = true;
-    m_table.RestartSuspicions(now);
+    m_table.RestartSuspicionTimers(now);
   }
   m_last_tick = now;
 }
@@ -122,14 +122,14 @@
   }
 }
 
-// After a cut each side holds the other for dead and would never speak to it again.
+// After a network partition each side considers the other dead and would never contact it again.
 void GossipMembership::ProbeDead() {
   const TimePoint now = m_clock.Now();
   if (now - m_last_dead_probe < m_settings.repair_interval) {
     return;
   }
   m_last_dead_probe = now;
-  m_table.ForgetGoneBefore(now - m_settings.forget_dead_after);
+  m_table.RemoveExpired(now - m_settings.forget_dead_after);
   std::vector<const Member*> dead;
   for (const auto& [name, member] : m_table.members()) {
     if (member.state == MemberState::kDead) {
@@ -139,32 +139,33 @@
   if (!dead.empty()) {
     SendPing(dead[RandomBelow(m_random, dead.size())]->instance, m_next_sequence++);
   }
-  RepairOnePeer();
+  SendRepairRumours();
 }
 
-// The first pings of an instance may come before a seed's socket is open. If the list names nobody,
-// and this instance meets others, it would never speak to that seed again: two fleets that do not
-// know of each other's crashes and leaving servers. Eagerly at first, then at the pace of repairs.
-void GossipMembership::PingUnmetSeed() {
+// A seed may not be listening yet when the first pings are sent. Without retries, and with an empty
+// platform list, the fleet could stay split in two. Pings every tick at first, then at the repair
+// interval.
+void GossipMembership::PingUnknownSeed() {
   const TimePoint now = m_clock.Now();
-  const bool eager = now - m_started_at < kMeetSeedsEagerly;
+  const bool eager = now - m_started_at < kFrequentSeedPingPeriod;
   if (!eager && now - m_last_seed_ping < m_settings.repair_interval) {
     return;
   }
-  std::vector<NetworkAddress> unmet = m_settings.seeds;
-  std::erase(unmet, m_settings.self.peer_address);
+  std::vector<NetworkAddress> unknown_seeds = m_settings.seeds;
+  std::erase(unknown_seeds, m_settings.self.peer_address);
   for (const auto& [name, member] : m_table.members()) {
-    std::erase(unmet, member.instance.peer_address);
+    std::erase(unknown_seeds, member.instance.peer_address);
   }
-  if (!unmet.empty()) {
+  if (!unknown_seeds.empty()) {
     m_last_seed_ping = now;
-    Send(unmet[RandomBelow(m_random, unmet.size())], {ProbeKind::kPing, m_next_sequence++});
+    Send(unknown_seeds[RandomBelow(m_random, unknown_seeds.size())],
+         {ProbeKind::kPing, m_next_sequence++});
   }
 }
 
-// A rumour is sent a bounded number of times, all of which may fall into a short cut or a burst of
-// losses; an instance that missed it would give new work to a leaving server for ever.
-void GossipMembership::RepairOnePeer() {
+// All transmissions of a rumour may be lost. Without repair, an instance that missed one would keep
+// sending new work to a leaving server.
+void GossipMembership::SendRepairRumours() {
   const std::vector<Rumour> rumours = m_host.RumoursForRepair(kRepairBytes);
   if (rumours.empty()) {
     return;
@@ -218,10 +219,10 @@
 void GossipMembership::OnListed(const std::vector<Instance>& instances) {
   for (const Instance& instance : instances) {
     const Member* member = m_table.Find(instance.name);
-    const bool news = member == nullptr || member->instance.start < instance.start;
-    if (news && instance.name != m_settings.self.name) {
+    const bool is_newer = member == nullptr || member->instance.start < instance.start;
+    if (is_newer && instance.name != m_settings.self.name) {
       m_table.Apply({instance, 0, MemberState::kAlive}, m_clock.Now());
-      TellListeners();
+      NotifyListeners();
     }
   }
 }
@@ -233,7 +234,7 @@
   }
   const Member* before = m_table.Find(rumour.instance.name);
   const bool was_live = before != nullptr && IsLive(before->state);
-  // Everybody reads the platform's list: that a listed instance does live is no news worth sending.
+  // All instances read the platform's list, so that a listed instance is alive is not forwarded.
   const bool listed = before != nullptr && before->incarnation == 0 && was_live &&
                       rumour.state == MemberState::kAlive &&
                       before->instance.start == rumour.instance.start;
@@ -241,19 +242,19 @@
     return;
   }
   if (!listed) {
-    Spread(rumour);
+    QueueRumour(rumour);
   }
   if (was_live != IsLive(rumour.state)) {
-    TellListeners();
+    NotifyListeners();
   }
 }
 
 void GossipMembership::RefuteIfNeeded(const MemberRumour& rumour) {
-  const bool about_us = rumour.instance.start == m_settings.self.start;
+  const bool matches_own_start = rumour.instance.start == m_settings.self.start;
   const bool wrong = rumour.state == MemberState::kSuspect || rumour.state == MemberState::kDead;
-  if (about_us && wrong && rumour.incarnation >= m_incarnation) {
+  if (matches_own_start && wrong && rumour.incarnation >= m_incarnation) {
     m_incarnation = rumour.incarnation + 1;
-    Spread(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
+    QueueRumour(MemberRumour{m_settings.self, m_incarnation, MemberState::kAlive});
   }
 }
 
@@ -266,7 +267,7 @@
   const bool was_live =
       known != nullptr && known->instance.start == message.sender.start && IsLive(known->state);
   ApplyMember({message.sender, message.sender_incarnation, MemberState::kAlive});
-  m_table.NoteRevision(message.sender.name, message.revision);
+  m_table.SetMemberRevision(message.sender.name, message.revision);
   for (const Rumour& rumour : message.rumours) {
     if (const auto* member = std::get_if<MemberRumour>(&rumour)) {
       ApplyMember(*member);
@@ -287,11 +288,11 @@
       break;
   }
   const Member* sender = m_table.Find(message.sender.name);
-  // Only an instance that has just started has no configuration. To greet all that the list had
-  // told of at the first word from each would cost kilobytes a second in a large fleet.
+  // Only an instance that has just started has no configuration. Sending the initial rumours to
+  // every listed instance on its first message would cost too much bandwidth in a large fleet.
   const bool fresh = message.revision == 0 && m_host.OwnRevision() > 0;
   if ((!was_live || fresh) && sender != nullptr && IsLive(sender->state)) {
-    WelcomeNewcomer(message.sender);
+    SendInitialRumours(message.sender);
   }
 }
 
@@ -305,7 +306,7 @@
 }
 
 void GossipMembership::OnPingRequest(const ProbeMessage& message) {
-  if (!message.target || m_relays.size() >= kMostRelays) {
+  if (!message.target || m_relays.size() >= kMaxRelays) {
     return;
   }
   const TimePoint now = m_clock.Now();
@@ -321,8 +322,8 @@
   if (message.sequence == 0) {
     return;
   }
-  const InstanceName& speaker = message.target ? message.target->name : message.sender.name;
-  if (message.sequence == m_probed_sequence && speaker == m_probed) {
+  const InstanceName& responder = message.target ? message.target->name : message.sender.name;
+  if (message.sequence == m_probed_sequence && responder == m_probed) {
     m_acknowledged = true;
   }
   const auto relay = m_relays.find(message.sequence);
@@ -334,9 +335,9 @@
   }
 }
 
-void GossipMembership::WelcomeNewcomer(const Instance& newcomer) {
-  std::vector<Rumour> rumours = m_host.RumoursForNewcomer();
-  for (const Instance& instance : ChooseLive(kNewcomerMembers, newcomer.name)) {
+void GossipMembership::SendInitialRumours(const Instance& newcomer) {
+  std::vector<Rumour> rumours = m_host.RumoursForNewMember();
+  for (const Instance& instance : ChooseLive(kMaxInitialMemberRumours, newcomer.name)) {
     const Member& member = *m_table.Find(instance.name);
     rumours.emplace_back(MemberRumour{member.instance, member.incarnation, member.state});
   }
@@ -352,7 +353,7 @@
   Send(target.peer_address, std::move(ping));
 }
 
-std::uint64_t GossipMembership::PingWith(const Instance& peer, Rumour rumour) {
+std::uint64_t GossipMembership::PingWithRumour(const Instance& peer, Rumour rumour) {
   const std::uint64_t sequence = m_next_sequence++;
   ProbeMessage ping{ProbeKind::kPing, sequence};
   ping.rumours.push_back(std::move(rumour));
@@ -365,8 +366,8 @@
   message.sender_incarnation = m_incarnation;
   message.revision = m_host.OwnRevision();
   const std::size_t used = EstimateSize(message);
-  if (used < kLargestDatagram) {
-    for (Rumour& rumour : m_queue.Take(kLargestDatagram - used)) {
+  if (used < kMaxDatagramBytes) {
+    for (Rumour& rumour : m_queue.Take(kMaxDatagramBytes - used)) {
       message.rumours.push_back(std::move(rumour));
     }
   }
@@ -378,16 +379,16 @@
   message.sender = m_settings.self;
   message.sender_incarnation = m_incarnation;
   message.revision = m_host.OwnRevision();
-  const std::size_t room = kLargestDatagram - EstimateSize(message);
+  const std::size_t max_bytes = kMaxDatagramBytes - EstimateSize(message);
   std::size_t used = 0;
   std::size_t datagrams = 0;
   for (const Rumour& rumour : rumours) {
     const std::size_t size = EstimateSize(rumour);
-    if (used + size > room && !message.rumours.empty()) {
+    if (used + size > max_bytes && !message.rumours.empty()) {
       m_transport.SendProbe(to, message);
       message.rumours.clear();
       used = 0;
-      if (++datagrams == kMostNewcomerDatagrams) {
+      if (++datagrams == kMaxDatagramsPerSend) {
         return;
       }
     }
@@ -397,16 +398,16 @@
   m_transport.SendProbe(to, message);
 }
 
-void GossipMembership::Spread(Rumour rumour) {
+void GossipMembership::QueueRumour(Rumour rumour) {
   m_queue.Add(std::move(rumour), Transmissions());
 }
 
-void GossipMembership::SpreadUrgently(Rumour rumour, bool first_hand, bool also_queue) {
+void GossipMembership::SendUrgently(Rumour rumour, bool originated_here, bool also_queue) {
   if (also_queue) {
-    Spread(rumour);
+    QueueRumour(rumour);
   }
   m_urgent.push_back(std::move(rumour));
-  m_urgent_first_hand = m_urgent_first_hand || first_hand;
+  m_urgent_originated_here = m_urgent_originated_here || originated_here;
   if (!m_flush_call) {
     m_flush_call = m_scheduler.ScheduleAfter(kFlushDelay, [this] { FlushUrgent(); });
   }
@@ -420,19 +421,20 @@
 
 void GossipMembership::FlushUrgent() {
   const std::vector<Rumour> rumours = std::exchange(m_urgent, {});
-  const bool first_hand = std::exchange(m_urgent_first_hand, false);
+  const bool originated_here = std::exchange(m_urgent_originated_here, false);
   m_flush_call.reset();
   const std::size_t doublings = std::bit_width(m_table.LiveCount() + 1);
   const std::size_t onward = std::clamp<std::size_t>(doublings, 4, m_settings.fanout + 2) - 2;
-  const std::size_t fanout = first_hand ? m_settings.first_fanout : onward;
+  const std::size_t fanout = originated_here ? m_settings.origin_fanout : onward;
   for (const Instance& peer : ChooseLive(fanout, "")) {
     SendRumours(peer.peer_address, rumours);
   }
 }
 
 std::uint32_t GossipMembership::Transmissions() const {
-  constexpr std::uint32_t kForEachDoubling = 2;
-  return kForEachDoubling * static_cast<std::uint32_t>(std::bit_width(m_table.LiveCount() + 1));
+  constexpr std::uint32_t kTransmissionsPerDoubling = 2;
+  return kTransmissionsPerDoubling *
+         static_cast<std::uint32_t>(std::bit_width(m_table.LiveCount() + 1));
 }
 
 std::vector<Instance> GossipMembership::LiveInstances() const {
@@ -452,7 +454,7 @@
   std::erase(m_listeners, &listener);
 }
 
-void GossipMembership::TellListeners() {
+void GossipMembership::NotifyListeners() {
   const std::vector<MembershipListener*> listeners = m_listeners;
   for (MembershipListener* listener : listeners) {
     listener->OnMembershipChanged();
--- a/packages/zinnia_decisions/membership/gossip_membership.h
+++ b/packages/zinnia_decisions/membership/gossip_membership.h
@@ -17,7 +17,7 @@
 class GossipHost;
 class PeerTransport;
 
-/** Settings of the failure detection. The defaults hold from 6 to 940 instances. */
+/** Settings of failure detection. The defaults suit 6 to 940 instances. */
 struct MembershipSettings {
   Instance self;
   std::vector<NetworkAddress> seeds;
@@ -28,20 +28,20 @@
   Duration forget_dead_after = std::chrono::minutes(30);
   std::size_t indirect_probes = 3;
 
-  /** Peers that hear an urgent rumour at once: from whoever found it, and from those who heard. */
-  std::size_t first_fanout = 8;
+  /** Peers that the originator and each forwarder send an urgent rumour to at once. */
+  std::size_t origin_fanout = 8;
   std::size_t fanout = 4;
 };
 
-/** SWIM-style membership: each instance probes one other each interval, whatever their number.
+/** SWIM-style membership: each instance probes one other per interval, whatever their number.
 
-    A missed acknowledgement leads to probes through others, then to suspicion, which the suspect
-   can refute with a higher incarnation, then to death. Dead members are still probed now and then,
-   so that the two sides of a cut find each other again. Rumours ride along on the probes; urgent
-   ones are also pushed at once in a message of kind kAck with sequence 0, which acknowledges
-   nothing.
+    A missed acknowledgement leads to indirect probes, then to suspicion, which the suspect can
+    refute with a higher incarnation, then to the dead state. Dead members are still probed
+    occasionally, so that the sides of a network partition find each other again. Rumours are
+    piggybacked on probes; urgent ones are also sent at once in a kAck message with sequence 0,
+    which acknowledges nothing.
 
-    Lives on the control thread. Create, Start, feed OnProbe.
+    Call on the control thread only.
 
     @see MemberTable, RumourQueue, GossipHost
 */
@@ -57,26 +57,26 @@
 
   void Start();
 
-  /** Tells the others that this instance leaves; `done` is called once that is sent. */
+  /** Announces that this instance leaves, then calls `done`. */
   void Leave(std::function<void()> done);
 
   void OnProbe(const ProbeMessage& message);
 
-  /** Takes in the platform's list: unknown instances on it are believed alive until probed. */
+  /** Adds the instances of the platform's list; unknown ones are assumed alive until probed. */
   void OnListed(const std::vector<Instance>& instances);
 
-  /** Queues a rumour for the probes. */
-  void Spread(Rumour rumour);
+  /** Queues a rumour to be piggybacked on probes. */
+  void QueueRumour(Rumour rumour);
 
-  /** Sends a rumour to a few peers at once. `first_hand`: this instance found it out itself.
-      Without `also_queue` it is not repeated on probes; something else must repair a loss. */
-  void SpreadUrgently(Rumour rumour, bool first_hand, bool also_queue);
+  /** Sends a rumour to a few peers at once. `originated_here`: not received from a peer. Without
+      `also_queue` it is not repeated on probes, and the caller must handle its loss. */
+  void SendUrgently(Rumour rumour, bool originated_here, bool also_queue);
 
-  /** Pings a peer with a rumour. Gives the sequence that the acknowledgement will carry; it is
-     given to whoever calls OnProbe, not kept here. */
-  std::uint64_t PingWith(const Instance& peer, Rumour rumour);
+  /** Pings a peer with a rumour and returns the sequence number of the ping. The caller must match
+      it with the acknowledgement passed to OnProbe. */
+  std::uint64_t PingWithRumour(const Instance& peer, Rumour rumour);
 
-  /** Tells a few peers at once of this instance's new revision, without its content. */
+  /** Sends this instance's new revision, without its content, to a few peers at once. */
   void PushRevision();
 
   const Instance& Self() const override { return m_settings.self; }
@@ -95,13 +95,13 @@
   };
 
   void Tick();
-  void NoticeOwnPause();
+  void DetectLocalPause();
   void FinishProbe();
   void StartProbe();
   void ProbeIndirectly();
   void ProbeDead();
-  void PingUnmetSeed();
-  void RepairOnePeer();
+  void PingUnknownSeed();
+  void SendRepairRumours();
   void ExpireSuspicions();
   const Member* NextTarget();
   std::vector<Instance> ChooseLive(std::size_t count, const InstanceName& except);
@@ -111,13 +111,13 @@
   void OnPing(const ProbeMessage& message);
   void OnPingRequest(const ProbeMessage& message);
   void OnAcknowledgement(const ProbeMessage& message);
-  void WelcomeNewcomer(const Instance& newcomer);
+  void SendInitialRumours(const Instance& newcomer);
   void SendPing(const Instance& target, std::uint64_t sequence);
   void Send(const NetworkAddress& to, ProbeMessage message);
   void SendRumours(const NetworkAddress& to, const std::vector<Rumour>& rumours);
   void FlushUrgent();
   std::uint32_t Transmissions() const;
-  void TellListeners();
+  void NotifyListeners();
 
   const MembershipSettings m_settings;
   Clock& m_clock;
@@ -144,7 +144,7 @@
   std::map<std::uint64_t, Relay> m_relays;
 
   std::vector<Rumour> m_urgent;
-  bool m_urgent_first_hand = false;
+  bool m_urgent_originated_here = false;
   std::unique_ptr<ScheduledCall> m_tick_call;
   std::unique_ptr<ScheduledCall> m_indirect_call;
   std::unique_ptr<ScheduledCall> m_flush_call;
--- a/packages/zinnia_decisions/membership/member_table.cc
+++ b/packages/zinnia_decisions/membership/member_table.cc
@@ -5,9 +5,9 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostMembers = 4096;
+constexpr std::size_t kMaxMembers = 4096;
 
-bool Outranks(const MemberRumour& rumour, const Member& member) {
+bool Supersedes(const MemberRumour& rumour, const Member& member) {
   if (rumour.instance.start != member.instance.start) {
     return rumour.instance.start > member.instance.start;
   }
@@ -23,7 +23,7 @@
 bool MemberTable::Apply(const MemberRumour& rumour, TimePoint now) {
   const auto found = m_members.find(rumour.instance.name);
   if (found == m_members.end()) {
-    if (m_members.size() >= kMostMembers && !MakeRoom()) {
+    if (m_members.size() >= kMaxMembers && !EvictOldest()) {
       return false;
     }
     m_members.emplace(rumour.instance.name,
@@ -32,7 +32,7 @@
     return true;
   }
   Member& member = found->second;
-  if (!Outranks(rumour, member)) {
+  if (!Supersedes(rumour, member)) {
     return false;
   }
   m_live_count -= IsLive(member.state) ? 1 : 0;
@@ -46,7 +46,7 @@
   return true;
 }
 
-void MemberTable::NoteRevision(const InstanceName& name, ConfigurationRevision revision) {
+void MemberTable::SetMemberRevision(const InstanceName& name, ConfigurationRevision revision) {
   const auto found = m_members.find(name);
   if (found != m_members.end()) {
     found->second.revision = revision;
@@ -79,7 +79,7 @@
   return suspects;
 }
 
-void MemberTable::RestartSuspicions(TimePoint now) {
+void MemberTable::RestartSuspicionTimers(TimePoint now) {
   for (auto& [name, member] : m_members) {
     if (member.state == MemberState::kSuspect) {
       member.state_since = now;
@@ -87,13 +87,13 @@
   }
 }
 
-void MemberTable::ForgetGoneBefore(TimePoint deadline) {
+void MemberTable::RemoveExpired(TimePoint deadline) {
   std::erase_if(m_members, [deadline](const auto& row) {
     return !IsLive(row.second.state) && row.second.state_since < deadline;
   });
 }
 
-bool MemberTable::MakeRoom() {
+bool MemberTable::EvictOldest() {
   auto oldest = m_members.end();
   for (auto member = m_members.begin(); member != m_members.end(); ++member) {
     const bool older =
--- a/packages/zinnia_decisions/membership/rumour_queue.cc
+++ b/packages/zinnia_decisions/membership/rumour_queue.cc
@@ -10,13 +10,13 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kMostRumours = 4096;
+constexpr std::size_t kMaxRumours = 4096;
 
 struct Subject {
   std::string operator()(const MemberRumour& rumour) const { return "m " + rumour.instance.name; }
   std::string operator()(const LeavingRumour& rumour) const { return "l " + rumour.server; }
   std::string operator()(const CrashRumour& rumour) const {
-    // Several instances tell of one crash, each with the requests that it had there.
+    // Several instances may report one crash, each with its own requests.
     const std::uint64_t first = rumour.fingerprints.empty() ? 0 : rumour.fingerprints.front().low;
     return fmt::format("x {} {} {:x} {}", rumour.server, rumour.incarnation, first, rumour.alone);
   }
@@ -34,13 +34,13 @@
 void RumourQueue::Add(Rumour rumour, std::uint32_t transmissions) {
   const std::size_t size = EstimateSize(rumour);
   const std::string subject = SubjectOf(rumour);
-  if (m_items.size() >= kMostRumours && !m_items.contains(subject)) {
-    DropMostSent();
+  if (m_items.size() >= kMaxRumours && !m_items.contains(subject)) {
+    EvictMostSent();
   }
   m_items.insert_or_assign(subject, Item{std::move(rumour), size, 0, transmissions});
 }
 
-std::vector<Rumour> RumourQueue::Take(std::size_t room) {
+std::vector<Rumour> RumourQueue::Take(std::size_t max_bytes) {
   std::vector<std::map<std::string, Item>::iterator> order;
   for (auto item = m_items.begin(); item != m_items.end(); ++item) {
     order.push_back(item);
@@ -51,10 +51,10 @@
   std::vector<Rumour> taken;
   for (const auto& entry : order) {
     Item& item = entry->second;
-    if (item.size > room) {
+    if (item.size > max_bytes) {
       continue;
     }
-    room -= item.size;
+    max_bytes -= item.size;
     taken.push_back(item.rumour);
     if (++item.sent >= item.transmissions) {
       m_items.erase(entry);
@@ -63,7 +63,7 @@
   return taken;
 }
 
-void RumourQueue::DropMostSent() {
+void RumourQueue::EvictMostSent() {
   const auto most = std::max_element(
       m_items.begin(), m_items.end(),
       [](const auto& left, const auto& right) { return left.second.sent < right.second.sent; });
--- a/tests/control/fake_network.h
+++ b/tests/control/fake_network.h
@@ -13,7 +13,7 @@
 
 namespace zinnia {
 
-/** The network between simulated instances: delays, drops, doubles and cuts, and counts. */
+/** A simulated network with delays, loss, duplicates, partitions and traffic counters. */
 class FakeNetwork {
  public:
   struct Endpoint {
@@ -28,7 +28,7 @@
   }
   void Detach(const NetworkAddress& address) { m_endpoints.erase(address.ToString()); }
 
-  /** The endpoint, or null if it is not there or cut off from `from`. */
+  /** The endpoint, or null if it is missing or unreachable from `from`. */
   Endpoint* Reach(const NetworkAddress& from, const NetworkAddress& to) {
     const auto found = m_endpoints.find(to.ToString());
     return found == m_endpoints.end() || is_cut(from, to) ? nullptr : &found->second;
@@ -52,8 +52,8 @@
   }
 
   Duration Delay() {
-    const auto spread = static_cast<std::uint64_t>((most_delay - least_delay).count()) + 1;
-    return least_delay + Duration(RandomBelow(m_random, spread));
+    const auto spread = static_cast<std::uint64_t>((max_delay - min_delay).count()) + 1;
+    return min_delay + Duration(RandomBelow(m_random, spread));
   }
 
   std::function<bool(const NetworkAddress&, const NetworkAddress&)> is_cut = [](auto&, auto&) {
@@ -61,8 +61,8 @@
   };
   double drop = 0.0;
   double doubled = 0.0;
-  Duration least_delay = std::chrono::microseconds(200);
-  Duration most_delay = std::chrono::milliseconds(2);
+  Duration min_delay = std::chrono::microseconds(200);
+  Duration max_delay = std::chrono::milliseconds(2);
   std::uint64_t datagrams = 0;
   std::uint64_t bytes = 0;
   std::uint64_t fetches = 0;
@@ -76,7 +76,7 @@
   std::unordered_map<std::string, Endpoint> m_endpoints;
 };
 
-/** One instance's way into the FakeNetwork. */
+/** One instance's transport over FakeNetwork. */
 class FakeTransport final : public PeerTransport {
  public:
   FakeTransport(FakeNetwork& network, ProcessScheduler& scheduler, NetworkAddress own)
--- a/tests/control/fake_store.h
+++ b/tests/control/fake_store.h
@@ -11,7 +11,7 @@
 
 namespace zinnia {
 
-/** The state of the simulated platform store, with outages, lost answers and restores. */
+/** The state of the simulated platform store, with outages, lost responses and restores. */
 struct FakeStore {
   struct Watch {
     std::string prefix;
@@ -25,7 +25,7 @@
   std::map<std::string, StoreRecord> records;
   std::uint64_t version = 0;
   bool outage = false;
-  int lose_answers = 0;
+  int responses_to_lose = 0;
   Duration delay = std::chrono::milliseconds(2);
   std::list<Watch> watches;
   std::uint64_t reads = 0;
@@ -48,7 +48,7 @@
     return batch;
   }
 
-  void WakeWatches() {
+  void NotifyWatches() {
     for (auto watch = watches.begin(); watch != watches.end();) {
       StoreBatch batch = ChangedUnder(watch->prefix, watch->after);
       if (batch.records.empty() && !watch->owner.expired()) {
@@ -64,7 +64,7 @@
   }
 };
 
-/** One instance's way to the FakeStore. */
+/** One instance's client of FakeStore. */
 class FakeStoreClient final : public PlatformStore {
  public:
   FakeStoreClient(FakeStore& store, VirtualTime& time, ProcessScheduler& scheduler)
@@ -148,7 +148,7 @@
 
   static Error Unavailable() { return MakeError(ErrorKind::kStoreUnavailable, "store outage"); }
 
-  /** The call takes effect half way, its answer comes later; either may fail. */
+  /** Applies the call after one delay and answers after another; outages are checked in between. */
   template <typename Value>
   void Answer(std::function<void(Result<Value>)> callback, std::function<Result<Value>()> effect) {
     m_scheduler.Post(m_store.delay, [this, callback, effect] {
@@ -172,9 +172,9 @@
         return Result<std::uint64_t>(MakeError(ErrorKind::kStoreConflict, "other version"));
       }
       m_store.records[key] = {key, ++m_store.version, value};
-      m_store.WakeWatches();
-      if (m_store.lose_answers > 0) {
-        --m_store.lose_answers;
+      m_store.NotifyWatches();
+      if (m_store.responses_to_lose > 0) {
+        --m_store.responses_to_lose;
         return Result<std::uint64_t>(MakeError(ErrorKind::kStoreOutcomeUnknown, "answer lost"));
       }
       return Result<std::uint64_t>(m_store.version);
--- a/tests/control/schedule_runner.h
+++ b/tests/control/schedule_runner.h
@@ -12,7 +12,6 @@
 
 namespace zinnia {
 
-/** What may happen in a schedule. */
 enum class ScheduleAction {
   kChange,
   kRacingChanges,
@@ -45,8 +44,9 @@
                             step.choice, step.wait_ms);
 }
 
-/** Runs a schedule of failures and operators' changes over real control cores, then heals all, and
-    says which promise was broken, or nothing. Looks at every instance after every step. */
+/** Runs a schedule of failures and operators' changes over real control cores, then heals all
+    failures. Checks invariants on every instance throughout and returns the first violation, or an
+    empty string. */
 class ScheduleRunner {
  public:
   explicit ScheduleRunner(std::uint64_t seed) : m_fleet(kInstances, seed) {
@@ -73,7 +73,7 @@
   static constexpr std::size_t kInstances = 5;
   static constexpr std::size_t kPaths = 4;
   static constexpr std::uint32_t kHealingMs = 45'000;
-  static constexpr std::uint32_t kLookEveryMs = 250;
+  static constexpr std::uint32_t kCheckIntervalMs = 250;
 
   struct Ordered {
     std::string path;
@@ -90,7 +90,7 @@
         Order(index, step.choice);
         return Order((index + 1) % kInstances, step.choice / 2);
       case ScheduleAction::kLoseAnswer:
-        m_fleet.store.lose_answers += 1 + static_cast<int>(step.choice % 2);
+        m_fleet.store.responses_to_lose += 1 + static_cast<int>(step.choice % 2);
         return;
       case ScheduleAction::kStoreOutage:
         m_fleet.store.outage = true;
@@ -158,15 +158,15 @@
   }
 
   void Advance(std::uint32_t milliseconds) {
-    for (std::uint32_t done = 0; done < milliseconds; done += kLookEveryMs) {
+    for (std::uint32_t done = 0; done < milliseconds; done += kCheckIntervalMs) {
       m_fleet.time.AdvanceBy(
-          std::chrono::milliseconds(std::min(kLookEveryMs, milliseconds - done)));
-      Look();
+          std::chrono::milliseconds(std::min(kCheckIntervalMs, milliseconds - done)));
+      CheckInvariants();
     }
-    Look();
+    CheckInvariants();
   }
 
-  void Look() {
+  void CheckInvariants() {
     for (const Ordered& ordered : m_ordered) {
       if (*ordered.answer && (*ordered.answer)->has_value()) {
         m_accepted[***ordered.answer] = {ordered.path, ordered.weight};
@@ -174,19 +174,19 @@
     }
     for (std::size_t index = 0; index < kInstances; ++index) {
       if (m_fleet.IsUp(index)) {
-        LookAt(index);
+        CheckInstance(index);
       }
     }
   }
 
-  void LookAt(std::size_t index) {
+  void CheckInstance(std::size_t index) {
     const std::string process =
         fmt::format("{}/{}", m_fleet.instances[index].name, m_fleet.instances[index].start);
     const auto configuration = m_fleet.At(index).ConfigurationInForce().Current();
     ConfigurationRevision& highest = m_highest[process];
     if (configuration->revision() < highest) {
-      Violated(fmt::format("{} went back from revision {} to {}", process, highest,
-                           configuration->revision()));
+      ReportViolation(fmt::format("{} went back from revision {} to {}", process, highest,
+                                  configuration->revision()));
     }
     highest = configuration->revision();
     std::map<std::string, int> content;
@@ -195,12 +195,12 @@
     }
     const auto [known, first] = m_contents.try_emplace(highest, content);
     if (!first && known->second != content) {
-      Violated(fmt::format("{} has another content at revision {}", process, highest));
+      ReportViolation(fmt::format("{} has another content at revision {}", process, highest));
     }
     const bool leaving = m_fleet.StateAt(index, "b-1") == BackendServerState::kLeaving;
     bool& seen = m_seen_leaving[process];
     if (seen && !leaving) {
-      Violated(process + " gives new work to a server that was leaving");
+      ReportViolation(process + " gives new work to a server that was leaving");
     }
     seen = seen || leaving;
   }
@@ -210,7 +210,7 @@
     m_fleet.network.drop = 0.0;
     m_fleet.network.doubled = 0.0;
     m_fleet.store.outage = false;
-    m_fleet.store.lose_answers = 0;
+    m_fleet.store.responses_to_lose = 0;
     m_fleet.store.delay = std::chrono::milliseconds(2);
     for (std::size_t index = 0; index < kInstances; ++index) {
       if (!m_fleet.IsUp(index)) {
@@ -223,29 +223,30 @@
 
   void CheckEnd() {
     if (!m_fleet.MembershipConverged()) {
-      Violated("membership did not converge");
+      ReportViolation("membership did not converge");
     }
     const ConfigurationRevision revision = m_fleet.RevisionAt(0);
     if (!m_fleet.AllAt(revision)) {
-      Violated("instances hold different revisions after healing");
+      ReportViolation("instances hold different revisions after healing");
     }
     if (!m_accepted.empty() && m_accepted.rbegin()->first > revision) {
-      Violated("an accepted change is not in force");
+      ReportViolation("an accepted change is not in force");
     }
     CheckAcceptedInForce();
     bool marked = false;
     for (const auto& [process, seen] : m_seen_leaving) {
       marked = marked || seen;
     }
-    for (std::size_t index = 0; index < kInstances && marked && AnybodyAliveSaw(); ++index) {
+    for (std::size_t index = 0; index < kInstances && marked && MarkSeenByRunningProcess();
+         ++index) {
       if (m_fleet.StateAt(index, "b-1") != BackendServerState::kLeaving) {
-        Violated("an instance gives new work to a leaving server after healing");
+        ReportViolation("an instance gives new work to a leaving server after healing");
       }
     }
   }
 
-  /** A mark that only processes saw which are gone since, and no source repeats, is forgotten. */
-  bool AnybodyAliveSaw() {
+  /** Whether a running process has seen the mark; otherwise it may be lost. */
+  bool MarkSeenByRunningProcess() {
     for (const Instance& instance : m_fleet.instances) {
       if (m_seen_leaving[fmt::format("{}/{}", instance.name, instance.start)]) {
         return true;
@@ -254,12 +255,12 @@
     return false;
   }
 
-  /** Each revision that was accepted must show its own weight in the content at that revision. */
+  /** Checks that the content at each accepted revision includes its change. */
   void CheckAcceptedInForce() {
     for (const auto& [revision, change] : m_accepted) {
       const auto content = m_contents.find(revision);
       if (content != m_contents.end() && content->second[change.first] != change.second) {
-        Violated(fmt::format("revision {} does not hold its change", revision));
+        ReportViolation(fmt::format("revision {} does not hold its change", revision));
       }
     }
     std::map<std::string, int> weights;
@@ -272,12 +273,12 @@
       const int in_force =
           found == now->organisations().end() ? 0 : static_cast<int>(found->second.weight);
       if (in_force != weight && !IsOpen(name, in_force)) {
-        Violated(fmt::format("{} has weight {}, accepted was {}", name, in_force, weight));
+        ReportViolation(fmt::format("{} has weight {}, accepted was {}", name, in_force, weight));
       }
     }
   }
 
-  /** Whether nobody was told the outcome of that change: it may be in force or not. */
+  /** Whether the outcome of the change is unknown, so that it may or may not be in force. */
   bool IsOpen(const std::string& path, int weight) const {
     for (const Ordered& ordered : m_ordered) {
       if (ordered.path == path && ordered.weight == weight) {
@@ -288,7 +289,7 @@
     return false;
   }
 
-  void Violated(const std::string& what) {
+  void ReportViolation(const std::string& what) {
     if (m_violation.empty()) {
       m_violation = what;
     }
