--- a/packages/zinnia_adapters/forwarding/forward_exchange_capacity.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_capacity.cc
@@ -64,16 +64,16 @@
 
 /** Who asks why a request went elsewhere finds the servers that it was kept from. */
 void ForwardExchange::LogServersAtLimit() {
-  const std::vector<BackendServerName> at_limit = AvailabilityUnderLimits().at_limit;
-  if (at_limit.empty()) {
+  const std::vector<BackendServerName> closed = AvailabilityUnderLimits().at_limit;
+  if (closed.empty()) {
     return;
   }
-  const auto end = at_limit.begin() + std::min<std::ptrdiff_t>(std::ssize(at_limit), kMostNamed);
+  const auto end = closed.begin() + std::min<std::ptrdiff_t>(std::ssize(closed), kMostNamed);
   m_parts.metrics.Count("requests_past_server_limits");
   m_parts.logger.Log(LogLevel::kInfo, "servers_at_limit",
                      {{"request", m_facts.id},
-                      {"count", std::to_string(at_limit.size())},
-                      {"servers", fmt::format("{}", fmt::join(at_limit.begin(), end, ","))}});
+                      {"count", std::to_string(closed.size())},
+                      {"servers", fmt::format("{}", fmt::join(closed.begin(), end, ","))}});
 }
 
 /** 421 may come from another server that got the address. That there is no limit any more is
