--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -26,26 +26,25 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-/** An instance that has just started hears the configuration within a fraction of a second. Refused
-    meanwhile, hundreds of callers would go unserved after a restart of all instances; callers of
-    streams leave after two seconds without an event. */
+/** Lets requests wait for the configuration after a restart; less than the two seconds after which
+    callers abandon a stream without events. */
 constexpr Duration kWaitForRules = milliseconds(1'700);
 
-/** A connection to a sound server is there within a few milliseconds; a dark one never answers. */
+/** Connect timeout; healthy servers accept within a few milliseconds. */
 constexpr Duration kConnectLimit = milliseconds(250);
 
-/** A server that is not what the view says is left until its new entry has arrived. */
+/** Excludes a server that answered 421 until the view has its updated entry. */
 constexpr Duration kMisdirectedExclusion = milliseconds(1'000);
 
-/** Kept connections may be this old. A request that cannot be repeated takes only fresh ones: a
-    server may have dropped an idle one without a sign, and the request would be lost. */
+/** Maximum idle time of a reused connection. It is shorter for non-repeatable requests, which would
+    be lost if the server had silently closed the connection. */
 constexpr Duration kIdleForRepeatable = std::chrono::seconds(8);
 constexpr Duration kIdleForOnce = milliseconds(800);
 
-/** A pause of this part of the route's objective is a sign of a slow server. */
+/** An event gap longer than this fraction of the route's objective indicates a slow server. */
 constexpr double kGapThatAsksForPaces = 0.6;
 
-/** Less time than this is not worth sending a request for. */
+/** Minimum time before the deadline to send a request. */
 constexpr Duration kLeastTimeLeft = milliseconds(30);
 
 }  // namespace
@@ -252,7 +251,7 @@
   OnSendEnded(SendOutcome::kServerFailed, fmt::format("status {}", m_status));
 }
 
-/** The first server unless its answer names another one. */
+/** Returns the server that the answer names as faulty, or else the first server. */
 PathPart ForwardExchange::PartAtFault() const {
   for (const PathPart& part : m_path) {
     if (part.address.ToString() == m_answer_facts.server_at_fault) {
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -26,14 +26,14 @@
 class ServerConnection;
 struct LimitAvailability;
 
-/** One request on its way to a server and its answer back.
+/** Forwards one request to a backend server and relays its answer to the caller.
 
-    What it never does: run a non-idempotent request at two servers, say "not run" of one that may
-    have run, or pass on bytes that are not the whole answer of one server as if they were. A stream
-    that may be resumed goes on at another server after the last whole event.
+    Guarantees: a non-idempotent request never runs on two servers, "not run" is never reported for
+    a request that may have run, and a partial answer is never passed on as complete. A resumable
+    stream continues on another server after the last complete event.
 
-    Tick must be called every few tens of milliseconds: it ends the request at its deadline and
-    notices streams that fell silent.
+    Tick must be called every few tens of milliseconds: it enforces the deadline and detects silent
+    streams.
 */
 class ForwardExchange final : public CallerExchange,
                               public ServerAnswerListener,
@@ -51,23 +51,22 @@
 
   void Tick();
 
-  /** The ticket with which it waits for room; CapacityQueue::kNoTicket if it does not. */
+  /** Its ticket in the capacity queue, or CapacityQueue::kNoTicket if it is not queued. */
   std::uint64_t RoomTicket() const { return m_room_ticket; }
 
-  /** Begins if there is room now. Only for requests that wait for it. */
+  /** Sends the queued request if capacity is available. Call only while it is queued. */
   bool TryToBegin();
 
-  /** Nothing while no event has come, or while no server is at work. */
+  /** Returns nullopt before the first event and while no server is processing the request. */
   std::optional<StreamProgress> Progress() const;
 
-  /** Servers are known not to go on; acts if this request depends on one of them. */
+  /** Reroutes or abandons the request if its path contains one of these stalled servers. */
   void OnServersStalled(const std::vector<BackendServerName>& servers);
 
-  /** The instance ends before the request does: its caller gets the final answer now. */
+  /** Sends the caller a final answer because the instance is stopping. */
   void OnInstanceStops();
 
-  /** The view changed: leaves servers that have started again since, and later those that are
-      draining if that can be done. */
+  /** Moves the request off restarted servers now, and off draining servers later if possible. */
   void OnViewChanged();
 
   void OnServerAnswerHead(unsigned status, const boost::beast::http::fields& fields) override;
@@ -82,7 +81,7 @@
     bool begins = false;
   };
 
-  /** Goes on once the configuration is known, or refuses when that takes too long. */
+  /** Continues once the configuration is known; rejects the request after a timeout. */
   void AwaitRules();
   void Begin();
   void WaitForRoom();
@@ -121,12 +120,12 @@
   void OnReport(const Result<EngineReport>& report);
   bool HasLeavingServer() const;
 
-  /** Decides when the stream moves off the leaving servers of its path. */
+  /** Schedules the reroute of the stream away from draining servers. */
   void ScheduleMove();
   void MoveIfDue();
 
-  /** `is_broken`: no more events will come over the present path, so that the stream may also start
-      again elsewhere. While it flows, that would only risk it. */
+  /** `is_broken`: the current path will deliver no more events, so the stream may also be resent to
+      another first server. */
   void Reroute(std::string_view reason, bool is_broken);
   void ChangePath(const FoundPath& found, std::string_view reason);
   void LogMove(std::string_view event, const LayerPath& to, std::string_view reason) const;
@@ -161,37 +160,35 @@
   AnswerFacts m_answer_facts;
   std::string m_body;
   EventSplitter m_events;
-  bool m_is_streaming = false;    // The present answer is a stream.
-  bool m_stream_started = false;  // The caller has the head of a stream.
+  bool m_is_streaming = false;    // The current answer is a stream.
+  bool m_stream_started = false;  // The stream head was sent to the caller.
   EventIntervalTracker m_rhythm;
 
-  /** The configuration is not known yet. */
   bool m_awaits_rules = false;
 
   std::uint64_t m_room_ticket = 0;
 
-  /** Whether an event came over the present path. */
+  /** Whether an event has arrived over the current path. */
   bool m_path_proved = false;
   bool m_rerouting = false;
 
-  /** Counts sends and orders to change the path: the answer to an order that was overtaken by a
-      later send must not replace the path of that send. */
+  /** Incremented by each send and reroute, to discard the answer to an outdated reroute. */
   std::uint64_t m_path_changes = 0;
   bool m_asking = false;
   bool m_ended = false;
   int m_failed_reports = 0;
 
-  /** Since the last event: reroutes that failed or found no path. */
+  /** Reroutes since the last event that failed or found no path. */
   int m_failed_reroutes = 0;
   TimePoint m_sent_at{};
   TimePoint m_last_progress{};
   TimePoint m_asked_at{};
 
-  /** Into its silence since the last progress. */
+  /** Reports requested since the last progress because the stream was silent. */
   int m_looks = 0;
   Duration m_first_event_after{};
 
-  /** When the stream moves off a leaving server of its path. */
+  /** When to reroute the stream away from a draining server. */
   std::optional<TimePoint> m_move_at;
 };
 
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -16,7 +16,7 @@
 #include "zinnia_decisions/forwarding/limits/limit_availability.h"
 #include "zinnia_decisions/ports/metrics.h"
 
-// The part of ForwardExchange that ends a request: what its caller gets, and when to come back.
+// Completion of a request in ForwardExchange: final answers and their Retry-After delays.
 
 namespace zinnia {
 namespace {
@@ -24,20 +24,17 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-/** Who is refused all the same comes back when an outage of the store, seen to last 2.5 to 8 s, may
-   be over. */
+/** Retry delay while the configuration is unknown, as during a store outage of a few seconds. */
 constexpr Duration kRetryAfterNoRules = milliseconds(2'000);
 
-/** Places at plain servers come back within tens of milliseconds, and the configuration of an
-   instance that has just started within a fifth of a second. */
+/** Retry delay for shortages that usually end within a few hundred milliseconds. */
 constexpr Duration kRetryAfterBriefWant = milliseconds(300);
 
-/** All servers are at their limits, of which this instance has no part: callers that come back
-   reach another instance, and limits change within seconds. */
+/** Retry delay when all servers are at their limits and this instance has no share of them; the
+   retry may reach another instance. */
 constexpr Duration kRetryAfterNoTurn = milliseconds(1'000);
 
-/** Callers that are refused together come back up to this part later than they could, so that they
-    do not meet again. */
+/** Jitter, as a fraction of the retry delay, that keeps rejected callers from retrying at once. */
 constexpr double kRetryAfterSpread = 0.5;
 
 }  // namespace
@@ -53,7 +50,7 @@
       Answer(NotRun(ErrorKind::kOverloaded, std::string(reason)));
       return;
     case NextStep::kForwardFailure:
-      // A status that promises "not run" may not go out for a request that has run.
+      // A status that means "not run" must not be sent for a request that has run.
       if (IsPromise(m_status)) {
         Answer(PerhapsRun(ErrorKind::kBackendUnavailable, std::string(reason)));
       } else {
--- a/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_choice.cc
@@ -13,8 +13,7 @@
 #include "zinnia_decisions/forwarding/paths/recovery_chooser.h"
 #include "zinnia_decisions/forwarding/paths/route_table.h"
 
-// The part of ForwardExchange that decides where a request goes: its route, organisation, service
-// and servers.
+// Selection of the route, organisation, service and servers in ForwardExchange.
 
 namespace zinnia {
 
@@ -102,8 +101,7 @@
   Reserve(m_path);
 }
 
-/** The whole request, also when a part of its answer is there already: all tokens stay in memory.
- */
+/** Includes tokens already generated, since they stay in the servers' memory. */
 GenerationSize ForwardExchange::ExpectedSize() const {
   GenerationSize size;
   size.prompt_tokens = m_facts.prompt_tokens;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -15,18 +15,17 @@
 #include "zinnia_decisions/forwarding/limits/server_limits.h"
 #include "zinnia_decisions/ports/metrics.h"
 
-// The part of ForwardExchange that waits for room, and heeds the limits that servers name.
+// Waiting for capacity and tracking of servers' rate limits in ForwardExchange.
 
 namespace zinnia {
 namespace {
 
-/** Servers named in one log line. */
+/** Maximum number of servers listed in one log event. */
 constexpr std::ptrdiff_t kMostNamed = 8;
 
 }  // namespace
 
-/** Plain servers queue by themselves, and one that is free is taken: there only a server's turn at
-    its limit is worth waiting for. */
+/** Plain servers queue requests themselves, so requests to them wait here only for a rate limit. */
 void ForwardExchange::WaitForRoom() {
   const bool queues = m_route->repeatability == Repeatability::kStream;
   if (MayWait(OutlookOfLimits(), queues, m_route->latency_objective)) {
@@ -61,7 +60,7 @@
   return true;
 }
 
-/** Who asks why a request went elsewhere finds the servers that it was kept from. */
+/** Logs the servers that were skipped because they are at their limits. */
 void ForwardExchange::LogServersAtLimit() {
   const std::vector<BackendServerName> closed = OutlookOfLimits().at_limit;
   if (closed.empty()) {
@@ -75,8 +74,9 @@
                       {"servers", fmt::format("{}", fmt::join(closed.begin(), end, ","))}});
 }
 
-/** 421 may come from another server that got the address. That there is no limit any more is
-    believed of signed answers only: others may be cut short, or not be the server's. */
+/** Ignores 421, which another server at a reused address may have sent. The removal of a limit is
+    accepted from signed answers only, since others may be truncated or come from
+    another server. */
 void ForwardExchange::NoteLimit() {
   const std::optional<double> limit = m_answer_facts.requests_per_second;
   const bool is_own_word = m_status != kStatusMisdirected && (limit || m_answer_facts.is_signed);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -20,34 +20,32 @@
 #include "zinnia_decisions/forwarding/streams/departure_schedule.h"
 #include "zinnia_decisions/forwarding/streams/silence_policy.h"
 
-// The part of ForwardExchange that watches a running request: its silence, and the servers on its
-// path that stall or leave.
+// Supervision of running requests in ForwardExchange: silent streams, stalled and draining servers.
 
 namespace zinnia {
 namespace {
 
 using std::chrono::milliseconds;
 
-/** Silence of the own stream that a finding of others needs to be believed. */
+/** Minimum silence of this stream before a stall reported by others is acted on. */
 constexpr Duration kSilenceThatConfirms = milliseconds(45);
 
-/** Pause between two looks into the same silent stream. From the third look on it doubles up to
-   eight times: where engines are merely full, every look costs a call and finds nothing. */
+/** Delay between report requests for a silent stream. It backs off exponentially after the first
+   two, to limit calls to engines that are only busy. */
 constexpr Duration kAskAgainAfter = milliseconds(120);
 constexpr int kLooksWithoutDelay = 2;
 constexpr int kMostDoublings = 3;
 
-/** A stream that should move waits so long for its next event. */
+/** How long a due move waits for the next event of the stream. */
 constexpr Duration kWaitForEvent = milliseconds(50);
 
-/** A move that was refused is tried again after this; refusals for want of room last about so long.
- */
+/** Retry delay after a refused move. */
 constexpr Duration kMoveAgainAfter = milliseconds(200);
 
-/** A first server is left after so many failed reports. */
+/** Failed report requests after which a silent first server is abandoned. */
 constexpr int kReportsBeforeLeaving = 2;
 
-/** Reroutes that may fail before the stream goes on from another first server. */
+/** Failed reroutes after which the first server is abandoned. */
 constexpr int kReroutesBeforeLeaving = 2;
 
 }  // namespace
@@ -55,7 +53,7 @@
 void AskForPace(const ForwardingParts& parts, const PathPart& server) {
   parts.stalls.Ask(server, [&parts, name = server.server](const Result<EngineReport>& report) {
     if (!report) {
-      return;  // Who waits for this server finds out that it is silent, and logs it.
+      return;  // Requests waiting for this server detect and log its silence.
     }
     if (report->pace > parts.health.SlowdownFactor(name)) {
       parts.logger.Log(LogLevel::kInfo, "server_slow",
@@ -130,7 +128,7 @@
                        {{"request", m_facts.id},
                         {"server", m_server},
                         {"reason", zinnia::Describe(report.error())}});
-    // One report may be lost to a full connection table; the stream's own silence must agree.
+    // A single call may fail for lack of connections, so the stream must be silent too.
     const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
     if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
       m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
@@ -139,7 +137,7 @@
     return;
   }
   m_failed_reports = 0;
-  // All that the report names, not only what this request waits for: the others' requests wait too.
+  // Includes stalled requests other than this one.
   std::set<BackendServerName> stalled;
   const auto view = m_parts.view();
   for (const StalledRequest& request : report->stalled) {
@@ -169,14 +167,13 @@
   const auto is_stalled = [&](const PathPart& part) {
     return std::find(servers.begin(), servers.end(), part.server) != servers.end();
   };
-  // A stream that had an event just now does not depend on a dead server: the finding is wrong, or
-  // older than the path.
+  // A recent event shows that the report is wrong or refers to an earlier path.
   const bool flows = m_parts.clock.Now() - m_last_progress < kSilenceThatConfirms;
   if (m_ended || !m_connection || flows || std::none_of(m_path.begin(), m_path.end(), is_stalled)) {
     return;
   }
   if (is_stalled(m_path.front())) {
-    // Also while it has an order to change the path: a dead server will not carry it out.
+    // Applies during a reroute too, since a stalled server will not complete it.
     AbandonServer("the first server is silent");
     return;
   }
@@ -185,7 +182,7 @@
   }
 }
 
-/** Events come too slowly: some server of the path may be slow, and only it knows. */
+/** Queries the slowdown factor of each server on the path after a long event gap. */
 void ForwardExchange::AskForPaces() {
   for (const PathPart& part : m_path) {
     if (m_parts.health.TryBeginSlowdownQuery(part.server)) {
@@ -194,8 +191,8 @@
   }
 }
 
-/** A server does not hold what its entry says: while the store is away, entries stay as they were,
-    and each request over moved layers would be refused until it is back. */
+/** Queries the layers of a server that may differ from its entry, which is outdated while the store
+    is unavailable. */
 void ForwardExchange::AskForLayers(const PathPart& accused) {
   if (accused.layers.Count() == 0) {
     return;
@@ -210,9 +207,8 @@
   });
 }
 
-/** A server that refuses is full, dead, or about to leave. Its entry outlives its death by seconds,
-    and while the store is away it says neither: each instance would try such a server again and
-    again, and its callers be refused for as long as that lasts. */
+/** Checks whether a server that refused is dead or draining, which its entry may not show for
+    seconds, or for as long as the store is unavailable. */
 void ForwardExchange::AskWhyItRefused(const PathPart& accused) {
   const auto view = m_parts.view();
   const auto service = view->rules->services.find(m_service);
@@ -261,7 +257,7 @@
   }
 }
 
-/** Beyond the first, which a running stream cannot leave without starting again. */
+/** Ignores the first server, which a running stream cannot leave without being resent. */
 bool ForwardExchange::HasLeavingServer() const {
   const auto view = m_parts.view();
   return m_path.size() > 1 &&
@@ -282,7 +278,7 @@
   m_move_at = m_parts.departures.MoveAt(m_parts.clock.Now(), m_rhythm.ExpectedRemaining(events));
 }
 
-/** Best called after an event: moved right then, a stream has the whole allowed pause for it. */
+/** Best called right after an event, to leave the whole allowed event gap for the move. */
 void ForwardExchange::MoveIfDue() {
   const TimePoint now = m_parts.clock.Now();
   if (m_ended || !m_connection || !m_move_at || m_rerouting || now < *m_move_at) {
@@ -325,8 +321,7 @@
          DecideNextStep(*m_route, SendOutcome::kUnknown, history) == NextStep::kSendAgain;
 }
 
-/** Leaves the present servers, of which the first still works, for others where the stream goes on
-    after its last whole event. */
+/** Resends the stream over another path, to continue after its last complete event. */
 void ForwardExchange::StartAgain(const FoundPath& found, std::string_view reason) {
   LogMove("request_started_again", found.path, reason);
   std::exchange(m_connection, nullptr)->Close();
@@ -361,8 +356,8 @@
       });
 }
 
-/** Keeping the first server leaves no path, or it refused: after a few tries the stream goes on
-   from another first server, before its caller gives up. */
+/** Abandons the first server once several reroutes have failed and the stream has been silent too
+    long. */
 void ForwardExchange::OnNoReroute(std::string_view reason) {
   if (m_failed_reroutes++ == 0) {
     m_parts.logger.Log(
@@ -400,7 +395,7 @@
   }
 }
 
-/** Gives up the present send, whatever the server still does with it. */
+/** Abandons the current send; its outcome on the server is unknown. */
 void ForwardExchange::AbandonServer(std::string_view reason) {
   if (m_connection) {
     std::exchange(m_connection, nullptr)->Close();
