--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -17,28 +17,28 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/** Waiting requests that may find no room in one round before the others wait for the next, and the
-    ticks between rounds: 50 searches a second at most, each a fraction of a millisecond. */
+/** Failed path searches per scan of the capacity queue, and ticks between scans. They bound the
+    time spent on searches. */
 constexpr int kMostFailedTries = 2;
 constexpr std::uint64_t kTicksBetweenRounds = 2;
 
-/** Deadlines and silences are noticed this late at most; the pauses that count are 200 ms. */
+/** Maximum delay in detecting deadlines and silent streams. */
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
-/** Unused connections are looked through once in so many ticks: every second. */
+/** Ticks between removals of unused connections: one second. */
 constexpr std::uint64_t kTicksBetweenSweeps = 50;
 
-/** Slow servers are asked again once in so many ticks: every second. */
+/** Ticks between slowdown queries to slow servers: one second. */
 constexpr std::uint64_t kTicksBetweenPaces = 50;
 
-/** How often the whole fleet asks one slow server in a second, by chance of each instance: the
-    answers are told to all, and each call is priced. */
+/** Expected slowdown queries per second to one slow server from all instances together, which share
+    the answers. */
 constexpr double kAsksOfFleet = 4.0;
 
-/** Suspects are looked through once in so many ticks. */
+/** Ticks between probes of suspect servers. */
 constexpr std::uint64_t kTicksBetweenSuspects = 10;
 
-/** How long a server that answered no probe gets no requests, until engines' reports confirm it. */
+/** Exclusion of a server that answered no probe, until engine reports confirm the failure. */
 constexpr Duration kDeadExclusion = std::chrono::milliseconds(1'500);
 
 }  // namespace
@@ -134,8 +134,8 @@
   }
 }
 
-/** A large request may find no room where a smaller one behind it does, but a search costs time, so
-    only a few are tried past the first that finds none. */
+/** Tries later requests too, since a smaller one may fit where a large one does not, but stops
+   after a few failed searches. */
 void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
@@ -171,8 +171,8 @@
   m_parts.metrics.Count(event);
 }
 
-/** A question costs a call; a caller's request at a dead server costs its objective. Plain servers
-    have no such call, and take the next request. */
+/** Probes suspect servers, to avoid sending callers' requests to dead ones. Plain servers have no
+    such call and receive the next request instead. */
 void ForwardServer::AskSuspects() {
   const auto view = m_parts.view();
   for (const BackendServerName& name : m_parts.health.TakeSuspectsToProbe()) {
@@ -184,7 +184,7 @@
       m_parts.health.OnProbeAnswered(name);
       continue;
     }
-    // A probe's limit would be too short: a server that is merely busy would stay unused.
+    // The timeout of Probe is too short for a busy server, which would stay excluded.
     m_parts.engine_calls.ReadReport({name, server->second.address, server->second.layers},
                                     [&health = m_parts.health, name](const auto& report) {
                                       if (report) {
@@ -194,7 +194,7 @@
   }
 }
 
-/** Requests leave a slow server alone, and so nobody would learn that it is well again. */
+/** Detects the recovery of slow servers, which receive no requests that would show it. */
 void ForwardServer::AskSlowServersAgain() {
   const auto view = m_parts.view();
   const double chance = kAsksOfFleet / static_cast<double>(view->live_instances);
--- a/packages/zinnia_adapters/forwarding/forward_server.h
+++ b/packages/zinnia_adapters/forwarding/forward_server.h
@@ -20,41 +20,41 @@
 
 namespace zinnia {
 
-/** The callers' server of an instance that forwards by the routes of the accepted configuration.
+/** Accepts callers' requests and forwards them by the routes of the accepted configuration.
 
-    Create, use and destroy it on its traffic thread. To stop: BeginDrain, which lets callers finish
-    and refuses nothing yet; after a few seconds StopAccepting; when InFlight is 0, or the time for
-    stopping is over, CutOff.
+    Create, use and destroy it on its traffic thread. To stop it, call BeginDrain, which still
+   accepts requests; a few seconds later StopAccepting; then CutOff once InFlight is 0 or the stop
+   timeout has passed.
 */
 class ForwardServer final : public ConnectionOwner {
  public:
-  /** Fails with kInvalidSettings if the address cannot be listened on. */
+  /** Fails with kInvalidSettings if it cannot listen on the address. */
   static Result<std::unique_ptr<ForwardServer>> Create(boost::asio::io_context& loop,
                                                        Scheduler& scheduler,
                                                        ForwardingParts parts,
                                                        const NetworkAddress& address);
   ~ForwardServer() override;
 
-  /** The port in use, also when a free one was asked for. */
+  /** Returns the bound port, including one chosen by the system. */
   std::uint16_t Port() const;
 
-  /** Answers from now on end their connections. */
+  /** Closes each connection after its next answer. */
   void BeginDrain();
 
-  /** Takes no new connections and closes idle ones. */
+  /** Stops accepting connections and closes idle ones. */
   void StopAccepting();
 
-  /** Ends every request with a final answer, or its stream where it is. */
+  /** Sends every unfinished request a final answer; streams are cut off. */
   void AnswerRest();
 
   std::size_t InFlight() const;
   std::vector<std::string> Describe() const;
   void CutOff();
 
-  /** Tell it after each new view. */
+  /** Call after each change of the view. */
   void OnViewChanged();
 
-  /** A server is known, from here or from a peer, not to go on. */
+  /** Handles servers found stalled by this instance or a peer. */
   void OnServersStalled(const std::vector<BackendServerName>& servers);
 
  private:
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -13,7 +13,7 @@
 namespace zinnia {
 namespace {
 
-/** From whom a server's limit was heard. */
+/** Sources of a server's limit, as logged. */
 constexpr std::string_view kServerItself = "server";
 constexpr std::string_view kPeer = "peer";
 
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -28,7 +28,7 @@
 
 class TrafficThread;
 
-/** What a ForwardingTraffic is made with. All references must outlive it. */
+/** Dependencies of a ForwardingTraffic. All references must outlive it. */
 struct ForwardingTrafficParts {
   Clock& clock;
   Logger& logger;
@@ -39,26 +39,26 @@
   NetworkAddress callers_address;
   SharedRetryBudgetSettings retry_budget;
 
-  /** How long servers work on after they announced their departure. */
+  /** How long servers keep running after they announce their departure. */
   Duration departure_notice{};
   std::uint64_t random_seed = 0;
 
-  /** Called on the traffic thread when a server was found stalled here. */
+  /** Called on the traffic thread when this instance detects a stalled server. */
   std::function<void(const BackendServerName&)> tell_stall;
 
-  /** Called on the traffic thread when a server's layers were found to be others. */
+  /** Called on the traffic thread when a server's layers differ from its entry. */
   std::function<void(const ServerStateReport&)> tell_server_news;
 
-  /** Called on the traffic thread when a server's limit has changed; `heard_here` from the server
-      itself, and not from a peer. */
+  /** Called on the traffic thread when a server's limit has changed. `heard_here`: the server
+     itself reported it, not a peer. */
   std::function<void(std::vector<ServerLimitReport>, bool heard_here)> tell_server_limits;
   InstanceName own_name;
 };
 
-/** Everything that forwarding keeps on the traffic thread. Create, use and destroy it there. */
+/** Owns the forwarding state of the traffic thread. Create, use and destroy it on that thread. */
 class ForwardingTraffic {
  public:
-  /** Throws ErrorException with kInvalidSettings if the callers' address cannot be listened on. */
+  /** Throws ErrorException with kInvalidSettings if it cannot listen on the callers' address. */
   ForwardingTraffic(TrafficThread& thread, ForwardingTrafficParts parts);
 
   ForwardServer& Server() { return *m_server; }
@@ -71,7 +71,7 @@
   void SetRetryBudget(SharedRetryBudgetSettings settings) { m_retries.SetSettings(settings); }
   void SetDepartureNotice(Duration notice) { m_departures.SetNotice(notice); }
 
-  /** What this instance has in flight, for its peers. */
+  /** Returns this instance's load in flight, to be reported to its peers. */
   const LoadTracker::Uses& OwnUses() const { return m_loads.Own(); }
   std::vector<SlowdownReport> SlowServers() const { return m_health.SlowServers(); }
   std::vector<ServerLimitReport> TakeServerLimits() { return m_limits.TakeReports(); }
--- a/packages/zinnia_adapters/forwarding/server_connection_pool.cc
+++ b/packages/zinnia_adapters/forwarding/server_connection_pool.cc
@@ -8,11 +8,11 @@
 namespace zinnia {
 namespace {
 
-/** Longer idle connections are rarely wanted again, and servers count them against their limit. */
+/** Maximum idle time; idle connections count against the limits of servers. */
 constexpr Duration kLongestIdle = std::chrono::seconds(10);
 
-/** How much before the server's own limit a connection is given up: a request that crosses the
-    server's close would be lost with an unknown outcome. */
+/** Margin before the server's idle timeout; a request that races with the close would have an
+    unknown outcome. */
 constexpr Duration kIdleMargin = std::chrono::milliseconds(150);
 
 }  // namespace
--- a/packages/zinnia_adapters/forwarding/server_connection_pool.h
+++ b/packages/zinnia_adapters/forwarding/server_connection_pool.h
@@ -14,25 +14,25 @@
 
 class ServerConnection;
 
-/** Kept connections to backend servers, by server. New ones are limited and cost time, so the most
-    recently used is taken first. Belongs to one traffic thread. */
+/** Pool of idle connections to backend servers. Reuses the most recently used connection first. Not
+    thread-safe. */
 class ServerConnectionPool final : public IdleConnections {
  public:
   ServerConnectionPool(boost::asio::io_context& loop, const Clock& clock)
       : m_loop(loop), m_clock(clock) {}
   ~ServerConnectionPool() override;
 
-  /** A kept connection that was idle for no longer than `longest_idle`, or a new one. */
+  /** Returns a pooled connection idle for at most `longest_idle`, or a new one. */
   std::shared_ptr<ServerConnection> Take(const BackendServerName& server,
                                          const NetworkAddress& address,
                                          Duration longest_idle);
 
-  /** Gives a connection back after an answer; one that cannot be used again is dropped. */
+  /** Returns a connection to the pool; one that is not reusable is dropped. */
   void Keep(const BackendServerName& server, std::shared_ptr<ServerConnection> connection);
 
   bool HasIdle(const BackendServerName& server) const override;
 
-  /** Closes those that are idle for too long, or whose server is not in `servers`. */
+  /** Closes connections that were idle for too long or whose server is not in `servers`. */
   void DropUnused(const std::map<BackendServerName, ServerEntry>& servers);
 
  private:
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.h
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.h
@@ -10,8 +10,8 @@
 
 namespace zinnia {
 
-/** Asks first servers which servers behind them are stalled, once for all requests that want to
-    know: when a stage dies, dozens of streams fall silent together, and each call is priced. */
+/** Queries first servers for stalled servers on their paths. Concurrent queries to one server share
+    a call, since many streams fall silent together when a stage dies. */
 class StallInquiry {
  public:
   using Callback = std::function<void(const Result<EngineReport>&)>;
@@ -22,25 +22,24 @@
 
   using OnDead = std::function<void(const std::vector<BackendServerName>&)>;
 
-  /** Probes servers that the events of streams make suspect, and names those that are dead, all of
-      a round together. `other_streams_active`: see ProbeRound. */
+  /** Probes suspect servers and reports all dead ones of a round in one call.
+      `other_streams_active`: see ProbeRound. */
   void Check(const std::vector<PathPart>& suspects,
              bool other_streams_active,
              const OnDead& on_dead);
 
-  /** Asks a server that refused a request, or that another one refused it for: it may be full, out
-      of reach, or about to leave. Of a server that takes requests by its own word it says nothing.
-   */
+  /** Checks the health of a server named in a refusal and reports whether it is dead or draining.
+      Calls neither callback if the server accepts requests. */
   void Confirm(const PathPart& accused,
                const std::string& health_path,
                const std::function<void(const BackendServerName&)>& on_dead,
                const std::function<void(const BackendServerName&)>& on_leaving);
 
  private:
-  /** Whether the server was not probed lately; notes that it is now. */
+  /** Returns true and records a probe if the server was not probed recently. */
   bool TakeProbe(const BackendServerName& server);
 
-  /** A report is this old at most when it is used again. */
+  /** Maximum age of a reused report. */
   static constexpr Duration kReportLifetime = std::chrono::milliseconds(60);
 
   struct Inquiry {
@@ -50,7 +49,7 @@
     std::vector<Callback> waiting;
   };
 
-  /** The same suspects are not probed again before this. */
+  /** Minimum interval between probes of one server. */
   static constexpr Duration kProbeAgainAfter = std::chrono::milliseconds(100);
 
   EngineCalls& m_calls;
