--- a/packages/zinnia_adapters/forwarding/counted_engine_calls.h
+++ b/packages/zinnia_adapters/forwarding/counted_engine_calls.h
@@ -6,8 +6,7 @@
 
 class ServerLimits;
 
-/** Counts an instance's own questions and orders to servers as requests: a server that takes only
-   so many does not ask why one was sent. */
+/** Counts engine calls as requests to a server, since its rate limit includes them. */
 class CountedEngineCalls final : public EngineCalls {
  public:
   /** Both must outlive it. */
--- a/packages/zinnia_adapters/forwarding/engine_calls.h
+++ b/packages/zinnia_adapters/forwarding/engine_calls.h
@@ -12,25 +12,25 @@
 
 namespace zinnia {
 
-/** A request that waits, and the server on its path that does not go on. */
+/** A waiting request and the stalled server on its path. */
 struct StalledRequest {
   std::string request_id;
   NetworkAddress server;
 };
 
-/** What the first server of a path says about the work that passes through it. */
+/** Report of the first server of a path about the requests that pass through it. */
 struct EngineReport {
   std::vector<StalledRequest> stalled;
 
-  /** The layers that it holds, if it says. */
+  /** The layers that the server holds, if reported. */
   std::optional<LayerRange> layers;
 
-  /** How many times longer than usual its work takes. */
+  /** Slowdown factor: the ratio of current to usual processing time. */
   double pace = 1.0;
 };
 
-/** How the move of a request to another path ended: kNotFound if it does not run there,
-    kBackendRejected if a part is not there or has no room, kOutcomeUnknown without an answer. */
+/** Result of a reroute: kNotFound if the first server does not run the request, kBackendRejected if
+    a part is missing or lacks capacity, kOutcomeUnknown without an answer. */
 struct RerouteAnswer {
   Result<void> result{};
 
@@ -38,10 +38,10 @@
   std::optional<NetworkAddress> refused_by;
 };
 
-/** What a server says when it is asked whether it takes requests. */
+/** Result of a health check; kNone without an answer. */
 enum class HealthAnswer { kNone, kTakesRequests, kRefuses };
 
-/** Calls to engines beside requests. Callbacks run later, once, on the traffic thread. */
+/** Control calls to engines. Each callback runs once, asynchronously, on the traffic thread. */
 class EngineCalls {
  public:
   virtual ~EngineCalls() = default;
@@ -49,16 +49,16 @@
   virtual void ReadReport(const PathPart& first,
                           std::function<void(Result<EngineReport>)> callback) = 0;
 
-  /** Whether the server answers at all, within a few tens of milliseconds. */
+  /** Checks whether the server answers within a few tens of milliseconds. */
   virtual void Probe(const PathPart& server, std::function<void(bool)> callback) = 0;
 
-  /** Whether the server takes requests by its own word, asked at `health_path`. */
+  /** Queries `health_path` for whether the server accepts requests. */
   virtual void AskHealth(const PathPart& server,
                          const std::string& health_path,
                          std::function<void(HealthAnswer)> callback) = 0;
 
-  /** Moves a running request to another path with the same first part. Its memory stays where the
-      part stays; new parts read the tokens so far. */
+  /** Moves a running request to another path with the same first part. Unchanged parts
+      keep their memory; new parts prefill the tokens so far. */
   virtual void Reroute(const std::string& request_id,
                        const LayerPath& path,
                        std::function<void(RerouteAnswer)> callback) = 0;
--- a/packages/zinnia_adapters/forwarding/forward_outcomes.h
+++ b/packages/zinnia_adapters/forwarding/forward_outcomes.h
@@ -6,18 +6,18 @@
 
 namespace zinnia {
 
-/** The answer of a server that is not the one that the request was meant for. */
+/** Status from a server other than the intended one. */
 inline constexpr unsigned kStatusMisdirected = 421;
 
 bool IsSuccess(unsigned status);
 
-/** Statuses that promise that a request was not run and never will be. */
+/** Returns true for statuses that guarantee that the request was not and will not be run. */
 bool IsPromise(unsigned status);
 
-/** An error for a request that no server has run. */
+/** Creates an error for a request that no server has run. */
 Error NotRun(ErrorKind kind, std::string message);
 
-/** An error for a request of which nobody knows whether it was run: nothing may be promised. */
+/** Creates an error for a request that may have run. */
 Error PerhapsRun(ErrorKind kind, std::string message);
 
 }  // namespace zinnia
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -29,7 +29,7 @@
 class StallInquiry;
 struct ForwardingView;
 
-/** What the requests of one traffic thread share. All references must outlive the requests. */
+/** Dependencies shared by the requests of a traffic thread. All references must outlive them. */
 struct ForwardingParts {
   const Clock& clock;
   Logger& logger;
@@ -52,18 +52,18 @@
   FailureDomainName own_failure_domain;
   std::function<std::shared_ptr<const ForwardingView>()> view;
 
-  /** Tells all requests, and later all peers, that servers do not go on. Those that were lost
-      together are told together: told one by one, requests would be moved from one to the next. */
+  /** Reports stalled servers to all requests and peers. Servers that fail together are reported in
+      one call, so that requests are not moved from one to another. */
   std::function<void(const std::vector<BackendServerName>&)> report_stalled;
 
-  /** A server's layers are not what the view has. */
+  /** Reports that a server's layers differ from the view. */
   std::function<void(const ServerStateReport&)> report_server_news;
 
-  /** A server named another limit than it had, or none: logs it and tells peers. */
+  /** Logs the change or removal of a server's limit and reports it to peers. */
   std::function<void(const BackendServerName&)> report_limit;
 };
 
-/** Asks a server how slow it is, for the choice of paths. */
+/** Queries the slowdown factor of a server, for path selection. */
 void AskForPace(const ForwardingParts& parts, const PathPart& server);
 
 }  // namespace zinnia
--- a/packages/zinnia_adapters/forwarding/log_text.h
+++ b/packages/zinnia_adapters/forwarding/log_text.h
@@ -7,10 +7,10 @@
 
 namespace zinnia {
 
-/** The whole milliseconds of a duration, as a field of a log line. */
+/** Formats a duration in whole milliseconds for a log field. */
 std::string Milliseconds(Duration duration);
 
-/** "server=first-end,..." for log lines. */
+/** Formats a path as "server=first-end,..." for a log field. */
 std::string DescribePath(const LayerPath& path);
 
 }  // namespace zinnia
--- a/packages/zinnia_adapters/forwarding/message_codec.h
+++ b/packages/zinnia_adapters/forwarding/message_codec.h
@@ -12,12 +12,12 @@
 
 namespace zinnia {
 
-/** What forwarding adds to a request on its way to a server. */
+/** Metadata added to a forwarded request. */
 struct ForwardingMarks {
-  /** What is left of the time that the caller waits. */
+  /** Time left until the request's deadline. */
   std::chrono::milliseconds deadline_left{0};
 
-  /** A server that is not this one refuses the request: its address may have been reused. */
+  /** The intended server; another one that reuses its address rejects the request. */
   BackendServerName server;
 
   /** Empty for public routes. */
@@ -26,29 +26,29 @@
   /** The servers that run the layers; empty for plain services. */
   LayerPath path;
 
-  /** Replaces the caller's own, when a stream goes on at another server. */
+  /** Replaces the caller's value when a stream continues on another server. */
   std::optional<std::uint64_t> last_event_id;
 };
 
-/** What a server's answer says beside status and body. */
+/** Metadata of a server's answer. */
 struct AnswerFacts {
-  /** The server vouches that it has not run the request and never will. */
+  /** The server guarantees that it has not run the request and never will. */
   bool not_run = false;
 
-  /** The request that the answer belongs to; empty if it does not say. */
+  /** The request that is answered; empty if not given. */
   std::string request_id;
 
-  /** Whether it bears the server's signature, without which a success is not the server's. */
+  /** Whether the answer is signed by the server; an unsigned success is not accepted. */
   bool is_signed = false;
 
   /** The "IP:PORT" of the server on the path that is at fault for a refusal; may be empty. */
   std::string server_at_fault;
 
-  /** How many requests a second the server takes from all instances together, if it says so. */
+  /** The server's rate limit for all instances together, if given. */
   std::optional<double> requests_per_second;
 };
 
-/** The names and formats in which requests and answers carry what forwarding needs to know. */
+/** Reads and writes the forwarding metadata in the header fields of requests and answers. */
 class MessageCodec {
  public:
   using Fields = boost::beast::http::fields;
@@ -56,7 +56,7 @@
   virtual ~MessageCodec() = default;
   virtual RequestFacts ReadRequest(const Fields& fields) const = 0;
 
-  /** Removes what servers must not see, among it the caller's key, and adds the marks. */
+  /** Removes fields that servers must not see, such as the caller's key, and adds the marks. */
   virtual void MarkRequest(Fields& fields, const ForwardingMarks& marks) const = 0;
 
   virtual AnswerFacts ReadAnswer(unsigned status, const Fields& fields) const = 0;
--- a/packages/zinnia_adapters/forwarding/server_answer_listener.h
+++ b/packages/zinnia_adapters/forwarding/server_answer_listener.h
@@ -5,12 +5,12 @@
 
 namespace zinnia {
 
-/** How a server's answer failed. kNotSent promises that no byte of the request left. kBroken: it
-    ended early or is not HTTP; the request may have run. */
+/** How a server's answer failed. kNotSent: no byte of the request was sent. kBroken: the answer
+   ended early or is not valid HTTP, and the request may have run. */
 enum class AnswerFailure { kNotSent, kBroken };
 
-/** Hears the answer of a server as it arrives. After OnServerAnswerEnd or OnServerFailed nothing
-    more comes. */
+/** Receives a server's answer as it arrives. OnServerAnswerEnd or OnServerFailed is the last call.
+ */
 class ServerAnswerListener {
  public:
   virtual ~ServerAnswerListener() = default;
--- a/packages/zinnia_adapters/forwarding/server_connection.cc
+++ b/packages/zinnia_adapters/forwarding/server_connection.cc
@@ -19,15 +19,14 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-/** Bytes that a server does not acknowledge for this long end the connection: a server that went
-    dark, or a path that went silent, gives no other sign. */
+/** TCP user timeout, which detects servers and networks that stop responding. */
 constexpr int kUnacknowledgedMilliseconds = 2'500;
 
 constexpr std::size_t kReadBytes = 16'384;
 constexpr std::uint32_t kMostAnswerHeaderBytes = 65'536;
 constexpr std::string_view kTimeoutParameter = "timeout=";
 
-/** "Keep-Alive: timeout=5, max=100" gives 5 s. */
+/** Parses the timeout of a Keep-Alive header, such as "timeout=5, max=100". */
 Duration IdleLimitOf(std::string_view keep_alive) {
   const std::size_t found = keep_alive.find(kTimeoutParameter);
   if (found == std::string_view::npos) {
@@ -156,8 +155,8 @@
   }
 }
 
-/** Beast's own read functions go on reading until a chunked body is whole, which would hold back
-    every event of a stream until its end. */
+/** Parses incrementally, since Beast's read functions would hold back a chunked stream until its
+    end. */
 boost::system::error_code ServerConnection::Parse() {
   boost::system::error_code error;
   const std::size_t used = m_parser->put(m_buffer.data(), error);
@@ -168,7 +167,7 @@
   return error;
 }
 
-/** False if the listener closed the connection. */
+/** Returns false if the listener closed the connection. */
 bool ServerConnection::DeliverHead() {
   if (m_head_delivered || !m_parser->is_header_done()) {
     return true;
--- a/packages/zinnia_adapters/forwarding/server_connection.h
+++ b/packages/zinnia_adapters/forwarding/server_connection.h
@@ -18,12 +18,11 @@
 
 class ServerAnswerListener;
 
-/** One HTTP/1.1 connection to a backend server that hands answers on as they arrive, one request at
-    a time.
+/** HTTP/1.1 connection to a backend server that streams answers to a listener, one request at a
+    time.
 
-    Connects at the first request. After a failure, after bytes that belong to no answer, or when
-    the server says so, it is closed for good; IsReusable then is false. A listener may close it
-    from inside its calls.
+    Connects on the first request. It is closed permanently after a failure, after unexpected bytes,
+    or when the server requests it. A listener may call Close from its callbacks.
 */
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
@@ -33,27 +32,27 @@
                                                   const Clock& clock,
                                                   NetworkAddress address);
 
-  /** Sends the request. `listener` hears the answer until it ends or Close is called. */
+  /** Sends the request. `listener` receives the answer until it ends or Close is called. */
   void Send(Request request, std::weak_ptr<ServerAnswerListener> listener, Duration connect_limit);
 
-  /** Between two requests: open, not told to close, and nothing arrived meanwhile. */
+  /** Returns true if the connection is idle, open and has received no unexpected bytes. */
   bool IsReusable();
 
-  /** Ends it, also in the middle of an answer: the server drops the request. The listener hears
-      nothing more. */
+  /** Closes the connection, which cancels a request in progress. The listener gets no more calls.
+   */
   void Close();
 
-  /** Watches an idle connection, so that bytes or an end that arrive between requests close it and
-      are not taken for the next answer. */
+  /** Closes the idle connection when bytes or an end of stream arrive between requests, so that
+     they are not taken for the next answer. */
   void WatchIdle();
 
   const NetworkAddress& address() const { return m_address; }
   TimePoint IdleSince() const { return m_idle_since; }
 
-  /** Whether it carried a request before. */
+  /** Returns true if the connection has carried a request before. */
   bool HasServed() const { return m_has_served; }
 
-  /** How long the server says that it keeps an idle connection; zero if it does not say. */
+  /** Returns the server's keep-alive timeout, or zero if not given. */
   Duration ServerIdleLimit() const { return m_server_idle_limit; }
 
  private:
--- a/packages/zinnia_adapters/forwarding/text_server.cc
+++ b/packages/zinnia_adapters/forwarding/text_server.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-/** One connection; keeps itself alive while it waits. */
+/** One connection; pending operations keep it alive. */
 class TextServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(asio::ip::tcp::socket socket, std::shared_ptr<const Handler> handler)
--- a/packages/zinnia_adapters/forwarding/text_server.h
+++ b/packages/zinnia_adapters/forwarding/text_server.h
@@ -11,8 +11,8 @@
 
 namespace zinnia {
 
-/** A small HTTP server for short texts: readiness, metrics. Answers every request by one function
-    of its path. Create, use and destroy it on the thread of the loop. */
+/** Minimal HTTP server for short texts such as readiness and metrics. Create, use and destroy it on
+    the thread of the loop. */
 class TextServer {
  public:
   struct Answer {
@@ -21,7 +21,7 @@
   };
   using Handler = std::function<Answer(const std::string& path)>;
 
-  /** Fails with kInvalidSettings if the address cannot be listened on. */
+  /** Fails with kInvalidSettings if it cannot listen on the address. */
   static Result<std::unique_ptr<TextServer>> Create(boost::asio::io_context& loop,
                                                     const NetworkAddress& address,
                                                     Handler handler);
