--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -73,7 +73,7 @@
   }
 }
 
-void ForwardExchange::AwaitRules() {
+void ForwardExchange::AwaitConfiguration() {
   const auto view = m_parts.view();
   if (view->rules) {
     m_awaits_rules = false;
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -82,7 +82,7 @@
   };
 
   /** Continues once the configuration is known; rejects the request after a timeout. */
-  void AwaitRules();
+  void AwaitConfiguration();
   void Begin();
   void WaitForRoom();
   void RefuseForWantOfRoom();
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -68,7 +68,7 @@
     return;
   }
   if (m_awaits_rules) {
-    AwaitRules();
+    AwaitConfiguration();
     return;
   }
   if (!m_route) {
@@ -239,7 +239,7 @@
 
 void ForwardExchange::OnViewChanged() {
   if (m_awaits_rules && !m_ended) {
-    AwaitRules();
+    AwaitConfiguration();
     return;
   }
   if (m_ended || !m_connection) {
