--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -67,8 +67,8 @@
 
 void ForwardExchange::Start() {
   m_facts = m_parts.codec.ReadRequest(m_request);
-  m_awaits_rules = !m_parts.view()->rules;
-  if (!m_awaits_rules) {
+  m_awaits_configuration = !m_parts.view()->rules;
+  if (!m_awaits_configuration) {
     Begin();
   }
 }
@@ -76,7 +76,7 @@
 void ForwardExchange::AwaitConfiguration() {
   const auto view = m_parts.view();
   if (view->rules) {
-    m_awaits_rules = false;
+    m_awaits_configuration = false;
     Begin();
     return;
   }
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -164,7 +164,7 @@
   bool m_stream_started = false;  // The stream head was sent to the caller.
   EventIntervalTracker m_rhythm;
 
-  bool m_awaits_rules = false;
+  bool m_awaits_configuration = false;
 
   std::uint64_t m_room_ticket = 0;
 
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -151,7 +151,7 @@
   if (m_stream_started) {
     m_responder->CutOff();
     End("instance_stops");
-  } else if (m_awaits_rules || m_room_ticket != CapacityQueue::kNoTicket) {
+  } else if (m_awaits_configuration || m_room_ticket != CapacityQueue::kNoTicket) {
     Answer(NotRun(ErrorKind::kStoreUnavailable, "this instance stops"));
   } else {
     Answer(PerhapsRun(ErrorKind::kBackendUnavailable,
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -67,7 +67,7 @@
   if (m_ended) {
     return;
   }
-  if (m_awaits_rules) {
+  if (m_awaits_configuration) {
     AwaitConfiguration();
     return;
   }
@@ -238,7 +238,7 @@
 }
 
 void ForwardExchange::OnViewChanged() {
-  if (m_awaits_rules && !m_ended) {
+  if (m_awaits_configuration && !m_ended) {
     AwaitConfiguration();
     return;
   }
