--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -28,7 +28,7 @@
 
 /** Lets requests wait for the configuration after a restart; less than the two seconds after which
     callers abandon a stream without events. */
-constexpr Duration kWaitForRules = milliseconds(1'700);
+constexpr Duration kConfigurationTimeout = milliseconds(1'700);
 
 /** Connect timeout; healthy servers accept within a few milliseconds. */
 constexpr Duration kConnectLimit = milliseconds(250);
@@ -80,7 +80,7 @@
     Begin();
     return;
   }
-  Duration limit = kWaitForRules;
+  Duration limit = kConfigurationTimeout;
   if (m_facts.deadline) {
     limit = std::min<Duration>(limit, *m_facts.deadline / 2);
   }
