--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -25,7 +25,7 @@
 using std::chrono::milliseconds;
 
 /** Retry delay while the configuration is unknown, as during a store outage of a few seconds. */
-constexpr Duration kRetryAfterNoRules = milliseconds(2'000);
+constexpr Duration kRetryAfterNoConfiguration = milliseconds(2'000);
 
 /** Retry delay for shortages that usually end within a few hundred milliseconds. */
 constexpr Duration kRetryAfterBriefWant = milliseconds(300);
@@ -88,7 +88,7 @@
                             m_route->repeatability == Repeatability::kStream;
     Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefWant;
     if (error.kind == ErrorKind::kStoreUnavailable) {
-      soonest = kRetryAfterNoRules;
+      soonest = kRetryAfterNoConfiguration;
     } else if (limits.all_at_limit) {
       soonest = std::max(kRetryAfterBriefWant, limits.next_permit_in.value_or(kRetryAfterNoTurn));
     }
