--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -28,7 +28,7 @@
 constexpr Duration kRetryAfterNoConfiguration = milliseconds(2'000);
 
 /** Retry delay for shortages that usually end within a few hundred milliseconds. */
-constexpr Duration kRetryAfterBriefWant = milliseconds(300);
+constexpr Duration kRetryAfterBriefShortage = milliseconds(300);
 
 /** Retry delay when all servers are at their limits and this instance has no share of them; the
    retry may reach another instance. */
@@ -86,11 +86,12 @@
   } else if (IsPromise(response.result_int())) {
     const bool wants_room = error.kind == ErrorKind::kOverloaded && m_route &&
                             m_route->repeatability == Repeatability::kStream;
-    Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefWant;
+    Duration soonest = wants_room ? m_parts.room.OnRefused() : kRetryAfterBriefShortage;
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoConfiguration;
     } else if (limits.all_at_limit) {
-      soonest = std::max(kRetryAfterBriefWant, limits.next_permit_in.value_or(kRetryAfterNoTurn));
+      soonest =
+          std::max(kRetryAfterBriefShortage, limits.next_permit_in.value_or(kRetryAfterNoTurn));
     }
     const double spread = 1.0 + kRetryAfterSpread * RandomUnit(m_parts.random);
     response.set(http::field::retry_after,
