--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -32,7 +32,7 @@
 
 /** Retry delay when all servers are at their limits and this instance has no share of them; the
    retry may reach another instance. */
-constexpr Duration kRetryAfterNoTurn = milliseconds(1'000);
+constexpr Duration kRetryAfterNoLimitShare = milliseconds(1'000);
 
 /** Jitter, as a fraction of the retry delay, that keeps rejected callers from retrying at once. */
 constexpr double kRetryAfterSpread = 0.5;
@@ -90,8 +90,8 @@
     if (error.kind == ErrorKind::kStoreUnavailable) {
       soonest = kRetryAfterNoConfiguration;
     } else if (limits.all_at_limit) {
-      soonest =
-          std::max(kRetryAfterBriefShortage, limits.next_permit_in.value_or(kRetryAfterNoTurn));
+      soonest = std::max(kRetryAfterBriefShortage,
+                         limits.next_permit_in.value_or(kRetryAfterNoLimitShare));
     }
     const double spread = 1.0 + kRetryAfterSpread * RandomUnit(m_parts.random);
     response.set(http::field::retry_after,
