--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -21,7 +21,7 @@
 namespace {
 
 /** Maximum number of servers listed in one log event. */
-constexpr std::ptrdiff_t kMostNamed = 8;
+constexpr std::ptrdiff_t kMaxLoggedServers = 8;
 
 }  // namespace
 
@@ -66,7 +66,7 @@
   if (closed.empty()) {
     return;
   }
-  const auto end = closed.begin() + std::min<std::ptrdiff_t>(std::ssize(closed), kMostNamed);
+  const auto end = closed.begin() + std::min<std::ptrdiff_t>(std::ssize(closed), kMaxLoggedServers);
   m_parts.metrics.Count("requests_past_server_limits");
   m_parts.logger.Log(LogLevel::kInfo, "servers_at_limit",
                      {{"request", m_facts.id},
