--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -42,7 +42,7 @@
 constexpr Duration kIdleForOnce = milliseconds(800);
 
 /** An event gap longer than this fraction of the route's objective indicates a slow server. */
-constexpr double kGapThatAsksForPaces = 0.6;
+constexpr double kSlowdownQueryGap = 0.6;
 
 /** Minimum time before the deadline to send a request. */
 constexpr Duration kLeastTimeLeft = milliseconds(30);
@@ -206,7 +206,7 @@
     m_parts.metrics.Observe(m_organisation, RequestClass::kChat, Measure::kFirstToken,
                             m_first_event_after);
   } else if (m_rhythm.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
-                 m_route->event_gap_objective * kGapThatAsksForPaces))) {
+                 m_route->event_gap_objective * kSlowdownQueryGap))) {
     AskForPaces();
   }
   if (!std::exchange(m_path_proved, true)) {
