--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -207,7 +207,7 @@
                             m_first_event_after);
   } else if (m_rhythm.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
                  m_route->event_gap_objective * kSlowdownQueryGap))) {
-    AskForPaces();
+    QuerySlowdownFactors();
   }
   if (!std::exchange(m_path_proved, true)) {
     for (const PathPart& part : m_path) {
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -102,7 +102,7 @@
   void NoteLimit();
   void OnStreamHead(unsigned status, const boost::beast::http::fields& fields);
   void OnWholeAnswer();
-  void AskForPaces();
+  void QuerySlowdownFactors();
   void AskForLayers(const PathPart& accused);
   void AskWhyItRefused(const PathPart& accused);
   PathPart PartAtFault() const;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -183,7 +183,7 @@
 }
 
 /** Queries the slowdown factor of each server on the path after a long event gap. */
-void ForwardExchange::AskForPaces() {
+void ForwardExchange::QuerySlowdownFactors() {
   for (const PathPart& part : m_path) {
     if (m_parts.health.TryBeginSlowdownQuery(part.server)) {
       AskForPace(m_parts, part);
