--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-void AskForPace(const ForwardingParts& parts, const PathPart& server) {
+void QuerySlowdownFactor(const ForwardingParts& parts, const PathPart& server) {
   parts.stalls.Ask(server, [&parts, name = server.server](const Result<EngineReport>& report) {
     if (!report) {
       return;  // Requests waiting for this server detect and log its silence.
@@ -186,7 +186,7 @@
 void ForwardExchange::QuerySlowdownFactors() {
   for (const PathPart& part : m_path) {
     if (m_parts.health.TryBeginSlowdownQuery(part.server)) {
-      AskForPace(m_parts, part);
+      QuerySlowdownFactor(m_parts, part);
     }
   }
 }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -203,7 +203,7 @@
     const bool is_own_turn = RandomUnit(m_parts.random) < chance;
     if (is_own_turn && server != view->servers.end() &&
         m_parts.health.TryBeginSlowdownQuery(slow.server)) {
-      AskForPace(m_parts, {slow.server, server->second.address, server->second.layers});
+      QuerySlowdownFactor(m_parts, {slow.server, server->second.address, server->second.layers});
     }
   }
 }
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -64,6 +64,6 @@
 };
 
 /** Queries the slowdown factor of a server, for path selection. */
-void AskForPace(const ForwardingParts& parts, const PathPart& server);
+void QuerySlowdownFactor(const ForwardingParts& parts, const PathPart& server);
 
 }  // namespace zinnia
