--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -265,7 +265,7 @@
   const bool misdirected = m_status == kStatusMisdirected;
   const PathPart at_fault = PartAtFault();
   if (misdirected) {
-    AskForLayers(at_fault);
+    QueryLayers(at_fault);
     m_parts.health.Exclude(at_fault.server, kMisdirectedExclusion);
   } else if (!m_path.empty()) {
     AskWhyItRefused(at_fault);
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -103,7 +103,7 @@
   void OnStreamHead(unsigned status, const boost::beast::http::fields& fields);
   void OnWholeAnswer();
   void QuerySlowdownFactors();
-  void AskForLayers(const PathPart& accused);
+  void QueryLayers(const PathPart& accused);
   void AskWhyItRefused(const PathPart& accused);
   PathPart PartAtFault() const;
   void OnNotRun();
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -193,7 +193,7 @@
 
 /** Queries the layers of a server that may differ from its entry, which is outdated while the store
     is unavailable. */
-void ForwardExchange::AskForLayers(const PathPart& accused) {
+void ForwardExchange::QueryLayers(const PathPart& accused) {
   if (accused.layers.Count() == 0) {
     return;
   }
