--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -116,7 +116,7 @@
   void OnDeadline();
 
   void CheckSilence();
-  void AskForStall();
+  void QueryStalls();
   void OnReport(const Result<EngineReport>& report);
   bool HasLeavingServer() const;
 
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -100,11 +100,11 @@
   const int doublings = std::clamp(m_looks - kLooksWithoutDelay, 0, kMostDoublings);
   const bool asked_lately = m_parts.clock.Now() - m_asked_at < kAskAgainAfter * (1 << doublings);
   if (silent >= limit && !m_asking && !m_rerouting && !asked_lately) {
-    AskForStall();
+    QueryStalls();
   }
 }
 
-void ForwardExchange::AskForStall() {
+void ForwardExchange::QueryStalls() {
   m_asking = true;
   m_asked_at = m_parts.clock.Now();
   ++m_looks;
