--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -268,7 +268,7 @@
     QueryLayers(at_fault);
     m_parts.health.Exclude(at_fault.server, kMisdirectedExclusion);
   } else if (!m_path.empty()) {
-    AskWhyItRefused(at_fault);
+    ConfirmRefusal(at_fault);
     m_parts.health.ExcludeWithBackoff(at_fault.server, kFullExclusion, kLongestFullExclusion);
   }
   m_avoided.insert(at_fault.server);
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -104,7 +104,7 @@
   void OnWholeAnswer();
   void QuerySlowdownFactors();
   void QueryLayers(const PathPart& accused);
-  void AskWhyItRefused(const PathPart& accused);
+  void ConfirmRefusal(const PathPart& accused);
   PathPart PartAtFault() const;
   void OnNotRun();
   void OnSendEnded(SendOutcome outcome, std::string_view reason);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -209,7 +209,7 @@
 
 /** Checks whether a server that refused is dead or draining, which its entry may not show for
     seconds, or for as long as the store is unavailable. */
-void ForwardExchange::AskWhyItRefused(const PathPart& accused) {
+void ForwardExchange::ConfirmRefusal(const PathPart& accused) {
   const auto view = m_parts.view();
   const auto service = view->rules->services.find(m_service);
   const auto entry = view->servers.find(accused.server);
