--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -130,7 +130,7 @@
   m_rerouting = false;
   ++m_path_changes;
   m_is_streaming = false;
-  m_path_proved = false;
+  m_path_confirmed = false;
   m_body.clear();
   m_events.DropPartialEvent();
   m_last_progress = m_parts.clock.Now();
@@ -209,7 +209,7 @@
                  m_route->event_gap_objective * kSlowdownQueryGap))) {
     QuerySlowdownFactors();
   }
-  if (!std::exchange(m_path_proved, true)) {
+  if (!std::exchange(m_path_confirmed, true)) {
     for (const PathPart& part : m_path) {
       m_parts.health.OnProgress(part.server);
     }
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -169,7 +169,7 @@
   std::uint64_t m_room_ticket = 0;
 
   /** Whether an event has arrived over the current path. */
-  bool m_path_proved = false;
+  bool m_path_confirmed = false;
   bool m_rerouting = false;
 
   /** Incremented by each send and reroute, to discard the answer to an outdated reroute. */
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -375,7 +375,7 @@
   m_rerouting = false;
   if (answer.result) {
     m_path = path;
-    m_path_proved = false;
+    m_path_confirmed = false;
     Reserve(path);
     m_last_progress = m_parts.clock.Now();
     return;
