--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -185,7 +185,7 @@
   TimePoint m_asked_at{};
 
   /** Reports requested since the last progress because the stream was silent. */
-  int m_looks = 0;
+  int m_stall_queries = 0;
   Duration m_first_event_after{};
 
   /** When to reroute the stream away from a draining server. */
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -95,9 +95,9 @@
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_rhythm.HasBegun());
   if (m_last_progress > m_asked_at) {
-    m_looks = 0;
+    m_stall_queries = 0;
   }
-  const int doublings = std::clamp(m_looks - kLooksWithoutDelay, 0, kMostDoublings);
+  const int doublings = std::clamp(m_stall_queries - kLooksWithoutDelay, 0, kMostDoublings);
   const bool asked_lately = m_parts.clock.Now() - m_asked_at < kAskAgainAfter * (1 << doublings);
   if (silent >= limit && !m_asking && !m_rerouting && !asked_lately) {
     QueryStalls();
@@ -107,7 +107,7 @@
 void ForwardExchange::QueryStalls() {
   m_asking = true;
   m_asked_at = m_parts.clock.Now();
-  ++m_looks;
+  ++m_stall_queries;
   m_parts.stalls.Ask(m_path.front(), [weak = weak_from_this()](const Result<EngineReport>& report) {
     const auto self = weak.lock();
     if (self && !self->m_ended) {
