--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -33,7 +33,7 @@
 /** Delay between report requests for a silent stream. It backs off exponentially after the first
    two, to limit calls to engines that are only busy. */
 constexpr Duration kAskAgainAfter = milliseconds(120);
-constexpr int kLooksWithoutDelay = 2;
+constexpr int kQueriesWithoutBackoff = 2;
 constexpr int kMostDoublings = 3;
 
 /** How long a due move waits for the next event of the stream. */
@@ -97,7 +97,7 @@
   if (m_last_progress > m_asked_at) {
     m_stall_queries = 0;
   }
-  const int doublings = std::clamp(m_stall_queries - kLooksWithoutDelay, 0, kMostDoublings);
+  const int doublings = std::clamp(m_stall_queries - kQueriesWithoutBackoff, 0, kMostDoublings);
   const bool asked_lately = m_parts.clock.Now() - m_asked_at < kAskAgainAfter * (1 << doublings);
   if (silent >= limit && !m_asking && !m_rerouting && !asked_lately) {
     QueryStalls();
