--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -32,7 +32,7 @@
 
 /** Delay between report requests for a silent stream. It backs off exponentially after the first
    two, to limit calls to engines that are only busy. */
-constexpr Duration kAskAgainAfter = milliseconds(120);
+constexpr Duration kStallQueryInterval = milliseconds(120);
 constexpr int kQueriesWithoutBackoff = 2;
 constexpr int kMostDoublings = 3;
 
@@ -98,7 +98,8 @@
     m_stall_queries = 0;
   }
   const int doublings = std::clamp(m_stall_queries - kQueriesWithoutBackoff, 0, kMostDoublings);
-  const bool asked_lately = m_parts.clock.Now() - m_asked_at < kAskAgainAfter * (1 << doublings);
+  const bool asked_lately =
+      m_parts.clock.Now() - m_asked_at < kStallQueryInterval * (1 << doublings);
   if (silent >= limit && !m_asking && !m_rerouting && !asked_lately) {
     QueryStalls();
   }
