--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -174,7 +174,7 @@
 
   /** Incremented by each send and reroute, to discard the answer to an outdated reroute. */
   std::uint64_t m_path_changes = 0;
-  bool m_asking = false;
+  bool m_stall_query_in_flight = false;
   bool m_ended = false;
   int m_failed_reports = 0;
 
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -100,19 +100,19 @@
   const int doublings = std::clamp(m_stall_queries - kQueriesWithoutBackoff, 0, kMostDoublings);
   const bool asked_lately =
       m_parts.clock.Now() - m_asked_at < kStallQueryInterval * (1 << doublings);
-  if (silent >= limit && !m_asking && !m_rerouting && !asked_lately) {
+  if (silent >= limit && !m_stall_query_in_flight && !m_rerouting && !asked_lately) {
     QueryStalls();
   }
 }
 
 void ForwardExchange::QueryStalls() {
-  m_asking = true;
+  m_stall_query_in_flight = true;
   m_asked_at = m_parts.clock.Now();
   ++m_stall_queries;
   m_parts.stalls.Ask(m_path.front(), [weak = weak_from_this()](const Result<EngineReport>& report) {
     const auto self = weak.lock();
     if (self && !self->m_ended) {
-      self->m_asking = false;
+      self->m_stall_query_in_flight = false;
       self->OnReport(report);
     }
   });
