--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -182,7 +182,7 @@
   int m_failed_reroutes = 0;
   TimePoint m_sent_at{};
   TimePoint m_last_progress{};
-  TimePoint m_asked_at{};
+  TimePoint m_last_stall_query_at{};
 
   /** Reports requested since the last progress because the stream was silent. */
   int m_stall_queries = 0;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -94,12 +94,12 @@
 void ForwardExchange::CheckSilence() {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_rhythm.HasBegun());
-  if (m_last_progress > m_asked_at) {
+  if (m_last_progress > m_last_stall_query_at) {
     m_stall_queries = 0;
   }
   const int doublings = std::clamp(m_stall_queries - kQueriesWithoutBackoff, 0, kMostDoublings);
   const bool asked_lately =
-      m_parts.clock.Now() - m_asked_at < kStallQueryInterval * (1 << doublings);
+      m_parts.clock.Now() - m_last_stall_query_at < kStallQueryInterval * (1 << doublings);
   if (silent >= limit && !m_stall_query_in_flight && !m_rerouting && !asked_lately) {
     QueryStalls();
   }
@@ -107,7 +107,7 @@
 
 void ForwardExchange::QueryStalls() {
   m_stall_query_in_flight = true;
-  m_asked_at = m_parts.clock.Now();
+  m_last_stall_query_at = m_parts.clock.Now();
   ++m_stall_queries;
   m_parts.stalls.Ask(m_path.front(), [weak = weak_from_this()](const Result<EngineReport>& report) {
     const auto self = weak.lock();
