--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -98,9 +98,9 @@
     m_stall_queries = 0;
   }
   const int doublings = std::clamp(m_stall_queries - kQueriesWithoutBackoff, 0, kMostDoublings);
-  const bool asked_lately =
+  const bool queried_recently =
       m_parts.clock.Now() - m_last_stall_query_at < kStallQueryInterval * (1 << doublings);
-  if (silent >= limit && !m_stall_query_in_flight && !m_rerouting && !asked_lately) {
+  if (silent >= limit && !m_stall_query_in_flight && !m_rerouting && !queried_recently) {
     QueryStalls();
   }
 }
