--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -252,7 +252,7 @@
 }
 
 /** Returns the server that the answer names as faulty, or else the first server. */
-PathPart ForwardExchange::PartAtFault() const {
+PathPart ForwardExchange::FaultyPart() const {
   for (const PathPart& part : m_path) {
     if (part.address.ToString() == m_answer_facts.server_at_fault) {
       return part;
@@ -263,7 +263,7 @@
 
 void ForwardExchange::OnNotRun() {
   const bool misdirected = m_status == kStatusMisdirected;
-  const PathPart at_fault = PartAtFault();
+  const PathPart at_fault = FaultyPart();
   if (misdirected) {
     QueryLayers(at_fault);
     m_parts.health.Exclude(at_fault.server, kMisdirectedExclusion);
--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -105,7 +105,7 @@
   void QuerySlowdownFactors();
   void QueryLayers(const PathPart& accused);
   void ConfirmRefusal(const PathPart& accused);
-  PathPart PartAtFault() const;
+  PathPart FaultyPart() const;
   void OnNotRun();
   void OnSendEnded(SendOutcome outcome, std::string_view reason);
   void SendAgainOrGiveUp(SendOutcome outcome, std::string_view reason);
