--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -118,7 +118,7 @@
   void CheckSilence();
   void QueryStalls();
   void OnReport(const Result<EngineReport>& report);
-  bool HasLeavingServer() const;
+  bool HasDrainingServer() const;
 
   /** Schedules the reroute of the stream away from draining servers. */
   void ScheduleMove();
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -251,7 +251,7 @@
     AbandonServer("the server has started again");
     return;
   }
-  if (!HasLeavingServer()) {
+  if (!HasDrainingServer()) {
     m_move_at.reset();
   } else if (!m_move_at) {
     ScheduleMove();
@@ -259,7 +259,7 @@
 }
 
 /** Ignores the first server, which a running stream cannot leave without being resent. */
-bool ForwardExchange::HasLeavingServer() const {
+bool ForwardExchange::HasDrainingServer() const {
   const auto view = m_parts.view();
   return m_path.size() > 1 &&
          std::any_of(m_path.begin() + 1, m_path.end(), [&](const PathPart& part) {
@@ -285,7 +285,7 @@
   if (m_ended || !m_connection || !m_move_at || m_rerouting || now < *m_move_at) {
     return;
   }
-  if (!HasLeavingServer()) {
+  if (!HasDrainingServer()) {
     m_move_at.reset();
     return;
   }
