--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -79,8 +79,8 @@
     another server. */
 void ForwardExchange::NoteLimit() {
   const std::optional<double> limit = m_answer_facts.requests_per_second;
-  const bool is_own_word = m_status != kStatusMisdirected && (limit || m_answer_facts.is_signed);
-  if (is_own_word && m_parts.limits.OnAnswer(m_server, limit, m_sent_at)) {
+  const bool is_from_server = m_status != kStatusMisdirected && (limit || m_answer_facts.is_signed);
+  if (is_from_server && m_parts.limits.OnAnswer(m_server, limit, m_sent_at)) {
     m_parts.report_limit(m_server);
   }
 }
