--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -203,7 +203,7 @@
     const auto server = view->servers.find(accused.server);
     if (report && report->layers && server != view->servers.end() &&
         server->second.layers != *report->layers) {
-      parts.report_server_news({accused.server, *report->layers, false});
+      parts.report_server_state({accused.server, *report->layers, false});
     }
   });
 }
@@ -233,7 +233,7 @@
         const auto now = parts.view();
         const auto server = now->servers.find(leaving);
         if (server != now->servers.end() && !server->second.draining) {
-          parts.report_server_news({leaving, {}, true});
+          parts.report_server_state({leaving, {}, true});
         }
       });
 }
--- a/packages/zinnia_adapters/forwarding/forwarding_parts.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_parts.h
@@ -57,7 +57,7 @@
   std::function<void(const std::vector<BackendServerName>&)> report_stalled;
 
   /** Reports that a server's layers differ from the view. */
-  std::function<void(const ServerStateReport&)> report_server_news;
+  std::function<void(const ServerStateReport&)> report_server_state;
 
   /** Logs the change or removal of a server's limit and reports it to peers. */
   std::function<void(const BackendServerName&)> report_limit;
