--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -111,7 +111,7 @@
   for (const BackendServerName& server : servers) {
     m_parts.logger.Log(LogLevel::kInfo, "server_stalled",
                        {{"server", server}, {"seen_by", "self"}});
-    m_parts.tell_stall(server);
+    m_parts.on_stall_detected(server);
   }
   m_server->OnServersStalled(servers);
 }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -44,7 +44,7 @@
   std::uint64_t random_seed = 0;
 
   /** Called on the traffic thread when this instance detects a stalled server. */
-  std::function<void(const BackendServerName&)> tell_stall;
+  std::function<void(const BackendServerName&)> on_stall_detected;
 
   /** Called on the traffic thread when a server's layers differ from its entry. */
   std::function<void(const ServerStateReport&)> tell_server_news;
