--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -64,7 +64,7 @@
           m_parts.own_failure_domain,
           [this] { return m_view; },
           [this](const std::vector<BackendServerName>& servers) { OnStalledHere(servers); },
-          m_parts.tell_server_news,
+          m_parts.on_server_state_report,
           [this](const BackendServerName& server) { OnLimitHeard(server, kServerItself); }};
 }
 
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -47,7 +47,7 @@
   std::function<void(const BackendServerName&)> on_stall_detected;
 
   /** Called on the traffic thread when a server's layers differ from its entry. */
-  std::function<void(const ServerStateReport&)> tell_server_news;
+  std::function<void(const ServerStateReport&)> on_server_state_report;
 
   /** Called on the traffic thread when a server's limit has changed. `heard_here`: the server
      itself reported it, not a peer. */
