--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -104,7 +104,7 @@
        {"requests_per_second", fmt::format("{:.2f}", limit.requests_per_second.value_or(0.0))},
        {"own_part", fmt::format("{:.2f}", limit.own_share)},
        {"live_instances", std::to_string(m_view->live_instances)}});
-  m_parts.tell_server_limits(m_limits.TakeReports(), heard_from == kServerItself);
+  m_parts.on_server_limits_changed(m_limits.TakeReports(), heard_from == kServerItself);
 }
 
 void ForwardingTraffic::OnStalledHere(const std::vector<BackendServerName>& servers) {
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -51,7 +51,7 @@
 
   /** Called on the traffic thread when a server's limit has changed. `heard_here`: the server
      itself reported it, not a peer. */
-  std::function<void(std::vector<ServerLimitReport>, bool heard_here)> tell_server_limits;
+  std::function<void(std::vector<ServerLimitReport>, bool heard_here)> on_server_limits_changed;
   InstanceName own_name;
 };
 
