--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -65,7 +65,7 @@
           [this] { return m_view; },
           [this](const std::vector<BackendServerName>& servers) { OnStalledHere(servers); },
           m_parts.on_server_state_report,
-          [this](const BackendServerName& server) { OnLimitHeard(server, kServerItself); }};
+          [this](const BackendServerName& server) { OnLimitReceived(server, kServerItself); }};
 }
 
 void ForwardingTraffic::SetView(std::shared_ptr<const ForwardingView> view) {
@@ -88,12 +88,13 @@
 void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
   for (const ServerLimitReport& news : limits) {
     if (m_view->servers.contains(news.server) && m_limits.OnReport(news)) {
-      OnLimitHeard(news.server, kPeer);
+      OnLimitReceived(news.server, kPeer);
     }
   }
 }
 
-void ForwardingTraffic::OnLimitHeard(const BackendServerName& server, std::string_view heard_from) {
+void ForwardingTraffic::OnLimitReceived(const BackendServerName& server,
+                                        std::string_view heard_from) {
   const ServerLimits::Limit limit = m_limits.LimitOf(server);
   m_parts.metrics.SetGauge("server_limits_in_force", static_cast<double>(m_limits.CountInForce()));
   m_parts.logger.Log(
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.h
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.h
@@ -78,7 +78,7 @@
 
  private:
   ForwardingParts MakeParts();
-  void OnLimitHeard(const BackendServerName& server, std::string_view heard_from);
+  void OnLimitReceived(const BackendServerName& server, std::string_view heard_from);
   void OnStalledHere(const std::vector<BackendServerName>& servers);
 
   const ForwardingTrafficParts m_parts;
