--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -33,7 +33,7 @@
 
 /** Expected slowdown queries per second to one slow server from all instances together, which share
     the answers. */
-constexpr double kAsksOfFleet = 4.0;
+constexpr double kFleetQueriesPerSecond = 4.0;
 
 /** Ticks between probes of suspect servers. */
 constexpr std::uint64_t kTicksBetweenSuspects = 10;
@@ -197,7 +197,7 @@
 /** Detects the recovery of slow servers, which receive no requests that would show it. */
 void ForwardServer::AskSlowServersAgain() {
   const auto view = m_parts.view();
-  const double chance = kAsksOfFleet / static_cast<double>(view->live_instances);
+  const double chance = kFleetQueriesPerSecond / static_cast<double>(view->live_instances);
   for (const SlowdownReport& slow : m_parts.health.SlowServers()) {
     const auto server = view->servers.find(slow.server);
     const bool is_own_turn = RandomUnit(m_parts.random) < chance;
