--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -29,7 +29,7 @@
 constexpr std::uint64_t kTicksBetweenSweeps = 50;
 
 /** Ticks between slowdown queries to slow servers: one second. */
-constexpr std::uint64_t kTicksBetweenPaces = 50;
+constexpr std::uint64_t kTicksBetweenSlowdownQueries = 50;
 
 /** Expected slowdown queries per second to one slow server from all instances together, which share
     the answers. */
@@ -126,7 +126,7 @@
   if (m_ticks % kTicksBetweenSuspects == 0) {
     AskSuspects();
   }
-  if (m_ticks % kTicksBetweenPaces == 0) {
+  if (m_ticks % kTicksBetweenSlowdownQueries == 0) {
     AskSlowServersAgain();
   }
   if (++m_ticks % kTicksBetweenSweeps == 0) {
