--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -127,7 +127,7 @@
     AskSuspects();
   }
   if (m_ticks % kTicksBetweenSlowdownQueries == 0) {
-    AskSlowServersAgain();
+    QuerySlowServers();
   }
   if (++m_ticks % kTicksBetweenSweeps == 0) {
     m_parts.connections.DropUnused(m_parts.view()->servers);
@@ -195,7 +195,7 @@
 }
 
 /** Detects the recovery of slow servers, which receive no requests that would show it. */
-void ForwardServer::AskSlowServersAgain() {
+void ForwardServer::QuerySlowServers() {
   const auto view = m_parts.view();
   const double chance = kFleetQueriesPerSecond / static_cast<double>(view->live_instances);
   for (const SlowdownReport& slow : m_parts.health.SlowServers()) {
--- a/packages/zinnia_adapters/forwarding/forward_server.h
+++ b/packages/zinnia_adapters/forwarding/forward_server.h
@@ -67,7 +67,7 @@
   void TakeConnection(boost::asio::ip::tcp::socket socket);
   void ScheduleTick();
   void AskSuspects();
-  void AskSlowServersAgain();
+  void QuerySlowServers();
   void Tick();
   std::vector<std::shared_ptr<ForwardExchange>> Exchanging() const;
   void BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges);
