--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -19,7 +19,7 @@
 
 /** Failed path searches per scan of the capacity queue, and ticks between scans. They bound the
     time spent on searches. */
-constexpr int kMostFailedTries = 2;
+constexpr int kMaxFailedSearches = 2;
 constexpr std::uint64_t kTicksBetweenRounds = 2;
 
 /** Maximum delay in detecting deadlines and silent streams. */
@@ -147,7 +147,7 @@
   for (const std::uint64_t ticket : m_parts.room.OrderedTickets()) {
     const auto exchange = waiting.find(ticket);
     if (exchange != waiting.end() && !exchange->second->TryToBegin() &&
-        ++failed >= kMostFailedTries) {
+        ++failed >= kMaxFailedSearches) {
       return;
     }
   }
