--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -20,7 +20,7 @@
 /** Failed path searches per scan of the capacity queue, and ticks between scans. They bound the
     time spent on searches. */
 constexpr int kMaxFailedSearches = 2;
-constexpr std::uint64_t kTicksBetweenRounds = 2;
+constexpr std::uint64_t kTicksBetweenQueueScans = 2;
 
 /** Maximum delay in detecting deadlines and silent streams. */
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
@@ -109,7 +109,7 @@
       streams.push_back(*progress);
     }
   }
-  if (m_ticks % kTicksBetweenRounds == 0) {
+  if (m_ticks % kTicksBetweenQueueScans == 0) {
     BeginWaiting(exchanges);
   }
   const TimePoint now = m_parts.clock.Now();
