--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -110,7 +110,7 @@
     }
   }
   if (m_ticks % kTicksBetweenQueueScans == 0) {
-    BeginWaiting(exchanges);
+    StartQueuedRequests(exchanges);
   }
   const TimePoint now = m_parts.clock.Now();
   const auto suspects = SilenceDetector::FindSuspects(streams, now);
@@ -136,7 +136,8 @@
 
 /** Tries later requests too, since a smaller one may fit where a large one does not, but stops
    after a few failed searches. */
-void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
+void ForwardServer::StartQueuedRequests(
+    const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
     if (exchange->RoomTicket() != CapacityQueue::kNoTicket) {
--- a/packages/zinnia_adapters/forwarding/forward_server.h
+++ b/packages/zinnia_adapters/forwarding/forward_server.h
@@ -70,7 +70,7 @@
   void QuerySlowServers();
   void Tick();
   std::vector<std::shared_ptr<ForwardExchange>> Exchanging() const;
-  void BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges);
+  void StartQueuedRequests(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges);
 
   std::shared_ptr<CallerExchange> CreateExchange(CallerRequest request,
                                                  std::shared_ptr<Responder> responder) override;
