--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -130,7 +130,7 @@
   void ChangePath(const FoundPath& found, std::string_view reason);
   void LogMove(std::string_view event, const LayerPath& to, std::string_view reason) const;
   bool MayStartAgain() const;
-  void StartAgain(const FoundPath& found, std::string_view reason);
+  void Resend(const FoundPath& found, std::string_view reason);
   void OnNoReroute(std::string_view reason);
   void OnRerouted(const LayerPath& path, const RerouteAnswer& answer);
   void AvoidRefuser(const LayerPath& path, const RerouteAnswer& answer);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -302,7 +302,7 @@
     return;
   }
   if (recovery && m_parts.retries.TrySpend(m_service, *view)) {
-    StartAgain(recovery->found, reason);
+    Resend(recovery->found, reason);
     return;
   }
   const auto found = m_parts.paths.Find(*view, m_service, ExpectedSize(),
@@ -323,7 +323,7 @@
 }
 
 /** Resends the stream over another path, to continue after its last complete event. */
-void ForwardExchange::StartAgain(const FoundPath& found, std::string_view reason) {
+void ForwardExchange::Resend(const FoundPath& found, std::string_view reason) {
   LogMove("request_started_again", found.path, reason);
   std::exchange(m_connection, nullptr)->Close();
   m_history.may_have_run = true;
