--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -129,7 +129,7 @@
   void Reroute(std::string_view reason, bool is_broken);
   void ChangePath(const FoundPath& found, std::string_view reason);
   void LogMove(std::string_view event, const LayerPath& to, std::string_view reason) const;
-  bool MayStartAgain() const;
+  bool MayResend() const;
   void Resend(const FoundPath& found, std::string_view reason);
   void OnNoReroute(std::string_view reason);
   void OnRerouted(const LayerPath& path, const RerouteAnswer& answer);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -296,7 +296,7 @@
 void ForwardExchange::Reroute(std::string_view reason, bool is_broken) {
   const auto view = m_parts.view();
   const auto recovery = m_parts.recovery.Choose(*view, m_service, ExpectedSize(), m_path, {},
-                                                is_broken && MayStartAgain());
+                                                is_broken && MayResend());
   if (recovery && recovery->keeps_first) {
     ChangePath(recovery->found, reason);
     return;
@@ -314,7 +314,7 @@
   ChangePath(*found, reason);
 }
 
-bool ForwardExchange::MayStartAgain() const {
+bool ForwardExchange::MayResend() const {
   SendHistory history = m_history;
   history.time_left = TimeLeft() > Duration::zero();
   history.has_alternative = true;
