--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -131,7 +131,7 @@
   void LogMove(std::string_view event, const LayerPath& to, std::string_view reason) const;
   bool MayResend() const;
   void Resend(const FoundPath& found, std::string_view reason);
-  void OnNoReroute(std::string_view reason);
+  void OnRerouteFailed(std::string_view reason);
   void OnRerouted(const LayerPath& path, const RerouteAnswer& answer);
   void AvoidRefuser(const LayerPath& path, const RerouteAnswer& answer);
   void AbandonServer(std::string_view reason);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -308,7 +308,7 @@
   const auto found = m_parts.paths.Find(*view, m_service, ExpectedSize(),
                                         m_parts.own_failure_domain, {}, {m_path.front()});
   if (!found) {
-    OnNoReroute(reason);
+    OnRerouteFailed(reason);
     return;
   }
   ChangePath(*found, reason);
@@ -359,7 +359,7 @@
 
 /** Abandons the first server once several reroutes have failed and the stream has been silent too
     long. */
-void ForwardExchange::OnNoReroute(std::string_view reason) {
+void ForwardExchange::OnRerouteFailed(std::string_view reason) {
   if (m_failed_reroutes++ == 0) {
     m_parts.logger.Log(
         LogLevel::kInfo, "request_not_rerouted",
@@ -385,7 +385,7 @@
   m_parts.logger.Log(
       LogLevel::kInfo, "reroute_failed",
       {{"request", m_facts.id}, {"reason", zinnia::Describe(answer.result.error())}});
-  OnNoReroute("the first server refused the new path");
+  OnRerouteFailed("the first server refused the new path");
 }
 
 void ForwardExchange::AvoidRefuser(const LayerPath& path, const RerouteAnswer& answer) {
