--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -133,7 +133,7 @@
   void Resend(const FoundPath& found, std::string_view reason);
   void OnRerouteFailed(std::string_view reason);
   void OnRerouted(const LayerPath& path, const RerouteAnswer& answer);
-  void AvoidRefuser(const LayerPath& path, const RerouteAnswer& answer);
+  void ExcludeRefusingServer(const LayerPath& path, const RerouteAnswer& answer);
   void AbandonServer(std::string_view reason);
 
   const ForwardingParts& m_parts;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -381,14 +381,14 @@
     m_last_progress = m_parts.clock.Now();
     return;
   }
-  AvoidRefuser(path, answer);
+  ExcludeRefusingServer(path, answer);
   m_parts.logger.Log(
       LogLevel::kInfo, "reroute_failed",
       {{"request", m_facts.id}, {"reason", zinnia::Describe(answer.result.error())}});
   OnRerouteFailed("the first server refused the new path");
 }
 
-void ForwardExchange::AvoidRefuser(const LayerPath& path, const RerouteAnswer& answer) {
+void ForwardExchange::ExcludeRefusingServer(const LayerPath& path, const RerouteAnswer& answer) {
   for (const PathPart& part : path) {
     if (answer.refused_by && part.address == *answer.refused_by) {
       m_parts.health.Exclude(part.server, kFullExclusion);
