--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -44,11 +44,11 @@
 void StallInquiry::Confirm(const PathPart& accused,
                            const std::string& health_path,
                            const std::function<void(const BackendServerName&)>& on_dead,
-                           const std::function<void(const BackendServerName&)>& on_leaving) {
+                           const std::function<void(const BackendServerName&)>& on_draining) {
   if (!TakeProbe(accused.server)) {
     return;
   }
-  m_calls.Probe(accused, [this, accused, health_path, on_dead, on_leaving](bool answers) {
+  m_calls.Probe(accused, [this, accused, health_path, on_dead, on_draining](bool answers) {
     if (!answers) {
       on_dead(accused.server);
       return;
@@ -57,9 +57,9 @@
       return;
     }
     m_calls.AskHealth(accused, health_path,
-                      [server = accused.server, on_leaving](HealthAnswer answer) {
+                      [server = accused.server, on_draining](HealthAnswer answer) {
                         if (answer == HealthAnswer::kRefuses) {
-                          on_leaving(server);
+                          on_draining(server);
                         }
                       });
   });
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.h
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.h
@@ -33,7 +33,7 @@
   void Confirm(const PathPart& accused,
                const std::string& health_path,
                const std::function<void(const BackendServerName&)>& on_dead,
-               const std::function<void(const BackendServerName&)>& on_leaving);
+               const std::function<void(const BackendServerName&)>& on_draining);
 
  private:
   /** Returns true and records a probe if the server was not probed recently. */
