--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -43,7 +43,7 @@
 constexpr Duration kMoveAgainAfter = milliseconds(200);
 
 /** Failed report requests after which a silent first server is abandoned. */
-constexpr int kReportsBeforeLeaving = 2;
+constexpr int kMaxFailedReports = 2;
 
 /** Failed reroutes after which the first server is abandoned. */
 constexpr int kReroutesBeforeLeaving = 2;
@@ -131,7 +131,7 @@
                         {"reason", zinnia::Describe(report.error())}});
     // A single call may fail for lack of connections, so the stream must be silent too.
     const bool is_long = silent >= policy.AbandonAfter(m_rhythm.HasBegun());
-    if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
+    if (++m_failed_reports >= kMaxFailedReports && is_long) {
       m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
     }
