--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -46,7 +46,7 @@
 constexpr int kMaxFailedReports = 2;
 
 /** Failed reroutes after which the first server is abandoned. */
-constexpr int kReroutesBeforeLeaving = 2;
+constexpr int kMaxFailedReroutes = 2;
 
 }  // namespace
 
@@ -366,7 +366,7 @@
         {{"request", m_facts.id}, {"reason", std::string(reason)}, {"path", DescribePath(m_path)}});
   }
   const Duration silent = m_parts.clock.Now() - m_last_progress;
-  if (m_connection && m_failed_reroutes >= kReroutesBeforeLeaving &&
+  if (m_connection && m_failed_reroutes >= kMaxFailedReroutes &&
       silent >= SilencePolicy(*m_route).AbandonAfter(m_rhythm.HasBegun())) {
     AbandonServer("the path could not be changed");
   }
