--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -28,7 +28,7 @@
 using std::chrono::milliseconds;
 
 /** Minimum silence of this stream before a stall reported by others is acted on. */
-constexpr Duration kSilenceThatConfirms = milliseconds(45);
+constexpr Duration kMinConfirmingSilence = milliseconds(45);
 
 /** Delay between report requests for a silent stream. It backs off exponentially after the first
    two, to limit calls to engines that are only busy. */
@@ -169,7 +169,7 @@
     return std::find(servers.begin(), servers.end(), part.server) != servers.end();
   };
   // A recent event shows that the report is wrong or refers to an earlier path.
-  const bool flows = m_parts.clock.Now() - m_last_progress < kSilenceThatConfirms;
+  const bool flows = m_parts.clock.Now() - m_last_progress < kMinConfirmingSilence;
   if (m_ended || !m_connection || flows || std::none_of(m_path.begin(), m_path.end(), is_stalled)) {
     return;
   }
