--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -40,7 +40,7 @@
 constexpr Duration kWaitForEvent = milliseconds(50);
 
 /** Retry delay after a refused move. */
-constexpr Duration kMoveAgainAfter = milliseconds(200);
+constexpr Duration kMoveRetryDelay = milliseconds(200);
 
 /** Failed report requests after which a silent first server is abandoned. */
 constexpr int kMaxFailedReports = 2;
@@ -289,7 +289,7 @@
     m_move_at.reset();
     return;
   }
-  m_move_at = now + kMoveAgainAfter;
+  m_move_at = now + kMoveRetryDelay;
   Reroute("a server on the path is leaving", false);
 }
 
