--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -45,7 +45,7 @@
 constexpr double kSlowdownQueryGap = 0.6;
 
 /** Minimum time before the deadline to send a request. */
-constexpr Duration kLeastTimeLeft = milliseconds(30);
+constexpr Duration kMinTimeLeft = milliseconds(30);
 
 }  // namespace
 
@@ -299,7 +299,7 @@
   if (m_ended) {
     return;
   }
-  m_history.time_left = TimeLeft() > kLeastTimeLeft;
+  m_history.time_left = TimeLeft() > kMinTimeLeft;
   m_history.has_alternative = true;
   const BackendServerName failed = m_server;
   NextStep step = DecideNextStep(*m_route, outcome, m_history);
