--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -38,7 +38,7 @@
 
 /** Maximum idle time of a reused connection. It is shorter for non-repeatable requests, which would
     be lost if the server had silently closed the connection. */
-constexpr Duration kIdleForRepeatable = std::chrono::seconds(8);
+constexpr Duration kMaxIdleForRepeatable = std::chrono::seconds(8);
 constexpr Duration kMaxIdleForNonRepeatable = milliseconds(800);
 
 /** An event gap longer than this fraction of the route's objective indicates a slow server. */
@@ -140,7 +140,7 @@
   m_parts.limits.OnSent(m_server);
   m_connection = m_parts.connections.Take(
       m_server, m_server_address,
-      m_route->MayRepeat() ? kIdleForRepeatable : kMaxIdleForNonRepeatable);
+      m_route->MayRepeat() ? kMaxIdleForRepeatable : kMaxIdleForNonRepeatable);
   m_parts.logger.Log(LogLevel::kInfo, "request_sent",
                      {{"request", m_facts.id},
                       {"route", m_route->name},
