--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -32,7 +32,7 @@
   });
 }
 
-bool StallInquiry::TakeProbe(const BackendServerName& server) {
+bool StallInquiry::TryBeginProbe(const BackendServerName& server) {
   TimePoint& probed_at = m_probed_at[server];
   if (probed_at != TimePoint() && m_clock.Now() - probed_at < kProbeAgainAfter) {
     return false;
@@ -45,7 +45,7 @@
                            const std::string& health_path,
                            const std::function<void(const BackendServerName&)>& on_dead,
                            const std::function<void(const BackendServerName&)>& on_draining) {
-  if (!TakeProbe(accused.server)) {
+  if (!TryBeginProbe(accused.server)) {
     return;
   }
   m_calls.Probe(accused, [this, accused, health_path, on_dead, on_draining](bool answers) {
@@ -70,7 +70,7 @@
                          const OnDead& on_dead) {
   std::vector<PathPart> due;
   for (const PathPart& suspect : suspects) {
-    if (TakeProbe(suspect.server)) {
+    if (TryBeginProbe(suspect.server)) {
       due.push_back(suspect);
     }
   }
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.h
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.h
@@ -37,7 +37,7 @@
 
  private:
   /** Returns true and records a probe if the server was not probed recently. */
-  bool TakeProbe(const BackendServerName& server);
+  bool TryBeginProbe(const BackendServerName& server);
 
   /** Maximum age of a reused report. */
   static constexpr Duration kReportLifetime = std::chrono::milliseconds(60);
