--- a/packages/zinnia_adapters/forwarding/server_connection.cc
+++ b/packages/zinnia_adapters/forwarding/server_connection.cc
@@ -20,7 +20,7 @@
 namespace http = boost::beast::http;
 
 /** TCP user timeout, which detects servers and networks that stop responding. */
-constexpr int kUnacknowledgedMilliseconds = 2'500;
+constexpr int kTcpUserTimeoutMilliseconds = 2'500;
 
 constexpr std::size_t kReadBytes = 16'384;
 constexpr std::uint32_t kMostAnswerHeaderBytes = 65'536;
@@ -101,7 +101,7 @@
   m_connected = true;
   boost::system::error_code ignored;
   m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-  const int limit = kUnacknowledgedMilliseconds;
+  const int limit = kTcpUserTimeoutMilliseconds;
   setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
   Write();
   Read();
