--- a/packages/zinnia_adapters/forwarding/forward_exchange.h
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.h
@@ -55,7 +55,7 @@
   std::uint64_t RoomTicket() const { return m_room_ticket; }
 
   /** Sends the queued request if capacity is available. Call only while it is queued. */
-  bool TryToBegin();
+  bool TryBegin();
 
   /** Returns nullopt before the first event and while no server is processing the request. */
   std::optional<StreamProgress> Progress() const;
--- a/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_room.cc
@@ -48,7 +48,7 @@
   return FindLimitAvailability(*m_parts.view(), m_service, m_avoided, m_parts.limits);
 }
 
-bool ForwardExchange::TryToBegin() {
+bool ForwardExchange::TryBegin() {
   if (m_ended || !ChooseServer()) {
     return false;
   }
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -147,7 +147,7 @@
   int failed = 0;
   for (const std::uint64_t ticket : m_parts.room.OrderedTickets()) {
     const auto exchange = waiting.find(ticket);
-    if (exchange != waiting.end() && !exchange->second->TryToBegin() &&
+    if (exchange != waiting.end() && !exchange->second->TryBegin() &&
         ++failed >= kMaxFailedSearches) {
       return;
     }
