--- a/tests/forwarding_path/answers_test.cc
+++ b/tests/forwarding_path/answers_test.cc
@@ -16,7 +16,7 @@
     connection.Write(ForwardingFixture::Head("Content-Length: 2\r\n") + "ok");
   }
 
-  /** Two failure domains with a chain of two servers each; "x1" and "y1" are the fixture's. */
+  /** Two failure domains, each with a path of two servers; "x1" and "y1" are the fixture's. */
   void SetChains() {
     const auto rules = std::make_shared<ForwardingRules>(*f.view->rules);
     rules->services["pool"].name = "pool";
@@ -66,19 +66,16 @@
   CHECK_EQUAL(0U, f.Arrivals());
 }
 
-// Symptom: callers with good keys are told that they have none. Sequence: an instance starts while
-// the store refuses it. Cause: an empty configuration taken for one without keys and routes.
+// Guards against treating a missing configuration as one without keys and routes.
 TEST(Answers, AnInstanceThatKnowsNoConfigurationSaysComeBack) {
   f.traffic->SetView(std::make_shared<ForwardingView>());
   TestCaller& caller = f.Call("/safe/x");
   CHECK_TRUE(f.Until([&] { return caller.Has("503"); }));
-  // An outage of the store lasts for seconds: who came back at once would lose his last try.
+  // A store outage lasts for seconds, so an immediate retry would fail.
   CHECK_TRUE(caller.Has("Retry-After: 2.") || caller.Has("Retry-After: 3."));
 }
 
-// Symptom: six hundred callers are refused within a fifth of a second after all instances had been
-// without power. Sequence: instances start and listen, callers connect at once, the configuration
-// arrives. Cause: what is about to be known treated like an outage.
+// Guards against rejecting requests in the moment before a new instance has its configuration.
 TEST(Answers, ARequestWaitsBrieflyForTheConfigurationOfANewInstance) {
   f.Script(
       [this](Connection& connection) { connection.Write(f.Head("Content-Length: 2\r\n") + "ok"); });
@@ -91,8 +88,7 @@
   CHECK_TRUE(f.Until([&] { return caller.Has("200 OK"); }));
 }
 
-// Symptom: callers are refused though room comes back a moment later. Sequence: a minute with a
-// quarter more than fits; each answer that ends makes room. Cause: want of room taken for final.
+// Guards against rejecting a stream for a brief lack of capacity.
 TEST(Answers, AStreamWaitsAMomentForRoom) {
   f.Script([this](Connection& connection) {
     connection.Write(f.Head("Transfer-Encoding: chunked\r\n") + f.Chunk(f.Event(1)) + "0\r\n\r\n");
@@ -118,8 +114,7 @@
   CHECK_EQUAL(0U, f.Arrivals());
 }
 
-// Symptom: a caller sees all events of a stream at its end. Sequence: a server sends events in
-// chunks as they are made. Cause: the reader waited for the whole chunked body.
+// Guards against buffering a chunked stream until its end.
 TEST(Answers, EventsArriveBeforeTheStreamEnds) {
   Connection* open = nullptr;
   f.Script([&](Connection& connection) {
@@ -134,9 +129,7 @@
   CHECK_TRUE(f.Until([&] { return caller.Has("data: e2") && caller.Has("\r\n0\r\n\r\n"); }));
 }
 
-// Symptom: a piece of an answer comes twice, or half of it. Sequence: a server breaks off within
-// event 2; the stream goes on at another server. Cause: bytes passed on as they come, and resuming
-// at what was received instead of at the last whole event.
+// Guards against duplicate or partial events when a stream resumes on another server.
 TEST(Answers, ABrokenStreamGoesOnAfterItsLastWholeEvent) {
   const auto break_off = [](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Transfer-Encoding: chunked\r\n") +
@@ -163,9 +156,7 @@
   STRCMP_EQUAL("1", std::string(second["X-Last-Event"]).c_str());
 }
 
-// Symptom: a stream stands still for half a second and more. Sequence: its server crashes and
-// starts again under its registration; its connection stays open, as nobody is left to close it.
-// Cause: the new start shows in the servers' entries, and only silence was looked at.
+// Guards against waiting for silence when the entry of a server shows that it has restarted.
 TEST(Answers, AStreamLeavesAServerThatHasStartedAgainAtOnce) {
   bool first = true;
   f.Script([&](Connection& connection) {
@@ -185,11 +176,7 @@
   CHECK_EQUAL(2U, f.Arrivals());
 }
 
-// Symptom: a stream that was well is cut off with an answer begun, beside a planned replacement of
-// servers. Sequence: a
-// later server of its path leaves; the stream starts again elsewhere though it still flows; the new
-// first server refuses it, and its tries are used up. Cause: a leaving server treated like a lost
-// one.
+// Guards against resending a running stream to another first server because a later server drains.
 TEST(Answers, AStreamThatFlowsKeepsItsFirstServerWhenALaterOneLeaves) {
   f.Script([](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Transfer-Encoding: chunked\r\n") +
@@ -209,9 +196,7 @@
   STRCMP_EQUAL("x1", f.calls.rerouted.front().front().server.c_str());
 }
 
-// Symptom: for as long as the store is away each instance sends requests to servers that refuse all
-// of them. Sequence: a server is to be taken away and cannot announce it; it refuses a request.
-// Cause: nobody asked why.
+// Guards against retrying draining servers that cannot announce it during a store outage.
 TEST(Answers, AServerThatRefusesByItsOwnWordIsToldToLeave) {
   f.Script([](Connection& connection) {
     connection.Write(
@@ -236,9 +221,7 @@
   CHECK_TRUE(f.told.empty());
 }
 
-// Symptom: a stream is moved to servers that it never ran at, and ends there. Sequence: its first
-// server is asked to change the path; it ends the stream, which goes on elsewhere; then its answer
-// to the order arrives. Cause: an answer taken for one about the present send.
+// Guards against applying the answer to an outdated reroute to the path of a later send.
 TEST(Answers, AnOvertakenOrderDoesNotChangeThePathOfALaterSend) {
   f.Script([](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Transfer-Encoding: chunked\r\n") +
@@ -274,8 +257,7 @@
   STRCMP_EQUAL("y1", f.calls.rerouted.back().front().server.c_str());
 }
 
-// Symptom: a booking made twice. Sequence: the server takes the request and its connection ends
-// without an answer. Cause: sent again though it may have run.
+// Guards against running a non-idempotent request twice after its answer is lost.
 TEST(Answers, ANonIdempotentRequestIsNotSentAgainWhenItsAnswerIsLost) {
   f.Script([this](Connection& connection) { connection.Close(); });
   TestCaller& caller = f.Call("/once/x");
@@ -315,8 +297,7 @@
   CHECK_TRUE(caller.Has("Retry-After: 0."));
 }
 
-// Symptom: "not run" said of a request that ran. Sequence: a server that ran a request answers 503
-// without vouching. Cause: the status passed on as it is.
+// Guards against reporting "not run" for a 503 without a guarantee from the server.
 TEST(Answers, AStatusThatPromisesNotRunIsNotPassedOnWithoutTheProof) {
   f.Script([](Connection& connection) {
     connection.Write(
@@ -327,8 +308,7 @@
   CHECK_FALSE(caller.Has("X-Signature"));
 }
 
-// Symptom: a caller gets another one's answer. Sequence: a late second answer arrives where the
-// next answer is due. Cause: answers taken by their place on the connection alone.
+// Guards against relaying a late answer to another request on the same connection.
 TEST(Answers, AnAnswerToAnotherRequestIsNotPassedOn) {
   f.Script([](Connection& connection) {
     connection.Write(
@@ -347,8 +327,7 @@
   CHECK_TRUE(f.Until([&] { return caller.Has("502"); }));
 }
 
-// Symptom: a caller gets bytes that belong to no request. Sequence: a server writes more after a
-// whole answer; the connection is kept. Cause: the rest read as the start of the next answer.
+// Guards against reading surplus bytes after an answer as the start of the next one.
 TEST(Answers, BytesAfterAnAnswerEndTheConnection) {
   f.Script([](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Content-Length: 2\r\n") + "okHTTP/1.1 200 OK\r\n");
@@ -391,8 +370,7 @@
   CHECK_FALSE(caller.Has("shortened"));
 }
 
-// Symptom: servers work for callers that have left. Sequence: a caller closes its connection while
-// its request runs. Cause: the server's connection kept open to its end.
+// Guards against servers that keep working after the caller has disconnected.
 TEST(Answers, WhenTheCallerLeavesTheServerIsLeftToo) {
   f.Script([](Connection&) {});
   TestCaller& caller = f.Call("/safe/x");
@@ -412,9 +390,7 @@
   CHECK_TRUE(f.Until([&] { return f.a.other_side_closed || f.b.other_side_closed; }));
 }
 
-// Symptom: a caller's connection ends without an answer at a planned stop. Sequence: an instance is
-// asked to stop, a server never answers a request with a long deadline, the grace time ends. Cause:
-// what was still under way was dropped.
+// Guards against dropping unfinished requests when an instance stops.
 TEST(Answers, ARequestThatDoesNotEndBeforeItsInstanceGetsItsFinalAnswer) {
   f.Script([](Connection&) {});
   TestCaller& caller = f.Call("/once/x");
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -23,7 +23,7 @@
 
 namespace zinnia {
 
-/** Names of this test's own for what requests and answers carry. */
+/** Codec with header names of the test's own. */
 struct TestCodec final : MessageCodec {
   RequestFacts ReadRequest(const Fields& fields) const override {
     RequestFacts facts;
@@ -89,12 +89,12 @@
   bool answers_probes = true;
   std::vector<LayerPath> rerouted;
 
-  /** Answers to reroutes wait for the test. */
+  /** Whether reroutes are answered only when the test calls `held_reroutes`. */
   bool holds_reroutes = false;
   std::vector<std::function<void(RerouteAnswer)>> held_reroutes;
 };
 
-/** A server that answers with the very bytes that the test writes, on the test's loop. */
+/** Server on the test's loop that sends exactly the bytes that the test writes. */
 class RawServer {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
@@ -116,12 +116,12 @@
 
   NetworkAddress Address() const { return {"127.0.0.1", m_acceptor.local_endpoint().port()}; }
 
-  /** What to do with each further request; the last script serves all that follow. */
+  /** Scripts for successive requests; the last one is repeated. */
   std::deque<Script> scripts;
   std::vector<Request> received;
   int connections = 0;
 
-  /** Ends when its other side does. */
+  /** Set when the peer closes a connection. */
   bool other_side_closed = false;
 
  private:
@@ -158,8 +158,8 @@
   std::vector<std::shared_ptr<Connection>> m_connections;
 };
 
-/** A forwarding traffic side with servers "a" and "b" of the service "plain" and routes of each
-    kind of request on the host "h". */
+/** ForwardingTraffic with servers "a" and "b" of the service "plain" and a route for each kind of
+    request on the host "h". */
 struct ForwardingFixture {
   ForwardingFixture() {
     auto rules = std::make_shared<ForwardingRules>();
@@ -217,7 +217,7 @@
     rules.routes.push_back(route);
   }
 
-  /** Sets the script of both servers: the chooser takes either at first. */
+  /** Sets the script of both servers, since either may be chosen first. */
   void Script(const RawServer::Script& script) {
     a.scripts = {script};
     b.scripts = {script};
@@ -258,7 +258,7 @@
   RawServer b{thread.Loop()};
   std::shared_ptr<ForwardingView> view;
 
-  /** What control, and with it peers, were told of servers. */
+  /** Reports sent to the control side. */
   std::vector<ServerStateReport> told;
   std::vector<ServerLimitReport> told_limits;
   std::unique_ptr<ForwardingTraffic> traffic;
--- a/tests/forwarding_path/forwarding_settings_test.cc
+++ b/tests/forwarding_path/forwarding_settings_test.cc
@@ -35,8 +35,7 @@
   CHECK_FALSE(settings->engines_check_fencing);
 }
 
-// Symptom: an instance runs with a default in place of what the operator meant. Sequence: a field
-// is misspelt. Cause: unknown fields are passed over.
+// Guards against ignoring misspelt fields.
 TEST(ForwardingSettings, NamesAFieldThatItDoesNotKnow) {
   STRCMP_CONTAINS("stop_grace_second is not known",
                   FaultOf("stop_grace_seconds", "stop_grace_second").c_str());
--- a/tests/forwarding_path/limits_test.cc
+++ b/tests/forwarding_path/limits_test.cc
@@ -27,7 +27,7 @@
     CHECK_TRUE(f.Until([&] { return caller.Has("ok") || caller.Has("503"); }));
   }
 
-  /** Until both servers' limits are known here. */
+  /** Sends requests until both servers have reported their limits. */
   void HearLimits() {
     for (int call = 0; call < 40 && (f.a.received.empty() || f.b.received.empty()); ++call) {
       CallUntilServed("/safe/x");
@@ -35,7 +35,7 @@
   }
 };
 
-// Guards against a server in need that is chosen as if it had said nothing.
+// Guards against ignoring the rate limit that a server reports.
 TEST(ServerLimitPath, RequestsGoToTheOtherServer) {
   constexpr std::size_t kCalls = 200;
   f.a.scripts = {Naming("2")};
@@ -44,14 +44,13 @@
     CallUntilServed("/safe/x");
     std::this_thread::sleep_for(milliseconds(20));
   }
-  CHECK_TRUE(f.a.received.size() <= 17);  // One and a half times 2 a second for 4 s, and 5.
+  CHECK_TRUE(f.a.received.size() <= 17);  // 1.5 times 2 per second for 4 s, plus 5.
   CHECK_EQUAL(kCalls, f.Arrivals());
   CHECK_EQUAL(1U, f.told_limits.size());
   DOUBLES_EQUAL(2.0, f.told_limits.front().requests_per_second.value(), 1e-9);
 }
 
-// Guards against a caller who waits in vain, or is told of work that was not done, when every
-// server has as many requests as it takes.
+// Guards against queueing or sending requests when every server is at its limit.
 TEST(ServerLimitPath, WhatNoServerTakesIsRefusedAtOnceAndToldWhenToComeBack) {
   f.Script(Naming("0.2"));
   HearLimits();
@@ -62,7 +61,7 @@
   CHECK_EQUAL(arrivals, f.Arrivals());
 }
 
-// Guards against a peer's word that is not believed before the server itself has said it here.
+// Guards against ignoring a limit reported by a peer.
 TEST(ServerLimitPath, APeersWordKeepsRequestsAway) {
   f.Script(Plain);
   f.traffic->OnPeerServerLimits({{"a", 0.2, milliseconds(20)}, {"gone", 0.2, milliseconds(20)}});
@@ -73,7 +72,7 @@
   CHECK_EQUAL(20U, f.b.received.size());
 }
 
-// Guards against a server that is left alone after its need is over.
+// Guards against keeping a limit that the server no longer reports.
 TEST(ServerLimitPath, AnAnswerWithoutALimitEndsIt) {
   f.a.scripts = {Naming("1000"), Plain};
   f.b.scripts = {Plain};
--- a/tests/forwarding_path/output_logger_test.cc
+++ b/tests/forwarding_path/output_logger_test.cc
@@ -35,9 +35,7 @@
   }
 };
 
-// Symptom: requests take seconds while the log's reader is stopped. Sequence: the reader of
-// standard output stops, the pipe fills, the next line waits. Cause: blocking writes on the
-// request's thread.
+// Guards against blocking log writes when the reader of standard output stops.
 TEST(OutputLogger, AReaderThatStopsCostsLinesAndNoTime) {
   StandardOutputLogger logger(clock, "i", LogLevel::kInfo, pipe_ends[1], {1'000'000, 100'000});
   for (int line = 0; line < 20'000; ++line) {
--- a/tests/forwarding_path/stall_inquiry_test.cc
+++ b/tests/forwarding_path/stall_inquiry_test.cc
@@ -29,9 +29,7 @@
   }
 };
 
-// Symptom: healthy servers are left for three seconds, and spares load their layers. Sequence: all
-// callers come back at once, a later server of a path is full, its first server refuses on its
-// account. Cause: a full server taken for a dead one.
+// Guards against treating a full server as dead.
 TEST(StallInquiry, AnAccusedServerThatAnswersIsNotDead) {
   Confirm();
   CHECK_EQUAL(1, calls.probes);
@@ -39,19 +37,14 @@
   CHECK_TRUE(leaving.empty());
 }
 
-// Symptom: a dead server is tried for as long as its entry stays. Sequence: a server of a path dies
-// while the store is away; each first server refuses at once. Cause: refusals taken for want of
-// room only.
+// Guards against treating every refusal as a lack of capacity while a server is dead.
 TEST(StallInquiry, AnAccusedServerThatIsSilentIsDead) {
   calls.answers_probes = false;
   Confirm();
   CHECK_EQUAL(1U, dead.size());
 }
 
-// Symptom: for eight seconds a quarter of all callers are refused, though most servers are idle.
-// Sequence: eight servers are to be taken away while the store is away; none can announce it there,
-// and each refuses new work; every instance tries each of them again and again. Cause: a server
-// that leaves taken for a full one.
+// Guards against treating a draining server as a full one.
 TEST(StallInquiry, AnAccusedServerThatTakesNoRequestsByItsOwnWordLeaves) {
   calls.health = HealthAnswer::kRefuses;
   Confirm();
