--- a/tests/forwarding_path/limits_test.cc
+++ b/tests/forwarding_path/limits_test.cc
@@ -28,7 +28,7 @@
   }
 
   /** Sends requests until both servers have reported their limits. */
-  void HearLimits() {
+  void ReceiveLimits() {
     for (int call = 0; call < 40 && (f.a.received.empty() || f.b.received.empty()); ++call) {
       CallUntilServed("/safe/x");
     }
@@ -53,7 +53,7 @@
 // Guards against queueing or sending requests when every server is at its limit.
 TEST(ServerLimitPath, WhatNoServerTakesIsRefusedAtOnceAndToldWhenToComeBack) {
   f.Script(Naming("0.2"));
-  HearLimits();
+  ReceiveLimits();
   const std::size_t arrivals = f.Arrivals();
   TestCaller& caller = f.Call("/once/x");
   CHECK_TRUE(f.Until([&] { return caller.Has("503"); }));
