--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -196,7 +196,7 @@
             1,
             [](const BackendServerName&) {},
             [this](const ServerStateReport& news) { told.push_back(news); },
-            [this](const std::vector<ServerLimitReport>& limits, bool) { told_limits = limits; },
+            [this](const std::vector<ServerLimitReport>& limits, bool) { limit_reports = limits; },
             "self"});
     traffic->SetView(view);
   }
@@ -260,7 +260,7 @@
 
   /** Reports sent to the control side. */
   std::vector<ServerStateReport> told;
-  std::vector<ServerLimitReport> told_limits;
+  std::vector<ServerLimitReport> limit_reports;
   std::unique_ptr<ForwardingTraffic> traffic;
   std::vector<std::unique_ptr<TestCaller>> callers;
 };
--- a/tests/forwarding_path/limits_test.cc
+++ b/tests/forwarding_path/limits_test.cc
@@ -46,8 +46,8 @@
   }
   CHECK_TRUE(f.a.received.size() <= 17);  // 1.5 times 2 per second for 4 s, plus 5.
   CHECK_EQUAL(kCalls, f.Arrivals());
-  CHECK_EQUAL(1U, f.told_limits.size());
-  DOUBLES_EQUAL(2.0, f.told_limits.front().requests_per_second.value(), 1e-9);
+  CHECK_EQUAL(1U, f.limit_reports.size());
+  DOUBLES_EQUAL(2.0, f.limit_reports.front().requests_per_second.value(), 1e-9);
 }
 
 // Guards against queueing or sending requests when every server is at its limit.
@@ -79,13 +79,13 @@
   for (int call = 0; call < 20 && f.a.received.empty(); ++call) {
     CallUntilServed("/safe/x");
   }
-  CHECK_EQUAL(1U, f.told_limits.size());
-  CHECK_TRUE(f.told_limits.front().requests_per_second.has_value());
+  CHECK_EQUAL(1U, f.limit_reports.size());
+  CHECK_TRUE(f.limit_reports.front().requests_per_second.has_value());
   for (int call = 0; call < 400 && f.a.received.size() < 2; ++call) {
     CallUntilServed("/safe/x");
     std::this_thread::sleep_for(milliseconds(5));
   }
-  CHECK_FALSE(f.told_limits.front().requests_per_second.has_value());
+  CHECK_FALSE(f.limit_reports.front().requests_per_second.has_value());
 }
 
 }  // namespace zinnia
