--- a/tests/forwarding_path/answers_test.cc
+++ b/tests/forwarding_path/answers_test.cc
@@ -67,7 +67,7 @@
 }
 
 // Guards against treating a missing configuration as one without keys and routes.
-TEST(Answers, AnInstanceThatKnowsNoConfigurationSaysComeBack) {
+TEST(Answers, AnInstanceWithoutConfigurationSendsRetryAfter) {
   f.traffic->SetView(std::make_shared<ForwardingView>());
   TestCaller& caller = f.Call("/safe/x");
   CHECK_TRUE(f.Until([&] { return caller.Has("503"); }));
@@ -89,7 +89,7 @@
 }
 
 // Guards against rejecting a stream for a brief lack of capacity.
-TEST(Answers, AStreamWaitsAMomentForRoom) {
+TEST(Answers, AStreamWaitsBrieflyForCapacity) {
   f.Script([this](Connection& connection) {
     connection.Write(f.Head("Transfer-Encoding: chunked\r\n") + f.Chunk(f.Event(1)) + "0\r\n\r\n");
   });
@@ -104,7 +104,7 @@
   CHECK_TRUE(f.Until([&] { return caller.Has("200 OK"); }));
 }
 
-TEST(Answers, AStreamThatFindsNoRoomIsRefusedAndToldWhenToComeBack) {
+TEST(Answers, AStreamWithoutCapacityIsRejectedWithRetryAfter) {
   const auto full = std::make_shared<ForwardingView>(*f.view);
   full->servers.clear();
   f.traffic->SetView(full);
@@ -130,7 +130,7 @@
 }
 
 // Guards against duplicate or partial events when a stream resumes on another server.
-TEST(Answers, ABrokenStreamGoesOnAfterItsLastWholeEvent) {
+TEST(Answers, ABrokenStreamResumesAfterItsLastCompleteEvent) {
   const auto break_off = [](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Transfer-Encoding: chunked\r\n") +
                      ForwardingFixture::Chunk(ForwardingFixture::Event(1) + "id: 2\ndata: ha"));
@@ -157,7 +157,7 @@
 }
 
 // Guards against waiting for silence when the entry of a server shows that it has restarted.
-TEST(Answers, AStreamLeavesAServerThatHasStartedAgainAtOnce) {
+TEST(Answers, AStreamLeavesARestartedServerAtOnce) {
   bool first = true;
   f.Script([&](Connection& connection) {
     const bool goes_on = !std::exchange(first, false);
@@ -177,7 +177,7 @@
 }
 
 // Guards against resending a running stream to another first server because a later server drains.
-TEST(Answers, AStreamThatFlowsKeepsItsFirstServerWhenALaterOneLeaves) {
+TEST(Answers, ARunningStreamKeepsItsFirstServerWhenALaterOneDrains) {
   f.Script([](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Transfer-Encoding: chunked\r\n") +
                      ForwardingFixture::Chunk(ForwardingFixture::Event(1)));
@@ -197,7 +197,7 @@
 }
 
 // Guards against retrying draining servers that cannot announce it during a store outage.
-TEST(Answers, AServerThatRefusesByItsOwnWordIsToldToLeave) {
+TEST(Answers, AServerWithAFailingHealthCheckIsReportedAsDraining) {
   f.Script([](Connection& connection) {
     connection.Write(
         "HTTP/1.1 503 Leaving\r\nX-Id: r-1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
@@ -210,7 +210,7 @@
   CHECK_TRUE(f.told.front().leaving);
 }
 
-TEST(Answers, AServerThatIsFullAndSaysThatItIsWellIsNotToldToLeave) {
+TEST(Answers, AFullServerWithAPassingHealthCheckIsNotReportedAsDraining) {
   f.Script([](Connection& connection) {
     connection.Write("HTTP/1.1 503 Full\r\nX-Id: r-1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
@@ -222,7 +222,7 @@
 }
 
 // Guards against applying the answer to an outdated reroute to the path of a later send.
-TEST(Answers, AnOvertakenOrderDoesNotChangeThePathOfALaterSend) {
+TEST(Answers, AnOutdatedRerouteDoesNotChangeThePathOfALaterSend) {
   f.Script([](Connection& connection) {
     connection.Write(ForwardingFixture::Head("Transfer-Encoding: chunked\r\n") +
                      ForwardingFixture::Chunk(ForwardingFixture::Event(1)));
@@ -275,7 +275,7 @@
   CHECK_EQUAL(2U, f.Arrivals());
 }
 
-TEST(Answers, ARefusalThatVouchesForNotRunLetsAnotherServerTry) {
+TEST(Answers, ARefusalThatGuaranteesNotRunIsRetriedOnAnotherServer) {
   bool first = true;
   f.Script([&](Connection& connection) {
     if (std::exchange(first, false)) {
@@ -288,7 +288,7 @@
   CHECK_TRUE(f.Until([&] { return caller.Has("200 OK"); }));
 }
 
-TEST(Answers, WhenAllRefuseTheCallerHearsWhenToComeBack) {
+TEST(Answers, WhenAllServersRefuseTheAnswerHasRetryAfter) {
   f.Script([](Connection& connection) {
     connection.Write("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
@@ -298,7 +298,7 @@
 }
 
 // Guards against reporting "not run" for a 503 without a guarantee from the server.
-TEST(Answers, AStatusThatPromisesNotRunIsNotPassedOnWithoutTheProof) {
+TEST(Answers, AStatusThatMeansNotRunIsNotPassedOnWithoutAGuarantee) {
   f.Script([](Connection& connection) {
     connection.Write(
         "HTTP/1.1 503 Sick\r\nX-Id: r-1\r\nX-Signature: s\r\nContent-Length: 0\r\n\r\n");
@@ -319,7 +319,7 @@
   CHECK_FALSE(caller.Has("wrong"));
 }
 
-TEST(Answers, ASuccessWithoutASignatureIsNotTheServers) {
+TEST(Answers, AnUnsignedSuccessIsNotPassedOn) {
   f.Script([](Connection& connection) {
     connection.Write("HTTP/1.1 200 OK\r\nX-Id: r-1\r\nContent-Length: 5\r\n\r\nwrong");
   });
@@ -371,7 +371,7 @@
 }
 
 // Guards against servers that keep working after the caller has disconnected.
-TEST(Answers, WhenTheCallerLeavesTheServerIsLeftToo) {
+TEST(Answers, ADisconnectedCallersRequestIsCancelledAtTheServer) {
   f.Script([](Connection&) {});
   TestCaller& caller = f.Call("/safe/x");
   CHECK_TRUE(f.Until([&] { return f.Arrivals() == 1; }));
--- a/tests/forwarding_path/limits_test.cc
+++ b/tests/forwarding_path/limits_test.cc
@@ -51,7 +51,7 @@
 }
 
 // Guards against queueing or sending requests when every server is at its limit.
-TEST(ServerLimitPath, WhatNoServerTakesIsRefusedAtOnceAndToldWhenToComeBack) {
+TEST(ServerLimitPath, WhenAllServersAreAtTheirLimitsRequestsAreRejectedWithRetryAfter) {
   f.Script(Naming("0.2"));
   ReceiveLimits();
   const std::size_t arrivals = f.Arrivals();
@@ -62,7 +62,7 @@
 }
 
 // Guards against ignoring a limit reported by a peer.
-TEST(ServerLimitPath, APeersWordKeepsRequestsAway) {
+TEST(ServerLimitPath, ALimitReportedByAPeerIsApplied) {
   f.Script(Plain);
   f.traffic->OnPeerServerLimits({{"a", 0.2, milliseconds(20)}, {"gone", 0.2, milliseconds(20)}});
   for (int call = 0; call < 20; ++call) {
@@ -73,7 +73,7 @@
 }
 
 // Guards against keeping a limit that the server no longer reports.
-TEST(ServerLimitPath, AnAnswerWithoutALimitEndsIt) {
+TEST(ServerLimitPath, AnAnswerWithoutALimitRemovesIt) {
   f.a.scripts = {Naming("1000"), Plain};
   f.b.scripts = {Plain};
   for (int call = 0; call < 20 && f.a.received.empty(); ++call) {
--- a/tests/forwarding_path/output_logger_test.cc
+++ b/tests/forwarding_path/output_logger_test.cc
@@ -36,7 +36,7 @@
 };
 
 // Guards against blocking log writes when the reader of standard output stops.
-TEST(OutputLogger, AReaderThatStopsCostsLinesAndNoTime) {
+TEST(OutputLogger, AStoppedReaderLosesLinesButDoesNotBlock) {
   StandardOutputLogger logger(clock, "i", LogLevel::kInfo, pipe_ends[1], {1'000'000, 100'000});
   for (int line = 0; line < 20'000; ++line) {
     logger.Log(LogLevel::kInfo, "event", {{"line", std::to_string(line)}});
--- a/tests/forwarding_path/stall_inquiry_test.cc
+++ b/tests/forwarding_path/stall_inquiry_test.cc
@@ -30,7 +30,7 @@
 };
 
 // Guards against treating a full server as dead.
-TEST(StallInquiry, AnAccusedServerThatAnswersIsNotDead) {
+TEST(StallInquiry, ARefusingServerThatAnswersProbesIsNotDead) {
   Confirm();
   CHECK_EQUAL(1, calls.probes);
   CHECK_TRUE(dead.empty());
@@ -38,27 +38,27 @@
 }
 
 // Guards against treating every refusal as a lack of capacity while a server is dead.
-TEST(StallInquiry, AnAccusedServerThatIsSilentIsDead) {
+TEST(StallInquiry, ARefusingServerThatAnswersNoProbeIsDead) {
   calls.answers_probes = false;
   Confirm();
   CHECK_EQUAL(1U, dead.size());
 }
 
 // Guards against treating a draining server as a full one.
-TEST(StallInquiry, AnAccusedServerThatTakesNoRequestsByItsOwnWordLeaves) {
+TEST(StallInquiry, ARefusingServerWithAFailingHealthCheckIsDraining) {
   calls.health = HealthAnswer::kRefuses;
   Confirm();
   CHECK_EQUAL(1U, leaving.size());
   CHECK_TRUE(dead.empty());
 }
 
-TEST(StallInquiry, AServerThatSaysNothingOfItsHealthIsNotTakenToLeave) {
+TEST(StallInquiry, AServerWithoutAHealthAnswerIsNotDraining) {
   calls.health = HealthAnswer::kNone;
   Confirm();
   CHECK_TRUE(leaving.empty());
 }
 
-TEST(StallInquiry, RefusalsThatComeTogetherCostOneProbe) {
+TEST(StallInquiry, ConcurrentRefusalsShareOneProbe) {
   Confirm();
   Confirm();
   CHECK_EQUAL(1, calls.probes);
