--- a/tests/forwarding_path/answers_test.cc
+++ b/tests/forwarding_path/answers_test.cc
@@ -206,8 +206,8 @@
   SetChains();
   TestCaller& caller = f.Call("/events/x");
   CHECK_TRUE(f.Until([&] { return caller.Has("503"); }));
-  CHECK_EQUAL(2U, f.told.size());  // Both were tried.
-  CHECK_TRUE(f.told.front().leaving);
+  CHECK_EQUAL(2U, f.server_reports.size());  // Both were tried.
+  CHECK_TRUE(f.server_reports.front().leaving);
 }
 
 TEST(Answers, AFullServerWithAPassingHealthCheckIsNotReportedAsDraining) {
@@ -218,7 +218,7 @@
   TestCaller& caller = f.Call("/events/x");
   CHECK_TRUE(f.Until([&] { return caller.Has("503"); }));
   CHECK_EQUAL(2, f.calls.health_questions);
-  CHECK_TRUE(f.told.empty());
+  CHECK_TRUE(f.server_reports.empty());
 }
 
 // Guards against applying the answer to an outdated reroute to the path of a later send.
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -195,7 +195,7 @@
             Duration::zero(),
             1,
             [](const BackendServerName&) {},
-            [this](const ServerStateReport& news) { told.push_back(news); },
+            [this](const ServerStateReport& news) { server_reports.push_back(news); },
             [this](const std::vector<ServerLimitReport>& limits, bool) { limit_reports = limits; },
             "self"});
     traffic->SetView(view);
@@ -259,7 +259,7 @@
   std::shared_ptr<ForwardingView> view;
 
   /** Reports sent to the control side. */
-  std::vector<ServerStateReport> told;
+  std::vector<ServerStateReport> server_reports;
   std::vector<ServerLimitReport> limit_reports;
   std::unique_ptr<ForwardingTraffic> traffic;
   std::vector<std::unique_ptr<TestCaller>> callers;
