--- a/tests/forwarding_path/answers_test.cc
+++ b/tests/forwarding_path/answers_test.cc
@@ -217,7 +217,7 @@
   SetChains();
   TestCaller& caller = f.Call("/events/x");
   CHECK_TRUE(f.Until([&] { return caller.Has("503"); }));
-  CHECK_EQUAL(2, f.calls.health_questions);
+  CHECK_EQUAL(2, f.calls.health_queries);
   CHECK_TRUE(f.server_reports.empty());
 }
 
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -68,7 +68,7 @@
   void AskHealth(const PathPart&,
                  const std::string&,
                  std::function<void(HealthAnswer)> callback) override {
-    ++health_questions;
+    ++health_queries;
     callback(health);
   }
   void Reroute(const std::string&,
@@ -84,7 +84,7 @@
   Result<EngineReport> report = EngineReport();
   int reports = 0;
   int probes = 0;
-  int health_questions = 0;
+  int health_queries = 0;
   HealthAnswer health = HealthAnswer::kTakesRequests;
   bool answers_probes = true;
   std::vector<LayerPath> rerouted;
