--- a/packages/zinnia_adapters/forwarding/forward_exchange.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange.cc
@@ -26,27 +26,26 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-/** An instance that has just started hears the configuration within a fraction of a second. Refused
-    meanwhile, hundreds of callers would go unserved after a restart of all instances; callers of
-    streams leave after two seconds without an event. */
-constexpr Duration kWaitForRules = milliseconds(1'700);
+/** Lets requests wait for the configuration after a restart; less than the two seconds after which
+    callers abandon a stream without events. */
+constexpr Duration kConfigurationTimeout = milliseconds(1'700);
 
-/** A connection to a sound server is there within a few milliseconds; a dark one never answers. */
+/** Connect timeout; healthy servers accept within a few milliseconds. */
 constexpr Duration kConnectLimit = milliseconds(250);
 
-/** A server that is not what the view says is left until its new entry has arrived. */
+/** Excludes a server that answered 421 until the view has its updated entry. */
 constexpr Duration kMisdirectedExclusion = milliseconds(1'000);
 
-/** Kept connections may be this old. A request that cannot be repeated takes only fresh ones: a
-    server may have dropped an idle one without a sign, and the request would be lost. */
-constexpr Duration kIdleForRepeatable = std::chrono::seconds(8);
-constexpr Duration kIdleForOnce = milliseconds(800);
+/** Maximum idle time of a reused connection. It is shorter for non-repeatable requests, which would
+    be lost if the server had silently closed the connection. */
+constexpr Duration kMaxIdleForRepeatable = std::chrono::seconds(8);
+constexpr Duration kMaxIdleForNonRepeatable = milliseconds(800);
 
-/** A pause of this part of the route's objective is a sign of a slow server. */
-constexpr double kGapThatAsksForPaces = 0.6;
+/** An event gap longer than this fraction of the route's objective indicates a slow server. */
+constexpr double kSlowdownQueryGap = 0.6;
 
-/** Less time than this is not worth sending a request for. */
-constexpr Duration kLeastTimeLeft = milliseconds(30);
+/** Minimum time before the deadline to send a request. */
+constexpr Duration kMinTimeLeft = milliseconds(30);
 
 }  // namespace
 
@@ -68,20 +67,20 @@
 
 void ForwardExchange::Start() {
   m_facts = m_parts.codec.ReadRequest(m_request);
-  m_awaits_rules = !m_parts.view()->rules;
-  if (!m_awaits_rules) {
+  m_awaits_configuration = !m_parts.view()->rules;
+  if (!m_awaits_configuration) {
     Begin();
   }
 }
 
-void ForwardExchange::AwaitRules() {
+void ForwardExchange::AwaitConfiguration() {
   const auto view = m_parts.view();
   if (view->rules) {
-    m_awaits_rules = false;
+    m_awaits_configuration = false;
     Begin();
     return;
   }
-  Duration limit = kWaitForRules;
+  Duration limit = kConfigurationTimeout;
   if (m_facts.deadline) {
     limit = std::min<Duration>(limit, *m_facts.deadline / 2);
   }
@@ -131,7 +130,7 @@
   m_rerouting = false;
   ++m_path_changes;
   m_is_streaming = false;
-  m_path_proved = false;
+  m_path_confirmed = false;
   m_body.clear();
   m_events.DropPartialEvent();
   m_last_progress = m_parts.clock.Now();
@@ -139,8 +138,9 @@
   ++m_history.servers_reached;
   LogServersAtLimit();
   m_parts.limits.OnSent(m_server);
-  m_connection = m_parts.connections.Take(m_server, m_server_address,
-                                          m_route->MayRepeat() ? kIdleForRepeatable : kIdleForOnce);
+  m_connection = m_parts.connections.Take(
+      m_server, m_server_address,
+      m_route->MayRepeat() ? kMaxIdleForRepeatable : kMaxIdleForNonRepeatable);
   m_parts.logger.Log(LogLevel::kInfo, "request_sent",
                      {{"request", m_facts.id},
                       {"route", m_route->name},
@@ -207,10 +207,10 @@
     m_parts.metrics.Observe(m_organisation, RequestClass::kChat, Measure::kFirstToken,
                             m_first_event_after);
   } else if (m_event_intervals.IsLastIntervalUnusual(std::chrono::duration_cast<Duration>(
-                 m_route->event_gap_objective * kGapThatAsksForPaces))) {
-    AskForPaces();
+                 m_route->event_gap_objective * kSlowdownQueryGap))) {
+    QuerySlowdownFactors();
   }
-  if (!std::exchange(m_path_proved, true)) {
+  if (!std::exchange(m_path_confirmed, true)) {
     for (const PathPart& part : m_path) {
       m_parts.health.OnProgress(part.server);
     }
@@ -252,8 +252,8 @@
   OnSendEnded(SendOutcome::kServerFailed, fmt::format("status {}", m_status));
 }
 
-/** The first server unless its answer names another one. */
-PathPart ForwardExchange::PartAtFault() const {
+/** Returns the server that the answer names as faulty, or else the first server. */
+PathPart ForwardExchange::FaultyPart() const {
   for (const PathPart& part : m_path) {
     if (part.address.ToString() == m_answer_facts.server_at_fault) {
       return part;
@@ -264,12 +264,12 @@
 
 void ForwardExchange::OnNotRun() {
   const bool misdirected = m_status == kStatusMisdirected;
-  const PathPart at_fault = PartAtFault();
+  const PathPart at_fault = FaultyPart();
   if (misdirected) {
-    AskForLayers(at_fault);
+    QueryLayers(at_fault);
     m_parts.health.Exclude(at_fault.server, kMisdirectedExclusion);
   } else if (!m_path.empty()) {
-    AskWhyItRefused(at_fault);
+    ConfirmRefusal(at_fault);
     m_parts.health.ExcludeWithBackoff(at_fault.server, kFullExclusion, kLongestFullExclusion);
   }
   m_avoided.insert(at_fault.server);
@@ -300,7 +300,7 @@
   if (m_ended) {
     return;
   }
-  m_history.time_left = TimeLeft() > kLeastTimeLeft;
+  m_history.time_left = TimeLeft() > kMinTimeLeft;
   m_history.has_alternative = true;
   const BackendServerName failed = m_server;
   NextStep step = DecideNextStep(*m_route, outcome, m_history);
--- a/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_answers.cc
@@ -16,7 +16,7 @@
 #include "zinnia_decisions/forwarding/observed_state/forwarding_view.h"
 #include "zinnia_decisions/ports/metrics.h"
 
-// The part of ForwardExchange that ends a request: what its caller gets, and when to come back.
+// Completion of a request in ForwardExchange: final answers and their Retry-After delays.
 
 namespace zinnia {
 namespace {
@@ -24,20 +24,17 @@
 namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 
-/** Who is refused all the same comes back when an outage of the store, seen to last 2.5 to 8 s, may
-   be over. */
-constexpr Duration kRetryAfterNoRules = milliseconds(2'000);
+/** Retry delay while the configuration is unknown, as during a store outage of a few seconds. */
+constexpr Duration kRetryAfterNoConfiguration = milliseconds(2'000);
 
-/** Places at plain servers come back within tens of milliseconds, and the configuration of an
-   instance that has just started within a fifth of a second. */
-constexpr Duration kRetryAfterBriefWant = milliseconds(300);
+/** Retry delay for shortages that usually end within a few hundred milliseconds. */
+constexpr Duration kRetryAfterBriefShortage = milliseconds(300);
 
-/** All servers are at their limits, of which this instance has no part: callers that come back
-   reach another instance, and limits change within seconds. */
-constexpr Duration kRetryAfterNoTurn = milliseconds(1'000);
+/** Retry delay when all servers are at their limits and this instance has no share of them; the
+   retry may reach another instance. */
+constexpr Duration kRetryAfterNoLimitShare = milliseconds(1'000);
 
-/** Callers that are refused together come back up to this part later than they could, so that they
-    do not meet again. */
+/** Jitter, as a fraction of the retry delay, that keeps rejected callers from retrying at once. */
 constexpr double kRetryAfterSpread = 0.5;
 
 }  // namespace
@@ -53,7 +50,7 @@
       Answer(NotRun(ErrorKind::kOverloaded, std::string(reason)));
       return;
     case NextStep::kForwardFailure:
-      // A status that promises "not run" may not go out for a request that has run.
+      // A status that means "not run" must not be sent for a request that has run.
       if (IsPromise(m_status)) {
         Answer(PerhapsRun(ErrorKind::kBackendUnavailable, std::string(reason)));
       } else {
@@ -89,11 +86,12 @@
   } else if (IsPromise(response.result_int())) {
     const bool wants_room = error.kind == ErrorKind::kOverloaded && m_route &&
                             m_route->repeatability == Repeatability::kStream;
-    Duration soonest = wants_room ? m_parts.capacity_queue.OnRefused() : kRetryAfterBriefWant;
+    Duration soonest = wants_room ? m_parts.capacity_queue.OnRefused() : kRetryAfterBriefShortage;
     if (error.kind == ErrorKind::kStoreUnavailable) {
-      soonest = kRetryAfterNoRules;
+      soonest = kRetryAfterNoConfiguration;
     } else if (limits.all_at_limit) {
-      soonest = std::max(kRetryAfterBriefWant, limits.next_permit_in.value_or(kRetryAfterNoTurn));
+      soonest = std::max(kRetryAfterBriefShortage,
+                         limits.next_permit_in.value_or(kRetryAfterNoLimitShare));
     }
     const double spread = 1.0 + kRetryAfterSpread * RandomUnit(m_parts.random);
     response.set(http::field::retry_after,
@@ -154,7 +152,7 @@
   if (m_stream_started) {
     m_responder->CutOff();
     End("instance_stops");
-  } else if (m_awaits_rules || m_capacity_ticket != CapacityQueue::kNoTicket) {
+  } else if (m_awaits_configuration || m_capacity_ticket != CapacityQueue::kNoTicket) {
     Answer(NotRun(ErrorKind::kStoreUnavailable, "this instance stops"));
   } else {
     Answer(PerhapsRun(ErrorKind::kBackendUnavailable,
--- a/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
+++ b/packages/zinnia_adapters/forwarding/forward_exchange_stalls.cc
@@ -20,42 +20,40 @@
 #include "zinnia_decisions/forwarding/streams/departure_schedule.h"
 #include "zinnia_decisions/forwarding/streams/silence_policy.h"
 
-// The part of ForwardExchange that watches a running request: its silence, and the servers on its
-// path that stall or leave.
+// Supervision of running requests in ForwardExchange: silent streams, stalled and draining servers.
 
 namespace zinnia {
 namespace {
 
 using std::chrono::milliseconds;
 
-/** Silence of the own stream that a finding of others needs to be believed. */
-constexpr Duration kSilenceThatConfirms = milliseconds(45);
+/** Minimum silence of this stream before a stall reported by others is acted on. */
+constexpr Duration kMinConfirmingSilence = milliseconds(45);
 
-/** Pause between two looks into the same silent stream. From the third look on it doubles up to
-   eight times: where engines are merely full, every look costs a call and finds nothing. */
-constexpr Duration kAskAgainAfter = milliseconds(120);
-constexpr int kLooksWithoutDelay = 2;
+/** Delay between report requests for a silent stream. It backs off exponentially after the first
+   two, to limit calls to engines that are only busy. */
+constexpr Duration kStallQueryInterval = milliseconds(120);
+constexpr int kQueriesWithoutBackoff = 2;
 constexpr int kMostDoublings = 3;
 
-/** A stream that should move waits so long for its next event. */
+/** How long a due move waits for the next event of the stream. */
 constexpr Duration kWaitForEvent = milliseconds(50);
 
-/** A move that was refused is tried again after this; refusals for want of room last about so long.
- */
-constexpr Duration kMoveAgainAfter = milliseconds(200);
+/** Retry delay after a refused move. */
+constexpr Duration kMoveRetryDelay = milliseconds(200);
 
-/** A first server is left after so many failed reports. */
-constexpr int kReportsBeforeLeaving = 2;
+/** Failed report requests after which a silent first server is abandoned. */
+constexpr int kMaxFailedReports = 2;
 
-/** Reroutes that may fail before the stream goes on from another first server. */
-constexpr int kReroutesBeforeLeaving = 2;
+/** Failed reroutes after which the first server is abandoned. */
+constexpr int kMaxFailedReroutes = 2;
 
 }  // namespace
 
-void AskForPace(const ForwardingParts& parts, const PathPart& server) {
+void QuerySlowdownFactor(const ForwardingParts& parts, const PathPart& server) {
   parts.stalls.Ask(server, [&parts, name = server.server](const Result<EngineReport>& report) {
     if (!report) {
-      return;  // Who waits for this server finds out that it is silent, and logs it.
+      return;  // Requests waiting for this server detect and log its silence.
     }
     if (report->pace > parts.health.SlowdownFactor(name)) {
       parts.logger.Log(LogLevel::kInfo, "server_slow",
@@ -69,8 +67,8 @@
   if (m_ended) {
     return;
   }
-  if (m_awaits_rules) {
-    AwaitRules();
+  if (m_awaits_configuration) {
+    AwaitConfiguration();
     return;
   }
   if (!m_route) {
@@ -97,24 +95,25 @@
 void ForwardExchange::CheckSilence() {
   const Duration silent = m_parts.clock.Now() - m_last_progress;
   const Duration limit = SilencePolicy(*m_route).ProbeAfter(m_event_intervals.HasBegun());
-  if (m_last_progress > m_asked_at) {
-    m_looks = 0;
+  if (m_last_progress > m_last_stall_query_at) {
+    m_stall_queries = 0;
   }
-  const int doublings = std::clamp(m_looks - kLooksWithoutDelay, 0, kMostDoublings);
-  const bool asked_lately = m_parts.clock.Now() - m_asked_at < kAskAgainAfter * (1 << doublings);
-  if (silent >= limit && !m_asking && !m_rerouting && !asked_lately) {
-    AskForStall();
+  const int doublings = std::clamp(m_stall_queries - kQueriesWithoutBackoff, 0, kMostDoublings);
+  const bool queried_recently =
+      m_parts.clock.Now() - m_last_stall_query_at < kStallQueryInterval * (1 << doublings);
+  if (silent >= limit && !m_stall_query_in_flight && !m_rerouting && !queried_recently) {
+    QueryStalls();
   }
 }
 
-void ForwardExchange::AskForStall() {
-  m_asking = true;
-  m_asked_at = m_parts.clock.Now();
-  ++m_looks;
+void ForwardExchange::QueryStalls() {
+  m_stall_query_in_flight = true;
+  m_last_stall_query_at = m_parts.clock.Now();
+  ++m_stall_queries;
   m_parts.stalls.Ask(m_path.front(), [weak = weak_from_this()](const Result<EngineReport>& report) {
     const auto self = weak.lock();
     if (self && !self->m_ended) {
-      self->m_asking = false;
+      self->m_stall_query_in_flight = false;
       self->OnReport(report);
     }
   });
@@ -131,16 +130,16 @@
                        {{"request", m_facts.id},
                         {"server", m_server},
                         {"reason", zinnia::Describe(report.error())}});
-    // One report may be lost to a full connection table; the stream's own silence must agree.
+    // A single call may fail for lack of connections, so the stream must be silent too.
     const bool is_long = silent >= policy.AbandonAfter(m_event_intervals.HasBegun());
-    if (++m_failed_reports >= kReportsBeforeLeaving && is_long) {
+    if (++m_failed_reports >= kMaxFailedReports && is_long) {
       m_parts.health.MarkSuspect(m_server, kUnreachableExclusion);
       AbandonServer("the first server is silent");
     }
     return;
   }
   m_failed_reports = 0;
-  // All that the report names, not only what this request waits for: the others' requests wait too.
+  // Includes stalled requests other than this one.
   std::set<BackendServerName> stalled;
   const auto view = m_parts.view();
   for (const StalledRequest& request : report->stalled) {
@@ -170,14 +169,13 @@
   const auto is_stalled = [&](const PathPart& part) {
     return std::find(servers.begin(), servers.end(), part.server) != servers.end();
   };
-  // A stream that had an event just now does not depend on a dead server: the finding is wrong, or
-  // older than the path.
-  const bool flows = m_parts.clock.Now() - m_last_progress < kSilenceThatConfirms;
+  // A recent event shows that the report is wrong or refers to an earlier path.
+  const bool flows = m_parts.clock.Now() - m_last_progress < kMinConfirmingSilence;
   if (m_ended || !m_connection || flows || std::none_of(m_path.begin(), m_path.end(), is_stalled)) {
     return;
   }
   if (is_stalled(m_path.front())) {
-    // Also while it has an order to change the path: a dead server will not carry it out.
+    // Applies during a reroute too, since a stalled server will not complete it.
     AbandonServer("the first server is silent");
     return;
   }
@@ -186,18 +184,18 @@
   }
 }
 
-/** Events come too slowly: some server of the path may be slow, and only it knows. */
-void ForwardExchange::AskForPaces() {
+/** Queries the slowdown factor of each server on the path after a long event gap. */
+void ForwardExchange::QuerySlowdownFactors() {
   for (const PathPart& part : m_path) {
     if (m_parts.health.TryBeginSlowdownQuery(part.server)) {
-      AskForPace(m_parts, part);
+      QuerySlowdownFactor(m_parts, part);
     }
   }
 }
 
-/** A server does not hold what its entry says: while the store is away, entries stay as they were,
-    and each request over moved layers would be refused until it is back. */
-void ForwardExchange::AskForLayers(const PathPart& accused) {
+/** Queries the layers of a server that may differ from its entry, which is outdated while the store
+    is unavailable. */
+void ForwardExchange::QueryLayers(const PathPart& accused) {
   if (accused.layers.Count() == 0) {
     return;
   }
@@ -206,15 +204,14 @@
     const auto server = view->servers.find(accused.server);
     if (report && report->layers && server != view->servers.end() &&
         server->second.layers != *report->layers) {
-      parts.report_server_news({accused.server, *report->layers, false});
+      parts.report_server_state({accused.server, *report->layers, false});
     }
   });
 }
 
-/** A server that refuses is full, dead, or about to leave. Its entry outlives its death by seconds,
-    and while the store is away it says neither: each instance would try such a server again and
-    again, and its callers be refused for as long as that lasts. */
-void ForwardExchange::AskWhyItRefused(const PathPart& accused) {
+/** Checks whether a server that refused is dead or draining, which its entry may not show for
+    seconds, or for as long as the store is unavailable. */
+void ForwardExchange::ConfirmRefusal(const PathPart& accused) {
   const auto view = m_parts.view();
   const auto service = view->rules->services.find(m_service);
   const auto entry = view->servers.find(accused.server);
@@ -237,14 +234,14 @@
         const auto now = parts.view();
         const auto server = now->servers.find(leaving);
         if (server != now->servers.end() && !server->second.draining) {
-          parts.report_server_news({leaving, {}, true});
+          parts.report_server_state({leaving, {}, true});
         }
       });
 }
 
 void ForwardExchange::OnViewChanged() {
-  if (m_awaits_rules && !m_ended) {
-    AwaitRules();
+  if (m_awaits_configuration && !m_ended) {
+    AwaitConfiguration();
     return;
   }
   if (m_ended || !m_connection) {
@@ -255,15 +252,15 @@
     AbandonServer("the server has started again");
     return;
   }
-  if (!HasLeavingServer()) {
+  if (!HasDrainingServer()) {
     m_move_at.reset();
   } else if (!m_move_at) {
     ScheduleMove();
   }
 }
 
-/** Beyond the first, which a running stream cannot leave without starting again. */
-bool ForwardExchange::HasLeavingServer() const {
+/** Ignores the first server, which a running stream cannot leave without being resent. */
+bool ForwardExchange::HasDrainingServer() const {
   const auto view = m_parts.view();
   return m_path.size() > 1 &&
          std::any_of(m_path.begin() + 1, m_path.end(), [&](const PathPart& part) {
@@ -284,42 +281,42 @@
       m_parts.departures.MoveAt(m_parts.clock.Now(), m_event_intervals.ExpectedRemaining(events));
 }
 
-/** Best called after an event: moved right then, a stream has the whole allowed pause for it. */
+/** Best called right after an event, to leave the whole allowed event gap for the move. */
 void ForwardExchange::MoveIfDue() {
   const TimePoint now = m_parts.clock.Now();
   if (m_ended || !m_connection || !m_move_at || m_rerouting || now < *m_move_at) {
     return;
   }
-  if (!HasLeavingServer()) {
+  if (!HasDrainingServer()) {
     m_move_at.reset();
     return;
   }
-  m_move_at = now + kMoveAgainAfter;
+  m_move_at = now + kMoveRetryDelay;
   Reroute("a server on the path is leaving", false);
 }
 
 void ForwardExchange::Reroute(std::string_view reason, bool is_broken) {
   const auto view = m_parts.view();
   const auto recovery = m_parts.recovery.Choose(*view, m_service, ExpectedSize(), m_path, {},
-                                                is_broken && MayStartAgain());
+                                                is_broken && MayResend());
   if (recovery && recovery->keeps_first_server) {
     ChangePath(recovery->found, reason);
     return;
   }
   if (recovery && m_parts.retries.TrySpend(m_service, *view)) {
-    StartAgain(recovery->found, reason);
+    Resend(recovery->found, reason);
     return;
   }
   const auto found = m_parts.paths.Find(*view, m_service, ExpectedSize(),
                                         m_parts.own_failure_domain, {}, {m_path.front()});
   if (!found) {
-    OnNoReroute(reason);
+    OnRerouteFailed(reason);
     return;
   }
   ChangePath(*found, reason);
 }
 
-bool ForwardExchange::MayStartAgain() const {
+bool ForwardExchange::MayResend() const {
   SendHistory history = m_history;
   history.time_left = TimeLeft() > Duration::zero();
   history.has_alternative = true;
@@ -327,9 +324,8 @@
          DecideNextStep(*m_route, SendOutcome::kUnknown, history) == NextStep::kSendAgain;
 }
 
-/** Leaves the present servers, of which the first still works, for others where the stream goes on
-    after its last whole event. */
-void ForwardExchange::StartAgain(const FoundPath& found, std::string_view reason) {
+/** Resends the stream over another path, to continue after its last complete event. */
+void ForwardExchange::Resend(const FoundPath& found, std::string_view reason) {
   LogMove("request_started_again", found.path, reason);
   std::exchange(m_connection, nullptr)->Close();
   m_history.may_have_run = true;
@@ -363,16 +359,16 @@
       });
 }
 
-/** Keeping the first server leaves no path, or it refused: after a few tries the stream goes on
-   from another first server, before its caller gives up. */
-void ForwardExchange::OnNoReroute(std::string_view reason) {
+/** Abandons the first server once several reroutes have failed and the stream has been silent too
+    long. */
+void ForwardExchange::OnRerouteFailed(std::string_view reason) {
   if (m_failed_reroutes++ == 0) {
     m_parts.logger.Log(
         LogLevel::kInfo, "request_not_rerouted",
         {{"request", m_facts.id}, {"reason", std::string(reason)}, {"path", DescribePath(m_path)}});
   }
   const Duration silent = m_parts.clock.Now() - m_last_progress;
-  if (m_connection && m_failed_reroutes >= kReroutesBeforeLeaving &&
+  if (m_connection && m_failed_reroutes >= kMaxFailedReroutes &&
       silent >= SilencePolicy(*m_route).AbandonAfter(m_event_intervals.HasBegun())) {
     AbandonServer("the path could not be changed");
   }
@@ -382,19 +378,19 @@
   m_rerouting = false;
   if (answer.result) {
     m_path = path;
-    m_path_proved = false;
+    m_path_confirmed = false;
     Reserve(path);
     m_last_progress = m_parts.clock.Now();
     return;
   }
-  AvoidRefuser(path, answer);
+  ExcludeRefusingServer(path, answer);
   m_parts.logger.Log(
       LogLevel::kInfo, "reroute_failed",
       {{"request", m_facts.id}, {"reason", zinnia::Describe(answer.result.error())}});
-  OnNoReroute("the first server refused the new path");
+  OnRerouteFailed("the first server refused the new path");
 }
 
-void ForwardExchange::AvoidRefuser(const LayerPath& path, const RerouteAnswer& answer) {
+void ForwardExchange::ExcludeRefusingServer(const LayerPath& path, const RerouteAnswer& answer) {
   for (const PathPart& part : path) {
     if (answer.refused_by && part.address == *answer.refused_by) {
       m_parts.health.Exclude(part.server, kFullExclusion);
@@ -402,7 +398,7 @@
   }
 }
 
-/** Gives up the present send, whatever the server still does with it. */
+/** Abandons the current send; its outcome on the server is unknown. */
 void ForwardExchange::AbandonServer(std::string_view reason) {
   if (m_connection) {
     std::exchange(m_connection, nullptr)->Close();
--- a/packages/zinnia_adapters/forwarding/forward_server.cc
+++ b/packages/zinnia_adapters/forwarding/forward_server.cc
@@ -17,28 +17,28 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/** Waiting requests that may find no room in one round before the others wait for the next, and the
-    ticks between rounds: 50 searches a second at most, each a fraction of a millisecond. */
-constexpr int kMostFailedTries = 2;
-constexpr std::uint64_t kTicksBetweenRounds = 2;
+/** Failed path searches per scan of the capacity queue, and ticks between scans. They bound the
+    time spent on searches. */
+constexpr int kMaxFailedSearches = 2;
+constexpr std::uint64_t kTicksBetweenQueueScans = 2;
 
-/** Deadlines and silences are noticed this late at most; the pauses that count are 200 ms. */
+/** Maximum delay in detecting deadlines and silent streams. */
 constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
-/** Unused connections are looked through once in so many ticks: every second. */
+/** Ticks between removals of unused connections: one second. */
 constexpr std::uint64_t kTicksBetweenSweeps = 50;
 
-/** Slow servers are asked again once in so many ticks: every second. */
-constexpr std::uint64_t kTicksBetweenPaces = 50;
+/** Ticks between slowdown queries to slow servers: one second. */
+constexpr std::uint64_t kTicksBetweenSlowdownQueries = 50;
 
-/** How often the whole fleet asks one slow server in a second, by chance of each instance: the
-    answers are told to all, and each call is priced. */
-constexpr double kAsksOfFleet = 4.0;
+/** Expected slowdown queries per second to one slow server from all instances together, which share
+    the answers. */
+constexpr double kFleetQueriesPerSecond = 4.0;
 
-/** Suspects are looked through once in so many ticks. */
+/** Ticks between probes of suspect servers. */
 constexpr std::uint64_t kTicksBetweenProbes = 10;
 
-/** How long a server that answered no probe gets no requests, until engines' reports confirm it. */
+/** Exclusion of a server that answered no probe, until engine reports confirm the failure. */
 constexpr Duration kDeadExclusion = std::chrono::milliseconds(1'500);
 
 }  // namespace
@@ -109,8 +109,8 @@
       streams.push_back(*progress);
     }
   }
-  if (m_ticks % kTicksBetweenRounds == 0) {
-    BeginWaiting(exchanges);
+  if (m_ticks % kTicksBetweenQueueScans == 0) {
+    StartQueuedRequests(exchanges);
   }
   const TimePoint now = m_parts.clock.Now();
   const auto suspects = SilenceDetector::FindSuspects(streams, now);
@@ -126,17 +126,18 @@
   if (m_ticks % kTicksBetweenProbes == 0) {
     ProbeSuspects();
   }
-  if (m_ticks % kTicksBetweenPaces == 0) {
-    AskSlowServersAgain();
+  if (m_ticks % kTicksBetweenSlowdownQueries == 0) {
+    QuerySlowServers();
   }
   if (++m_ticks % kTicksBetweenSweeps == 0) {
     m_parts.connections.DropUnused(m_parts.view()->servers);
   }
 }
 
-/** A large request may find no room where a smaller one behind it does, but a search costs time, so
-    only a few are tried past the first that finds none. */
-void ForwardServer::BeginWaiting(const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
+/** Tries later requests too, since a smaller one may fit where a large one does not, but stops
+   after a few failed searches. */
+void ForwardServer::StartQueuedRequests(
+    const std::vector<std::shared_ptr<ForwardExchange>>& exchanges) {
   std::map<std::uint64_t, ForwardExchange*> waiting;
   for (const auto& exchange : exchanges) {
     if (exchange->CapacityTicket() != CapacityQueue::kNoTicket) {
@@ -146,8 +147,8 @@
   int failed = 0;
   for (const std::uint64_t ticket : m_parts.capacity_queue.OrderedTickets()) {
     const auto exchange = waiting.find(ticket);
-    if (exchange != waiting.end() && !exchange->second->TryToBegin() &&
-        ++failed >= kMostFailedTries) {
+    if (exchange != waiting.end() && !exchange->second->TryBegin() &&
+        ++failed >= kMaxFailedSearches) {
       return;
     }
   }
@@ -171,8 +172,8 @@
   m_parts.metrics.Count(event);
 }
 
-/** A question costs a call; a caller's request at a dead server costs its objective. Plain servers
-    have no such call, and take the next request. */
+/** Probes suspect servers, to avoid sending callers' requests to dead ones. Plain servers have no
+    such call and receive the next request instead. */
 void ForwardServer::ProbeSuspects() {
   const auto view = m_parts.view();
   for (const BackendServerName& name : m_parts.health.TakeSuspectsToProbe()) {
@@ -184,7 +185,7 @@
       m_parts.health.OnProbeAnswered(name);
       continue;
     }
-    // A probe's limit would be too short: a server that is merely busy would stay unused.
+    // The timeout of Probe is too short for a busy server, which would stay excluded.
     m_parts.engine_calls.ReadReport({name, server->second.address, server->second.layers},
                                     [&health = m_parts.health, name](const auto& report) {
                                       if (report) {
@@ -194,16 +195,16 @@
   }
 }
 
-/** Requests leave a slow server alone, and so nobody would learn that it is well again. */
-void ForwardServer::AskSlowServersAgain() {
+/** Detects the recovery of slow servers, which receive no requests that would show it. */
+void ForwardServer::QuerySlowServers() {
   const auto view = m_parts.view();
-  const double chance = kAsksOfFleet / static_cast<double>(view->live_instances);
+  const double chance = kFleetQueriesPerSecond / static_cast<double>(view->live_instances);
   for (const SlowdownReport& slow : m_parts.health.SlowServers()) {
     const auto server = view->servers.find(slow.server);
     const bool is_own_turn = RandomUnit(m_parts.random) < chance;
     if (is_own_turn && server != view->servers.end() &&
         m_parts.health.TryBeginSlowdownQuery(slow.server)) {
-      AskForPace(m_parts, {slow.server, server->second.address, server->second.layers});
+      QuerySlowdownFactor(m_parts, {slow.server, server->second.address, server->second.layers});
     }
   }
 }
--- a/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
+++ b/packages/zinnia_adapters/forwarding/forwarding_traffic.cc
@@ -13,7 +13,7 @@
 namespace zinnia {
 namespace {
 
-/** From whom a server's limit was heard. */
+/** Sources of a server's limit, as logged. */
 constexpr std::string_view kServerItself = "server";
 constexpr std::string_view kPeer = "peer";
 
@@ -64,8 +64,8 @@
           m_parts.own_failure_domain,
           [this] { return m_view; },
           [this](const std::vector<BackendServerName>& servers) { OnStalledHere(servers); },
-          m_parts.tell_server_news,
-          [this](const BackendServerName& server) { OnLimitHeard(server, kServerItself); }};
+          m_parts.on_server_state_report,
+          [this](const BackendServerName& server) { OnLimitReceived(server, kServerItself); }};
 }
 
 void ForwardingTraffic::SetView(std::shared_ptr<const ForwardingView> view) {
@@ -88,12 +88,13 @@
 void ForwardingTraffic::OnPeerServerLimits(const std::vector<ServerLimitReport>& limits) {
   for (const ServerLimitReport& report : limits) {
     if (m_view->servers.contains(report.server) && m_limits.OnReport(report)) {
-      OnLimitHeard(report.server, kPeer);
+      OnLimitReceived(report.server, kPeer);
     }
   }
 }
 
-void ForwardingTraffic::OnLimitHeard(const BackendServerName& server, std::string_view heard_from) {
+void ForwardingTraffic::OnLimitReceived(const BackendServerName& server,
+                                        std::string_view heard_from) {
   const ServerLimits::Limit limit = m_limits.LimitOf(server);
   m_parts.metrics.SetGauge("server_limits_in_force", static_cast<double>(m_limits.CountInForce()));
   m_parts.logger.Log(
@@ -104,14 +105,14 @@
        {"requests_per_second", fmt::format("{:.2f}", limit.requests_per_second.value_or(0.0))},
        {"own_part", fmt::format("{:.2f}", limit.own_share)},
        {"live_instances", std::to_string(m_view->live_instances)}});
-  m_parts.tell_server_limits(m_limits.TakeReports(), heard_from == kServerItself);
+  m_parts.on_server_limits_changed(m_limits.TakeReports(), heard_from == kServerItself);
 }
 
 void ForwardingTraffic::OnStalledHere(const std::vector<BackendServerName>& servers) {
   for (const BackendServerName& server : servers) {
     m_parts.logger.Log(LogLevel::kInfo, "server_stalled",
                        {{"server", server}, {"seen_by", "self"}});
-    m_parts.tell_stall(server);
+    m_parts.on_stall_detected(server);
   }
   m_server->OnServersStalled(servers);
 }
--- a/packages/zinnia_adapters/forwarding/stall_inquiry.cc
+++ b/packages/zinnia_adapters/forwarding/stall_inquiry.cc
@@ -32,7 +32,7 @@
   });
 }
 
-bool StallInquiry::TakeProbe(const BackendServerName& server) {
+bool StallInquiry::TryBeginProbe(const BackendServerName& server) {
   TimePoint& probed_at = m_probed_at[server];
   if (probed_at != TimePoint() && m_clock.Now() - probed_at < kProbeAgainAfter) {
     return false;
@@ -44,11 +44,11 @@
 void StallInquiry::Confirm(const PathPart& accused,
                            const std::string& health_path,
                            const std::function<void(const BackendServerName&)>& on_dead,
-                           const std::function<void(const BackendServerName&)>& on_leaving) {
-  if (!TakeProbe(accused.server)) {
+                           const std::function<void(const BackendServerName&)>& on_draining) {
+  if (!TryBeginProbe(accused.server)) {
     return;
   }
-  m_calls.Probe(accused, [this, accused, health_path, on_dead, on_leaving](bool answers) {
+  m_calls.Probe(accused, [this, accused, health_path, on_dead, on_draining](bool answers) {
     if (!answers) {
       on_dead(accused.server);
       return;
@@ -57,9 +57,9 @@
       return;
     }
     m_calls.AskHealth(accused, health_path,
-                      [server = accused.server, on_leaving](HealthAnswer answer) {
+                      [server = accused.server, on_draining](HealthAnswer answer) {
                         if (answer == HealthAnswer::kRefuses) {
-                          on_leaving(server);
+                          on_draining(server);
                         }
                       });
   });
@@ -70,7 +70,7 @@
                          const OnDead& on_dead) {
   std::vector<PathPart> due;
   for (const PathPart& suspect : suspects) {
-    if (TakeProbe(suspect.server)) {
+    if (TryBeginProbe(suspect.server)) {
       due.push_back(suspect);
     }
   }
--- a/tests/forwarding_path/forwarding_fixture.h
+++ b/tests/forwarding_path/forwarding_fixture.h
@@ -23,7 +23,7 @@
 
 namespace zinnia {
 
-/** Names of this test's own for what requests and answers carry. */
+/** Codec with header names of the test's own. */
 struct TestCodec final : MessageCodec {
   RequestFacts ReadRequest(const Fields& fields) const override {
     RequestFacts facts;
@@ -68,7 +68,7 @@
   void AskHealth(const PathPart&,
                  const std::string&,
                  std::function<void(HealthAnswer)> callback) override {
-    ++health_questions;
+    ++health_queries;
     callback(health);
   }
   void Reroute(const std::string&,
@@ -84,17 +84,17 @@
   Result<EngineReport> report = EngineReport();
   int reports = 0;
   int probes = 0;
-  int health_questions = 0;
+  int health_queries = 0;
   HealthAnswer health = HealthAnswer::kTakesRequests;
   bool answers_probes = true;
   std::vector<LayerPath> rerouted;
 
-  /** Answers to reroutes wait for the test. */
+  /** Whether reroutes are answered only when the test calls `held_reroutes`. */
   bool holds_reroutes = false;
   std::vector<std::function<void(RerouteAnswer)>> held_reroutes;
 };
 
-/** A server that answers with the very bytes that the test writes, on the test's loop. */
+/** Server on the test's loop that sends exactly the bytes that the test writes. */
 class RawServer {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
@@ -116,12 +116,12 @@
 
   NetworkAddress Address() const { return {"127.0.0.1", m_acceptor.local_endpoint().port()}; }
 
-  /** What to do with each further request; the last script serves all that follow. */
+  /** Scripts for successive requests; the last one is repeated. */
   std::deque<Script> scripts;
   std::vector<Request> received;
   int connections = 0;
 
-  /** Ends when its other side does. */
+  /** Set when the peer closes a connection. */
   bool other_side_closed = false;
 
  private:
@@ -158,8 +158,8 @@
   std::vector<std::shared_ptr<Connection>> m_connections;
 };
 
-/** A forwarding traffic side with servers "a" and "b" of the service "plain" and routes of each
-    kind of request on the host "h". */
+/** ForwardingTraffic with servers "a" and "b" of the service "plain" and a route for each kind of
+    request on the host "h". */
 struct ForwardingFixture {
   ForwardingFixture() {
     auto rules = std::make_shared<ForwardingRules>();
@@ -195,8 +195,8 @@
             Duration::zero(),
             1,
             [](const BackendServerName&) {},
-            [this](const ServerStateReport& news) { told.push_back(news); },
-            [this](const std::vector<ServerLimitReport>& limits, bool) { told_limits = limits; },
+            [this](const ServerStateReport& news) { server_reports.push_back(news); },
+            [this](const std::vector<ServerLimitReport>& limits, bool) { limit_reports = limits; },
             "self"});
     traffic->SetView(view);
   }
@@ -217,7 +217,7 @@
     rules.routes.push_back(route);
   }
 
-  /** Sets the script of both servers: the chooser takes either at first. */
+  /** Sets the script of both servers, since either may be chosen first. */
   void Script(const RawServer::Script& script) {
     a.scripts = {script};
     b.scripts = {script};
@@ -258,9 +258,9 @@
   RawServer b{thread.Loop()};
   std::shared_ptr<ForwardingView> view;
 
-  /** What control, and with it peers, were told of servers. */
-  std::vector<ServerStateReport> told;
-  std::vector<ServerLimitReport> told_limits;
+  /** Reports sent to the control side. */
+  std::vector<ServerStateReport> server_reports;
+  std::vector<ServerLimitReport> limit_reports;
   std::unique_ptr<ForwardingTraffic> traffic;
   std::vector<std::unique_ptr<TestCaller>> callers;
 };
--- a/tests/forwarding_path/stall_inquiry_test.cc
+++ b/tests/forwarding_path/stall_inquiry_test.cc
@@ -29,43 +29,36 @@
   }
 };
 
-// Symptom: healthy servers are left for three seconds, and spares load their layers. Sequence: all
-// callers come back at once, a later server of a path is full, its first server refuses on its
-// account. Cause: a full server taken for a dead one.
-TEST(StallInquiry, AnAccusedServerThatAnswersIsNotDead) {
+// Guards against treating a full server as dead.
+TEST(StallInquiry, ARefusingServerThatAnswersProbesIsNotDead) {
   Confirm();
   CHECK_EQUAL(1, calls.probes);
   CHECK_TRUE(dead.empty());
   CHECK_TRUE(leaving.empty());
 }
 
-// Symptom: a dead server is tried for as long as its entry stays. Sequence: a server of a path dies
-// while the store is away; each first server refuses at once. Cause: refusals taken for want of
-// room only.
-TEST(StallInquiry, AnAccusedServerThatIsSilentIsDead) {
+// Guards against treating every refusal as a lack of capacity while a server is dead.
+TEST(StallInquiry, ARefusingServerThatAnswersNoProbeIsDead) {
   calls.answers_probes = false;
   Confirm();
   CHECK_EQUAL(1U, dead.size());
 }
 
-// Symptom: for eight seconds a quarter of all callers are refused, though most servers are idle.
-// Sequence: eight servers are to be taken away while the store is away; none can announce it there,
-// and each refuses new work; every instance tries each of them again and again. Cause: a server
-// that leaves taken for a full one.
-TEST(StallInquiry, AnAccusedServerThatTakesNoRequestsByItsOwnWordLeaves) {
+// Guards against treating a draining server as a full one.
+TEST(StallInquiry, ARefusingServerWithAFailingHealthCheckIsDraining) {
   calls.health = HealthAnswer::kRefuses;
   Confirm();
   CHECK_EQUAL(1U, leaving.size());
   CHECK_TRUE(dead.empty());
 }
 
-TEST(StallInquiry, AServerThatSaysNothingOfItsHealthIsNotTakenToLeave) {
+TEST(StallInquiry, AServerWithoutAHealthAnswerIsNotDraining) {
   calls.health = HealthAnswer::kNone;
   Confirm();
   CHECK_TRUE(leaving.empty());
 }
 
-TEST(StallInquiry, RefusalsThatComeTogetherCostOneProbe) {
+TEST(StallInquiry, ConcurrentRefusalsShareOneProbe) {
   Confirm();
   Confirm();
   CHECK_EQUAL(1, calls.probes);
