--- a/packages/zinnia_base/decisions/decision_record.h
+++ b/packages/zinnia_base/decisions/decision_record.h
@@ -8,11 +8,12 @@
 
 namespace zinnia {
 
-/** One decision with the facts it was taken from.
+/** A decision and the inputs that led to it, as printed by the explain command, logs and golden
+    files.
 
-    Explain, logs and golden files all print this same record. `subject` is what it was decided
-    about ("session s-1", "configuration", "backend_server b-3"), `decision` a short snake_case verb
-    phrase ("choose_pipeline"), `reason` one plain sentence.
+    `subject` names the object of the decision ("session s-1", "configuration",
+    "backend_server b-3"), `decision` is a snake_case verb phrase ("choose_pipeline") and `reason` a
+    sentence.
 */
 struct DecisionRecord {
   TimePoint at{};
@@ -22,14 +23,14 @@
   std::vector<std::pair<std::string, std::string>> facts;
 };
 
-/** Receives each decision as it is taken. Implementations must be bounded in memory. */
+/** Receives every decision when it is made. Implementations must bound their memory use. */
 class DecisionRecorder {
  public:
   virtual ~DecisionRecorder() = default;
   virtual void Record(DecisionRecord record) = 0;
 };
 
-/** "decision subject=... reason=\"...\" fact=value ..." without the time. */
+/** Formats a record, without its time, as `decision=... subject="..." reason="..." fact="..."`. */
 std::string Describe(const DecisionRecord& record);
 
 }  // namespace zinnia
