--- a/packages/zinnia_base/errors/error.h
+++ b/packages/zinnia_base/errors/error.h
@@ -9,9 +9,9 @@
 
 namespace zinnia {
 
-/** A typed failure: what happened, what to do, whether the request was run, when to come back.
+/** A failure with its kind, a message, a remedy, whether the request was run and a retry delay.
 
-    Returned inside a Result, or thrown as an ErrorException. Build one with MakeError, then set the
+    Returned in a Result or thrown as an ErrorException. Create one with MakeError, then set the
     fields that differ from the defaults.
 
     @see Result, ErrorException, ErrorKind
@@ -24,10 +24,10 @@
   std::optional<std::chrono::milliseconds> retry_after;
 };
 
-/** An Error of that kind with the kind's default remedy. */
+/** Creates an Error with the default remedy of its kind. */
 Error MakeError(ErrorKind kind, std::string message);
 
-/** "kind: message (remedy)", for logs and exceptions. */
+/** Formats an error as "kind: message (remedy)" for logs and exceptions. */
 std::string Describe(const Error& error);
 
 }  // namespace zinnia
