--- a/packages/zinnia_base/errors/error_exception.h
+++ b/packages/zinnia_base/errors/error_exception.h
@@ -7,7 +7,7 @@
 
 namespace zinnia {
 
-/** Carries an Error through code that throws. Result::value() throws it for a failed result. */
+/** An exception that holds an Error. Result::value() throws it if the result is an error. */
 class ErrorException : public std::runtime_error {
  public:
   explicit ErrorException(Error error)
