--- a/packages/zinnia_base/errors/error_kind.h
+++ b/packages/zinnia_base/errors/error_kind.h
@@ -4,10 +4,11 @@
 
 namespace zinnia {
 
-/** The kinds of failure that zinniastage reports to callers, operators and its own layers.
+/** The kinds of failure reported to callers and operators and between internal layers.
 
-    Every kind has a stable name (in problem documents, logs and docs/OPERATIONS.md) and a default
-    remedy. Add a kind here and in the table of error_kind.cc; never reuse a name for a new meaning.
+    Every kind has a stable name, used in problem documents, logs and docs/OPERATIONS.md, and a
+    default remedy. Add new kinds here and to the table in error_kind.cc. Never reuse a name for a
+    different meaning.
 
     @see Error
 */
@@ -49,7 +50,7 @@
 
 std::string_view NameOf(ErrorKind kind);
 
-/** What somebody who meets this kind can do about it, in one sentence. */
+/** Returns one sentence that tells the recipient of the error how to proceed. */
 std::string_view DefaultRemedyFor(ErrorKind kind);
 
 }  // namespace zinnia
