--- a/packages/zinnia_base/errors/result.h
+++ b/packages/zinnia_base/errors/result.h
@@ -6,11 +6,11 @@
 
 namespace zinnia {
 
-/** A value or an Error. Static factories return it; value() throws ErrorException on failure. */
+/** A value or an Error. value() throws an ErrorException if it holds an Error. */
 template <typename T>
 using Result = boost::system::result<T, Error>;
 
-/** Found by boost::system::result through argument-dependent lookup. */
+/** Customisation point that boost::system::result finds by argument-dependent lookup. */
 [[noreturn]] inline void throw_exception_from_error(const Error& error,
                                                     const boost::source_location&) {
   throw ErrorException(error);
