--- a/packages/zinnia_base/errors/was_run.h
+++ b/packages/zinnia_base/errors/was_run.h
@@ -4,10 +4,10 @@
 
 namespace zinnia {
 
-/** Whether a request that ends in an error was run.
+/** Whether a request that ended in an error was run.
 
-    kNo is a promise: no backend server received any part of it. Whoever cannot prove that says
-    kUnknown.
+    kNo guarantees that no backend server received any part of the request. Use kUnknown where that
+    cannot be guaranteed.
 */
 enum class WasRun { kNo, kYes, kUnknown };
 
