--- a/packages/zinnia_base/hashing/fingerprint.h
+++ b/packages/zinnia_base/hashing/fingerprint.h
@@ -8,8 +8,8 @@
 
 namespace zinnia {
 
-/** A 128-bit hash of some bytes (XXH3). Equal bytes have equal fingerprints on every machine.
-    Not a signature: whoever can choose the bytes can make two with one fingerprint. */
+/** A 128-bit XXH3 hash, identical on all platforms. Not cryptographic: collisions can be
+    constructed. */
 struct Fingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -19,7 +19,7 @@
   auto operator<=>(const Fingerprint&) const = default;
 };
 
-/** A seeded 64-bit hash, for partitions, subsets and consistent choices. */
+/** Returns a seeded 64-bit hash, for partitioning, subsetting and consistent hashing. */
 std::uint64_t Hash64(std::string_view bytes, std::uint64_t seed = 0);
 
 }  // namespace zinnia
