--- a/packages/zinnia_base/logging/logger.h
+++ b/packages/zinnia_base/logging/logger.h
@@ -9,12 +9,12 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-/** A key and its value in a log line. */
+/** A key and value of a log line. */
 using LogField = std::pair<std::string_view, std::string>;
 
-/** Writes one key=value line an event.
+/** Writes one line of key=value fields per event. Thread-safe.
 
-    Never pass prompts, answers, keys or other secrets as fields. Safe to call from any thread.
+    Never pass prompts, responses, API keys or other secrets as fields.
 
     @see StandardErrorLogger
 */
@@ -26,7 +26,7 @@
                    std::initializer_list<LogField> fields) = 0;
 };
 
-/** "level=info event=... key=value ..."; values with spaces, quotes or line ends are quoted. */
+/** Formats a line as `level=info event=... key=value ...`, quoting values where necessary. */
 std::string FormatLogLine(LogLevel level,
                           std::string_view event,
                           std::initializer_list<LogField> fields);
