--- a/packages/zinnia_base/logging/standard_error_logger.h
+++ b/packages/zinnia_base/logging/standard_error_logger.h
@@ -8,7 +8,7 @@
 
 class Clock;
 
-/** Logs to standard error, one write a line, each with the wall time and the instance's name. */
+/** Logs to standard error, prefixing each line with the wall-clock time and the instance name. */
 class StandardErrorLogger final : public Logger {
  public:
   StandardErrorLogger(const Clock& clock, std::string instance, LogLevel least_level);
