--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -9,10 +9,10 @@
 namespace zinnia {
 namespace {
 
-/** Written out at once when so much waits: one system call for some twenty lines. */
+/** Buffer size above which Log writes immediately, which limits the number of system calls. */
 constexpr std::size_t kFlushBytes = 4'096;
 
-/** Events whose rate is counted; names beyond share one count. Names come from the code only. */
+/** Number of event names with a rate counter of their own; further names share one counter. */
 constexpr std::size_t kMostCountedEvents = 256;
 constexpr std::string_view kOtherEvents = "other";
 
@@ -97,13 +97,13 @@
 
 void StandardOutputLogger::Flush() {
   const std::lock_guard lock(m_mutex);
-  WriteOut();  // First, or a full buffer would drop the report of what was dropped.
+  WriteOut();  // Makes space in the buffer for the line that reports dropped lines.
   ReportDropped();
   WriteOut();
 }
 
-/** An error other than a full pipe means that nobody can read; what waits is dropped, since there
-    is nowhere left to say so. */
+/** Discards the buffer on errors other than EAGAIN, EWOULDBLOCK and EINTR, since the descriptor is
+    then unusable. */
 void StandardOutputLogger::WriteOut() {
   while (!m_waiting.empty()) {
     const auto written = write(m_descriptor, m_waiting.data(), m_waiting.size());
