--- a/packages/zinnia_base/logging/standard_output_logger.h
+++ b/packages/zinnia_base/logging/standard_output_logger.h
@@ -11,25 +11,22 @@
 
 namespace zinnia {
 
-/** Bounds of StandardOutputLogger. */
 struct OutputLoggerLimits {
-  /** Lines of one event in a second; further ones are counted and dropped. At the load of a small
-      instance, some ten requests a second with three lines each, this is never reached. */
+  /** Further lines of the same event within the second are counted and dropped. */
   std::uint32_t most_lines_per_event_and_second = 300;
 
-  /** What may wait for a reader that is slow or has stopped. */
+  /** Size of the buffer for lines that the descriptor has not accepted yet. */
   std::size_t most_waiting_bytes = 262'144;
 };
 
-/** Logs to standard output without ever waiting for whoever reads it.
+/** Logs to standard output without blocking. Thread-safe.
 
-    Lines gather in memory and go out by Flush, which writes only what the descriptor takes at once.
-    A reader that stops reading fills the buffer; lines are then dropped and counted, and one line a
-    second says how many. Safe from any thread.
+    Lines are buffered in memory; Flush writes as much as the descriptor accepts. When the buffer is
+    full, lines are dropped and counted, and the count is logged at most once per second.
 */
 class StandardOutputLogger final : public Logger {
  public:
-  /** Makes the descriptor non-blocking. `clock` must outlive it. */
+  /** Sets the descriptor to non-blocking mode. `clock` must outlive the logger. */
   StandardOutputLogger(const Clock& clock,
                        std::string instance,
                        LogLevel least_level,
@@ -39,7 +36,7 @@
 
   void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) override;
 
-  /** Call it some ten times a second. */
+  /** Writes buffered lines. Call it about ten times per second. */
   void Flush();
 
   std::uint64_t DroppedLines() const;
