--- a/packages/zinnia_base/random/random_source.h
+++ b/packages/zinnia_base/random/random_source.h
@@ -5,16 +5,16 @@
 
 namespace zinnia {
 
-/** The one source of randomness of a component, seeded by its owner so that runs can be replayed.
+/** A random number generator, seeded by the owner of the component so that runs are reproducible.
  */
 using RandomSource = std::mt19937_64;
 
-/** Uniform in [0, bound). The caller must pass a bound above zero. */
+/** Returns a uniformly distributed integer in [0, bound). `bound` must be positive. */
 inline std::uint64_t RandomBelow(RandomSource& random, std::uint64_t bound) {
   return std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(random);
 }
 
-/** Uniform in [0, 1). */
+/** Returns a uniformly distributed number in [0, 1). */
 inline double RandomUnit(RandomSource& random) {
   return std::uniform_real_distribution<double>(0.0, 1.0)(random);
 }
