--- a/packages/zinnia_base/time/clock.h
+++ b/packages/zinnia_base/time/clock.h
@@ -8,10 +8,11 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using WallTimePoint = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
-/** Tells the time. Passed to everything that needs it, so that tests run in virtual time.
+/** Interface to the current time, injected so that tests can use VirtualTime.
 
-    Use Now() for deadlines and intervals; WallNow() only for what is shown to people or compared
-    between instances (expiry in resume tokens), where clocks may differ by seconds.
+    Use Now() for deadlines and intervals. Use WallNow() only for times that are displayed or
+    compared between instances, such as the expiry of resume tokens; the wall clocks of instances
+    may differ by seconds.
 
     @see SystemClock, VirtualTime
 */
