--- a/packages/zinnia_base/time/scheduler.h
+++ b/packages/zinnia_base/time/scheduler.h
@@ -7,16 +7,16 @@
 
 namespace zinnia {
 
-/** A pending call of Scheduler. Destroying it cancels the call; keep it as long as it is wanted. */
+/** Handle of a call scheduled by a Scheduler. Destroying the handle cancels the call. */
 class ScheduledCall {
  public:
   virtual ~ScheduledCall() = default;
 };
 
-/** Runs a call later on the thread that owns the scheduler.
+/** Runs calls after a delay, on the thread that owns the scheduler.
 
-    The decision core takes all its timers from here, so that VirtualTime can replay any schedule.
-    A call is never run from inside ScheduleAfter, not even with a delay of zero.
+    The decision core uses no other timers, so that VirtualTime can reproduce any schedule.
+    ScheduleAfter never runs the call itself, even if the delay is zero.
 */
 class Scheduler {
  public:
