--- a/packages/zinnia_base/time/system_clock.h
+++ b/packages/zinnia_base/time/system_clock.h
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-/** The machine's own clocks. Programs create one in main() and pass it on. */
+/** Reads the system's steady and wall clocks. Created in main() and injected from there. */
 class SystemClock final : public Clock {
  public:
   TimePoint Now() const override { return std::chrono::steady_clock::now(); }
