--- a/packages/zinnia_base/time/virtual_time.h
+++ b/packages/zinnia_base/time/virtual_time.h
@@ -9,10 +9,9 @@
 
 namespace zinnia {
 
-/** A clock and scheduler whose time moves only when told: tests and benchmarks run hours of
-    failures in milliseconds, in the same order every time.
+/** A clock and scheduler with manually advanced time, for deterministic tests and benchmarks.
 
-    Calls due at the same time run in the order in which they were scheduled. Not thread safe.
+    Calls due at the same time run in the order in which they were scheduled. Not thread-safe.
 */
 class VirtualTime final : public Clock, public Scheduler {
  public:
@@ -23,10 +22,10 @@
   WallTimePoint WallNow() const override;
   std::unique_ptr<ScheduledCall> ScheduleAfter(Duration delay, std::function<void()> call) override;
 
-  /** Runs everything due up to `duration` from now, then stands at that time. */
+  /** Advances the time by `duration`, running all calls that become due. */
   void AdvanceBy(Duration duration);
 
-  /** Runs the next call, moving the time to it. Returns false if nothing is scheduled. */
+  /** Advances the time to the next call and runs it. Returns false if none is scheduled. */
   bool RunNext();
 
  private:
