--- a/packages/zinnia_base/zinnia_base.h
+++ b/packages/zinnia_base/zinnia_base.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/** What every other package stands on: errors and results, time, randomness, hashing, logging and
-    decision records. Depends on libraries only. */
+/** Foundation of all other packages: errors and results, time, random numbers, hashing, logging and
+    decision records. Depends on no other package of the project. */
 
 #include "zinnia_base/decisions/decision_record.h"
 #include "zinnia_base/errors/error.h"
