--- a/packages/zinnia_world/configuration/configuration.cc
+++ b/packages/zinnia_world/configuration/configuration.cc
@@ -12,8 +12,8 @@
 
 namespace json = boost::json;
 
-/** Reads the fields of one entry's JSON object. Throws ErrorException naming path and field;
-    Finish() refuses names that nobody asked for, so that a misspelt field is not silently lost. */
+/** Reads the fields of an entry's JSON object. Throws an ErrorException that names path and field.
+    Finish() rejects unknown fields, so that misspelt ones are not ignored. */
 class EntryReader {
  public:
   EntryReader(std::string path, std::string_view text) : m_path(std::move(path)) {
