--- a/packages/zinnia_world/configuration/configuration.h
+++ b/packages/zinnia_world/configuration/configuration.h
@@ -15,7 +15,8 @@
 
 namespace zinnia {
 
-/** How operators treat one backend server: the weight of new work, and whether it drains. */
+/** An operator's settings for one backend server: its weight for new requests, whether it drains
+    and the model layers that it should load. */
 struct ServerOrder {
   BackendServerName server;
   double weight = 1.0;
@@ -28,23 +29,21 @@
   bool operator==(const ServerOrder&) const = default;
 };
 
-/** The operators' accepted configuration at one revision, in parsed form.
+/** The accepted configuration at one revision, in parsed form. Immutable.
 
     Paths: organisation/NAME, model/NAME, pipeline/NAME, service/NAME, server/NAME, link/FROM/TO.
-    Built from entries by Parse; immutable afterwards.
-
     @see ConfigurationEntry, FleetSnapshot
 */
 class Configuration {
  public:
-  /** Parses all live entries. Fails with kInvalidRequest naming the path and field of the first
-      entry that is not right; use it to check a change before it is accepted. */
+  /** Parses all entries that have a value. Fails with kInvalidRequest, naming the path and field of
+      the first invalid entry. */
   static Result<Configuration> Parse(ConfigurationRevision revision,
                                      const std::map<std::string, ConfigurationEntry>& entries);
 
-  /** This configuration at a later revision, with the changed paths written or (without a value)
-      removed. Same checks and errors as Parse, but only the changed entries are parsed: parsing all
-      of them for each change would cost more than the whole budget of the control thread. */
+  /** Returns a copy at a later revision with the changed entries set or, if they have no value,
+      removed. Makes the same checks as Parse but parses only the changed entries, to keep the load
+      on the control thread low. */
   Result<Configuration> WithChanges(ConfigurationRevision revision,
                                     const std::vector<ConfigurationEntry>& changes) const;
 
@@ -56,7 +55,7 @@
   const std::map<BackendServerName, ServerOrder>& server_orders() const { return m_server_orders; }
   const std::vector<Link>& links() const { return m_links; }
 
-  /** The organisation whose key has this SHA-256 hex digest, or null. */
+  /** Returns the organisation whose key has this SHA-256 hex digest, or nullptr. */
   const Organisation* FindOrganisationByKeyDigest(const std::string& digest) const;
 
  private:
@@ -74,7 +73,7 @@
   std::map<std::string, OrganisationName> m_organisations_by_key_digest;
 };
 
-/** Checks one entry's JSON by its path, without the others. Same errors as Configuration::Parse. */
+/** Validates a single entry. Fails with the same errors as Configuration::Parse. */
 Result<void> CheckConfigurationEntry(const std::string& path, const std::string& json);
 
 }  // namespace zinnia
