--- a/packages/zinnia_world/configuration/configuration_delta.h
+++ b/packages/zinnia_world/configuration/configuration_delta.h
@@ -6,8 +6,8 @@
 
 namespace zinnia {
 
-/** All entries written after revision `after` up to `revision`. Applied by whoever holds a revision
-    of at least `after` and below `revision`; ignored by all others. */
+/** All entries written after revision `after`, up to and including `revision`. Applies to
+    configurations at a revision in [after, revision); others ignore it. */
 struct ConfigurationDelta {
   ConfigurationRevision after = 0;
   ConfigurationRevision revision = 0;
