--- a/packages/zinnia_world/configuration/configuration_entry.h
+++ b/packages/zinnia_world/configuration/configuration_entry.h
@@ -9,8 +9,8 @@
 
 /** One object of the configuration, as JSON under a path such as "organisation/NAME".
 
-    `revision` is the configuration revision that wrote it; without a value it is a tombstone, kept
-    so that a delta can tell of the removal.
+    `revision` is the configuration revision that last wrote the entry. An entry without a value is
+    a tombstone, kept so that deltas include the removal.
 */
 struct ConfigurationEntry {
   std::string path;
