--- a/packages/zinnia_world/contracts/model.h
+++ b/packages/zinnia_world/contracts/model.h
@@ -7,7 +7,7 @@
 
 namespace zinnia {
 
-/** A model that callers can name. `credit_weight` is what one answered request is worth. */
+/** A model that callers can request. `credit_weight` is the credit for one completed request. */
 struct Model {
   ModelName name;
   std::string version;
