--- a/packages/zinnia_world/contracts/organisation.h
+++ b/packages/zinnia_world/contracts/organisation.h
@@ -8,9 +8,9 @@
 
 namespace zinnia {
 
-/** The contract with an organisation: its keys, its share, its limits. Zero as a limit means none.
-    `key_digests` are lower-case SHA-256 hex digests of the keys, so that the configuration holds no
-    secret. */
+/** The API keys, weight, priority and limits of an organisation. A limit of zero means unlimited.
+    `key_digests` are lower-case SHA-256 hex digests, so that the configuration contains no secrets.
+ */
 struct Organisation {
   OrganisationName name;
   std::vector<std::string> key_digests;
