--- a/packages/zinnia_world/contracts/service_contract.h
+++ b/packages/zinnia_world/contracts/service_contract.h
@@ -8,10 +8,11 @@
 
 namespace zinnia {
 
-/** A plain service under a path prefix, and which of its calls may not be repeated.
+/** A plain service under a path prefix.
 
-    Methods in `non_idempotent_methods` are dispatched at most once; the others may be retried.
-    With `requires_idempotency_key`, a non-idempotent call without the header is refused, not run.
+    Calls with a method in `non_idempotent_methods` are dispatched at most once; others may be
+    retried. If `requires_idempotency_key` is set, non-idempotent calls without an Idempotency-Key
+    header are rejected.
 */
 struct ServiceContract {
   ServiceName name;
