--- a/packages/zinnia_world/fleet/accelerator_kind.h
+++ b/packages/zinnia_world/fleet/accelerator_kind.h
@@ -5,7 +5,7 @@
 
 namespace zinnia {
 
-/** The kinds of accelerator that backend servers run on, slowest last. */
+/** The kinds of accelerator that backend servers run on, ordered from fastest to slowest. */
 enum class AcceleratorKind { kLarge, kMedium, kSmall, kEdge };
 
 std::string_view NameOf(AcceleratorKind kind);
