--- a/packages/zinnia_world/fleet/backend_server.h
+++ b/packages/zinnia_world/fleet/backend_server.h
@@ -11,12 +11,13 @@
 
 namespace zinnia {
 
-/** Whether a backend server may get new work. Ordered: a higher state outranks a lower one. */
+/** Whether a backend server may receive new work. A higher state takes precedence over a lower one.
+ */
 enum class BackendServerState { kLive, kSuspect, kLeaving, kGone };
 
 std::string_view NameOf(BackendServerState state);
 
-/** What a backend server holds of a model, as the engine itself says. */
+/** The model layers that a backend server has loaded, as reported by its engine. */
 struct LoadedRange {
   ModelName model;
   std::string version;
@@ -25,10 +26,10 @@
   bool operator==(const LoadedRange&) const = default;
 };
 
-/** A backend server: a model engine on an accelerator, or a plain service (then without `loaded`).
+/** A backend server: a model engine on an accelerator, or a plain service without `loaded`.
 
-    Known from the platform's instance list and from the engine's own word. `incarnation` tells a
-    restarted server from its former self under the same name.
+    Combines the platform's instance list with the engine's own reports. `incarnation` distinguishes
+    successive starts of a server under the same name.
 */
 struct BackendServer {
   BackendServerName name;
