--- a/packages/zinnia_world/fleet/fleet_snapshot.h
+++ b/packages/zinnia_world/fleet/fleet_snapshot.h
@@ -13,7 +13,7 @@
 
 namespace zinnia {
 
-/** A backend server with its state and load, as one instance sees it. */
+/** A backend server with its state and load, as observed by one instance. */
 struct ServerView {
   BackendServer server;
   BackendServerState state = BackendServerState::kLive;
@@ -21,10 +21,10 @@
   double weight = 1.0;
 };
 
-/** An immutable picture of the fleet and the configuration in force.
+/** An immutable snapshot of the fleet and the current configuration.
 
-    The control thread builds a new one after each change and publishes it by swapping a shared
-    pointer; traffic threads read it without locks. Never change one after it was published.
+    The control thread builds a new snapshot after each change and publishes it by swapping a shared
+    pointer, so that traffic threads read it without locks. Never modify a published snapshot.
 */
 struct FleetSnapshot {
   std::uint64_t sequence = 0;
