--- a/packages/zinnia_world/fleet/instance.h
+++ b/packages/zinnia_world/fleet/instance.h
@@ -7,8 +7,7 @@
 
 namespace zinnia {
 
-/** A running zinniad: one of the system's own entry instances. `start` tells a restarted instance
-    from its former self. */
+/** A running zinniad process. `start` distinguishes successive starts under the same name. */
 struct Instance {
   InstanceName name;
   NetworkAddress peer_address;
@@ -16,7 +15,7 @@
   RegionName region;
   std::uint64_t start = 0;
 
-  /** What its machine gives it: processor cores and the speed of its link. 0 if it does not say. */
+  /** CPU cores and network bandwidth of the instance's machine; 0 if unknown. */
   double cores = 0.0;
   double link_mbps = 0.0;
 
