--- a/packages/zinnia_world/fleet/link.h
+++ b/packages/zinnia_world/fleet/link.h
@@ -5,7 +5,7 @@
 
 namespace zinnia {
 
-/** The network between two failure domains (or within one, when both names are equal). */
+/** Latency and bandwidth between two failure domains, or within one if both names are equal. */
 struct Link {
   FailureDomainName from;
   FailureDomainName to;
