--- a/packages/zinnia_world/fleet/network_address.h
+++ b/packages/zinnia_world/fleet/network_address.h
@@ -8,7 +8,7 @@
 
 namespace zinnia {
 
-/** An IP number and a port. Never a host name: processes find each other by IP number. */
+/** An IP address and port. Host names are not supported. */
 struct NetworkAddress {
   std::string ip;
   std::uint16_t port = 0;
