--- a/packages/zinnia_world/fleet/pipeline.h
+++ b/packages/zinnia_world/fleet/pipeline.h
@@ -8,8 +8,8 @@
 
 namespace zinnia {
 
-/** One stage of a pipeline: a layer range and the backend servers that hold it, any of which can
-    take a session's steps. */
+/** A layer range of a pipeline and the backend servers that hold it. Any replica can run the steps
+    of a session. */
 struct PipelineStage {
   LayerRange layers;
   std::vector<BackendServerName> replicas;
@@ -17,7 +17,7 @@
   bool operator==(const PipelineStage&) const = default;
 };
 
-/** A way through a model: stages whose layer ranges follow each other without gap or overlap. */
+/** Stages that cover the layers of a model in order, without gaps or overlaps. */
 struct Pipeline {
   PipelineName name;
   ModelName model;
