--- a/packages/zinnia_world/fleet/server_load.h
+++ b/packages/zinnia_world/fleet/server_load.h
@@ -6,8 +6,8 @@
 
 namespace zinnia {
 
-/** What is known of a backend server's load: its own report, late by nature, and what this instance
-    sent and got back since. */
+/** The load of a backend server: its last report, which may be stale, and the requests that this
+    instance has sent since then. */
 struct ServerLoad {
   std::uint32_t reported_running = 0;
   std::uint32_t reported_queued = 0;
