--- a/packages/zinnia_world/fleet/server_rates_report.h
+++ b/packages/zinnia_world/fleet/server_rates_report.h
@@ -4,8 +4,8 @@
 
 namespace zinnia {
 
-/** How fast a backend server was measured to be by the links of one traffic thread. Zero means not
-    known (yet); it does not replace a figure that another thread measured.
+/** Step times and throughput of a backend server, as measured by one traffic thread. Zero means
+    unknown and does not overwrite the measurement of another thread.
 
     @see ServerLoad
 */
@@ -13,10 +13,10 @@
   Duration step_time_p50{};
   Duration step_time_p99{};
 
-  /** What a decode batch takes however few steps are in it. */
+  /** Fixed cost of a decode batch, independent of the number of steps in it. */
   Duration empty_step_time{};
 
-  /** At full batch, not as they passed. */
+  /** Throughput at full batch size, not the observed throughput. */
   double decode_tokens_per_second = 0.0;
   double prefill_tokens_per_second = 0.0;
 };
