--- a/packages/zinnia_world/forwarding/engine_profile.h
+++ b/packages/zinnia_world/forwarding/engine_profile.h
@@ -8,23 +8,23 @@
 
 namespace zinnia {
 
-/** How fast one kind of accelerator is and how much it holds. */
+/** Speed and memory of one kind of accelerator. */
 struct AcceleratorProfile {
   double memory_mb = 0.0;
 
-  /** Factor on the time of a token step; 1 is the speed that EngineProfile gives. */
+  /** Multiplier for the decode step time given by EngineProfile. */
   double step_factor = 1.0;
 
-  /** Factor on the time of reading prompts. */
+  /** Multiplier for the prefill time. */
   double read_factor = 1.0;
 };
 
-/** The published behaviour of a pool of engines that hold ranges of layers and pass requests along
-    a path themselves.
+/** Performance model of a pool of engines that hold layer ranges and forward requests to each other
+    along a path.
 
-    A token step over all layers takes `step_ms` plus, for each request that is writing,
-    `step_ms_per_request` + `step_ms_per_thousand_tokens` for a thousand tokens of its context. A
-    stage takes the share of its layers, times its accelerator's factor.
+    A decode step over all layers takes `step_ms` plus, for each decoding request,
+    `step_ms_per_request` and `step_ms_per_thousand_tokens` per thousand tokens of its context. The
+    time of a stage is proportional to its number of layers and its accelerator's factor.
 */
 struct EngineProfile {
   std::uint32_t layers = 0;
@@ -35,18 +35,18 @@
   double step_ms_per_thousand_tokens = 0.0;
   double read_tokens_per_second = 1.0;
 
-  /** Token steps in one pass of an engine with writing requests; their tokens are one event. */
+  /** Decode steps per engine pass; the tokens of a pass are sent as one event. */
   double steps_per_pass = 1.0;
 
-  /** Most prompt tokens that one pass reads; 0 for no bound. */
+  /** Maximum number of prompt tokens prefilled per pass; 0 for no limit. */
   double read_tokens_per_pass = 0.0;
   double activation_bytes_per_token = 0.0;
-  double failure_domain_link_mbps = 0.0;  // One pipe for all transfers between failure domains.
+  double failure_domain_link_mbps = 0.0;  // Shared by all inter-domain transfers.
   double usual_prompt_tokens = 500.0;
   double usual_answer_tokens = 200.0;
   std::map<std::string, AcceleratorProfile> accelerators;
 
-  /** Whether requests need a path over several servers. */
+  /** Whether requests are routed along a path of layer ranges. */
   bool IsLayered() const { return layers > 0; }
 };
 
