--- a/packages/zinnia_world/forwarding/forward_route.h
+++ b/packages/zinnia_world/forwarding/forward_route.h
@@ -9,42 +9,42 @@
 
 namespace zinnia {
 
-/** What may be done again with a request of a route after its outcome became unknown. */
+/** Whether a request may be retried when its outcome is unknown. */
 enum class Repeatability { kIdempotent, kNonIdempotent, kStream };
 
-/** A service and the weight with which a route's requests go to it. */
+/** A service and its share of a route's requests. */
 struct WeightedService {
   ServiceName service;
   std::uint32_t weight = 1;
 };
 
-/** One rule of the accepted configuration: which requests go to which services, and how. */
+/** A routing rule: which requests are forwarded to which services, and under which limits. */
 struct ForwardRoute {
   std::string name;
   std::string host;
   std::string path_prefix;
   Repeatability repeatability = Repeatability::kNonIdempotent;
 
-  /** Streams only: a broken stream may go on at another server after the last whole event. */
+  /** For streams: whether another server may continue after the last complete event. */
   bool resumable = false;
 
-  /** The request needs no key. */
+  /** Whether requests are accepted without an API key. */
   bool is_public = false;
 
   std::vector<WeightedService> services;
   std::uint32_t priority = 0;  // 0 is the most urgent.
   std::uint32_t most_servers = 1;
 
-  /** How long a caller may wait for the whole answer. */
+  /** Maximum time until the response is complete. */
   std::chrono::milliseconds timeout{30'000};
 
-  /** The time to the answer, or to the first event, that counts as on time. */
+  /** Target time to the response or, for streams, to the first event. */
   std::chrono::milliseconds latency_objective{1'000};
 
-  /** The pause between events of a stream that still counts as on time; 0 for other routes. */
+  /** Target interval between the events of a stream; 0 for other routes. */
   std::chrono::milliseconds event_gap_objective{0};
 
-  /** Whether sending a request again, from the start or from the last event, does no harm. */
+  /** Whether a request may safely be sent again, from the start or from the last event. */
   bool MayRepeat() const {
     return repeatability == Repeatability::kIdempotent ||
            (repeatability == Repeatability::kStream && resumable);
