--- a/packages/zinnia_world/forwarding/forward_service.h
+++ b/packages/zinnia_world/forwarding/forward_service.h
@@ -9,14 +9,14 @@
 
 namespace zinnia {
 
-/** A service of the accepted configuration: a pool of equal backend servers. */
+/** A configured service: a pool of backend servers. */
 struct ForwardService {
   ServiceName name;
 
-  /** Where its servers say whether they take requests; empty if nowhere. */
+  /** Path of the health check; empty if the servers have none. */
   std::string health_path;
 
-  /** Connections that one server takes from all callers together. */
+  /** Maximum number of connections that a server accepts in total. */
   std::uint32_t most_connections_per_server = 0;
 
   /** Set for pools of model engines. */
