--- a/packages/zinnia_world/forwarding/forwarding_rules.h
+++ b/packages/zinnia_world/forwarding/forwarding_rules.h
@@ -12,7 +12,7 @@
 
 namespace zinnia {
 
-/** What callers may send, and how long they may take. */
+/** Size limits and timeouts for incoming requests. */
 struct CallerBounds {
   std::uint32_t most_header_bytes = 16'384;
   std::uint64_t most_body_bytes = 1'048'576;
@@ -20,13 +20,13 @@
   std::chrono::milliseconds idle_timeout{75'000};
 };
 
-/** One accepted version of the configuration, whole. Immutable once published. */
+/** A complete, accepted version of the forwarding configuration. Immutable once published. */
 struct ForwardingRules {
   std::uint64_t version = 0;
   std::vector<ForwardRoute> routes;
   std::map<ServiceName, ForwardService> services;
 
-  /** Without organisations in the configuration, requests need no key. */
+  /** False if no organisations are configured. */
   bool keys_required = false;
   std::map<std::string, OrganisationName> organisation_by_key;
   CallerBounds caller_bounds;
