--- a/packages/zinnia_world/forwarding/path_part.h
+++ b/packages/zinnia_world/forwarding/path_part.h
@@ -8,7 +8,7 @@
 
 namespace zinnia {
 
-/** The part of a request's way through the layers that one server runs. */
+/** The layers of a request's path that one server runs. */
 struct PathPart {
   BackendServerName server;
   NetworkAddress address;
@@ -17,7 +17,7 @@
   bool operator==(const PathPart&) const = default;
 };
 
-/** All parts in order: each begins where the one before ends. */
+/** Contiguous parts in layer order. */
 using LayerPath = std::vector<PathPart>;
 
 }  // namespace zinnia
