--- a/packages/zinnia_world/forwarding/request_facts.h
+++ b/packages/zinnia_world/forwarding/request_facts.h
@@ -7,7 +7,7 @@
 
 namespace zinnia {
 
-/** What a caller says about its request beside method, path and body. */
+/** Metadata that a caller sends with a request. */
 struct RequestFacts {
   std::string id;
   std::string api_key;
@@ -15,10 +15,10 @@
   std::uint32_t prompt_tokens = 0;
   std::uint32_t most_answer_tokens = 0;
 
-  /** The caller's own estimate of the answer's length; often far off. */
+  /** The caller's estimate of the response length; often inaccurate. */
   std::optional<std::uint32_t> expected_answer_tokens;
 
-  /** The id of the last event that the caller got of an earlier answer. */
+  /** The last event that the caller received, if it resumes a stream. */
   std::optional<std::uint64_t> last_event_id;
 };
 
