--- a/packages/zinnia_world/forwarding/server_entry.h
+++ b/packages/zinnia_world/forwarding/server_entry.h
@@ -9,23 +9,22 @@
 
 namespace zinnia {
 
-/** One start of a backend server, as it registered itself.
+/** The registration of one incarnation of a backend server.
 
-    A server may start again under the identifier that it had, and then holds nothing of what it
-    held. So `name` stands for one start: whatever is kept by it (connections, loads, suspicion,
-    orders, running requests) ends with that start by itself, and nothing that was learned of an
-    earlier one is believed of a later one.
+    A restarted server may register under the same identifier but has lost its state. `name` is
+    therefore unique to an incarnation, so that state keyed by it (connections, load, suspicion,
+    orders, running requests) is never applied to a later one.
 */
 struct ServerEntry {
-  /** Unique to this start. */
+  /** Unique to this incarnation. */
   BackendServerName name;
 
-  /** What the server calls itself, the same at each start. */
+  /** The server's own identifier, which may be the same for all its incarnations. */
   std::string registration;
 
-  /** When this start began by the server's clock, which may be behind an earlier start's: only the
-      order of entries in the store tells which start is the later one. 0 if the server does not
-      say; it then has a new registration at each start. */
+  /** Start time by the server's clock; 0 if not reported, in which case each incarnation has a new
+      registration. Incarnations are ordered by their entries in the store, not by this time, since
+      the clock may go backwards. */
   std::uint64_t started_at_ms = 0;
 
   ServiceName service;
@@ -33,13 +32,13 @@
   FailureDomainName failure_domain;
   std::uint32_t most_requests = 1;
 
-  /** It takes no new work and exits soon. */
+  /** Whether the server is shutting down and accepts no new work. */
   bool draining = false;
 
   /** The key into EngineProfile::accelerators; empty for plain services. */
   std::string accelerator;
 
-  /** The layers that it holds; empty for plain services and for an engine that holds none. */
+  /** The loaded layers; empty for plain services and for engines without loaded layers. */
   LayerRange layers;
 
   bool operator==(const ServerEntry&) const = default;
