--- a/packages/zinnia_world/names/names.h
+++ b/packages/zinnia_world/names/names.h
@@ -5,8 +5,7 @@
 
 namespace zinnia {
 
-/** Names of things in the world. All are plain strings that operators chose, compared as they are.
- */
+/** Identifiers chosen by operators, compared byte by byte. */
 using InstanceName = std::string;
 using FailureDomainName = std::string;
 using RegionName = std::string;
@@ -16,15 +15,15 @@
 using PipelineName = std::string;
 using ServiceName = std::string;
 
-/** Unique over all instances and restarts: it carries the name and start of the instance that
-    opened the session. Backend servers key their caches with it. */
+/** Unique across instances and restarts, as it contains the name and start of the instance that
+    opened the session. Backend servers use it as a cache key. */
 using SessionName = std::string;
 
-/** Counts the chains that served one session: each recovery or resume takes the next number, and
-    answers of a lower one are dropped. */
+/** Number of an attempt to serve a session. Each recovery or resume increments it; responses to
+    earlier attempts are dropped. */
 using AttemptNumber = std::uint32_t;
 
-/** Counts accepted configurations. Only ever moves up. */
+/** Number of an accepted configuration; increases monotonically. */
 using ConfigurationRevision = std::uint64_t;
 
 }  // namespace zinnia
