--- a/packages/zinnia_world/requests/chat_request.h
+++ b/packages/zinnia_world/requests/chat_request.h
@@ -10,10 +10,10 @@
 
 namespace zinnia {
 
-/** A caller's request for one streamed or whole model answer, after parsing and authentication.
+/** A parsed and authenticated request for a model response, streamed or complete.
 
-    `prompt` is the rendered conversation; `fingerprint` hashes organisation, model and prompt, and
-    names the request to the quarantine and in resume tokens.
+    `prompt` is the rendered conversation. `fingerprint` is a hash of organisation, model and prompt
+    that identifies the request in the quarantine and in resume tokens.
 */
 struct ChatRequest {
   std::string request_id;
