--- a/packages/zinnia_world/requests/request_class.h
+++ b/packages/zinnia_world/requests/request_class.h
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-/** Classes of work that metrics, credits and admission tell apart. */
+/** Classes of requests that metrics, credits and admission control distinguish. */
 enum class RequestClass { kChat, kServiceCall };
 
 constexpr std::string_view NameOf(RequestClass request_class) {
