--- a/packages/zinnia_world/zinnia_world.h
+++ b/packages/zinnia_world/zinnia_world.h
@@ -1,8 +1,7 @@
 #pragma once
 
-/** The things zinniastage deals with, as plain data: instances, failure domains, links, backend
-    servers, pipelines, contracts with organisations and services, the configuration, requests.
-    Depends on zinnia_base. */
+/** Plain data types of the domain: instances, failure domains, links, backend servers, pipelines,
+    organisations, services, configuration and requests. Depends on zinnia_base. */
 
 #include "zinnia_world/configuration/configuration.h"
 #include "zinnia_world/configuration/configuration_delta.h"
