--- a/tests/base/errors_and_logs_test.cc
+++ b/tests/base/errors_and_logs_test.cc
@@ -42,8 +42,7 @@
 
 TEST_GROUP(LogLineTest){};
 
-// Symptom: one event shows as two lines, the second of an attacker's choice. Cause: a value with a
-// line end was written as it was.
+// Guards against log injection by values that contain line breaks or quotes.
 TEST(LogLineTest, ValuesCannotForgeLinesOrFields) {
   const std::string line = FormatLogLine(LogLevel::kInfo, "request_done",
                                          {{"path", "a\nlevel=error \"b\""}, {"n", "1"}});
