--- a/tests/base/errors_and_logs_test.cc
+++ b/tests/base/errors_and_logs_test.cc
@@ -18,7 +18,7 @@
 
 TEST_GROUP(ErrorTest){};
 
-TEST(ErrorTest, EveryKindHasItsOwnNameAndARemedy) {
+TEST(ErrorTest, KindsHaveUniqueNamesAndRemedies) {
   std::string names;
   for (int kind = 0; kind <= static_cast<int>(ErrorKind::kInternal); ++kind) {
     const std::string name = " " + std::string(NameOf(static_cast<ErrorKind>(kind))) + " ";
