--- a/tests/base/errors_and_logs_test.cc
+++ b/tests/base/errors_and_logs_test.cc
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(ErrorTest, ValueOfAFailedResultThrowsTheTypedError) {
+TEST(ErrorTest, ValueOfFailedResultThrowsErrorException) {
   LONGS_EQUAL(4, Half(8).value());
   try {
     Half(7).value();
