--- a/tests/base/errors_and_logs_test.cc
+++ b/tests/base/errors_and_logs_test.cc
@@ -51,7 +51,7 @@
 
 TEST_GROUP(FingerprintTest){};
 
-TEST(FingerprintTest, DependsOnTheBytesOnly) {
+TEST(FingerprintTest, DependsOnContentOnly) {
   CHECK_TRUE(Fingerprint::Of("kitanda") == Fingerprint::Of(std::string("kitanda")));
   CHECK_FALSE(Fingerprint::Of("kitanda") == Fingerprint::Of("kitandb"));
   LONGS_EQUAL(32, Fingerprint::Of("").ToHex().size());
