--- a/tests/base/virtual_time_test.cc
+++ b/tests/base/virtual_time_test.cc
@@ -13,7 +13,7 @@
   std::string m_order;
 };
 
-TEST(VirtualTimeTest, RunsCallsByTimeThenByOrderOfScheduling) {
+TEST(VirtualTimeTest, RunsCallsInOrderOfTimeThenOfScheduling) {
   auto late = m_time.ScheduleAfter(20ms, [this] { m_order += "c"; });
   auto first = m_time.ScheduleAfter(10ms, [this] { m_order += "a"; });
   auto second = m_time.ScheduleAfter(10ms, [this] { m_order += "b"; });
