--- a/tests/base/virtual_time_test.cc
+++ b/tests/base/virtual_time_test.cc
@@ -28,7 +28,7 @@
   STRCMP_EQUAL("", m_order.c_str());
 }
 
-TEST(VirtualTimeTest, CallsScheduledWhileAdvancingRunIfDueInTime) {
+TEST(VirtualTimeTest, RunsDueCallsScheduledWhileAdvancing) {
   std::unique_ptr<ScheduledCall> inner;
   auto outer = m_time.ScheduleAfter(
       1ms, [&] { inner = m_time.ScheduleAfter(1ms, [this] { m_order += "inner"; }); });
