--- a/tests/base/virtual_time_test.cc
+++ b/tests/base/virtual_time_test.cc
@@ -36,7 +36,7 @@
   STRCMP_EQUAL("inner", m_order.c_str());
 }
 
-TEST(VirtualTimeTest, ACallMayDestroyItsOwnHandle) {
+TEST(VirtualTimeTest, CallMayDestroyItsOwnHandle) {
   std::unique_ptr<ScheduledCall> call;
   call = m_time.ScheduleAfter(1ms, [&] {
     call.reset();
