--- a/tests/base/virtual_time_test.cc
+++ b/tests/base/virtual_time_test.cc
@@ -46,7 +46,7 @@
   STRCMP_EQUAL("ran", m_order.c_str());
 }
 
-TEST(VirtualTimeTest, HandleMayOutliveTheTime) {
+TEST(VirtualTimeTest, HandleMayOutliveVirtualTime) {
   std::unique_ptr<ScheduledCall> call;
   {
     VirtualTime short_lived;
