--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -52,7 +52,7 @@
   STRCMP_EQUAL("akl-b", configuration.links().front().to.c_str());
 }
 
-TEST(ConfigurationTest, TombstonesAreNoEntries) {
+TEST(ConfigurationTest, IgnoresTombstones) {
   const auto parsed = Configuration::Parse(2, {{"model/old", {"model/old", 2, std::nullopt}}});
   CHECK_TRUE(parsed.value().models().empty());
 }
