--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -57,7 +57,7 @@
   CHECK_TRUE(parsed.value().models().empty());
 }
 
-TEST(ConfigurationTest, RefusalsNamePathAndField) {
+TEST(ConfigurationTest, ErrorsNamePathAndField) {
   STRCMP_CONTAINS("organisation/x.weigth is not a known field",
                   RefusalOf("organisation/x", R"({"weigth":2})").c_str());
   STRCMP_CONTAINS("organisation/x.weight must be a number",
