--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -68,7 +68,7 @@
   STRCMP_CONTAINS("is not a path", RefusalOf("model", "{}").c_str());
 }
 
-// Symptom: answers that skipped layers. Cause: a pipeline was accepted whose stages left a gap.
+// Guards against responses computed without some of the layers.
 TEST(ConfigurationTest, RefusesPipelinesWithGapsOrOverlaps) {
   const std::string gap = R"({"model":"m","version":"1","stages":[
       {"first_layer":0,"end_layer":4,"replicas":[]},{"first_layer":5,"end_layer":8,"replicas":[]}]})";
