--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -78,7 +78,7 @@
   STRCMP_CONTAINS("expected first_layer 0, found 1", RefusalOf("pipeline/p", late_start).c_str());
 }
 
-// Symptom: one organisation reads another's streams. Cause: both were given the same key.
+// Guards against one organisation reading the streams of another.
 TEST(ConfigurationTest, RefusesAKeyThatTwoOrganisationsHave) {
   const auto parsed =
       Configuration::Parse(1, MakeEntries({{"organisation/a", R"({"key_digests":["k"]})"},
