--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -69,7 +69,7 @@
 }
 
 // Guards against responses computed without some of the layers.
-TEST(ConfigurationTest, RefusesPipelinesWithGapsOrOverlaps) {
+TEST(ConfigurationTest, RejectsPipelinesWithGapsOrOverlaps) {
   const std::string gap = R"({"model":"m","version":"1","stages":[
       {"first_layer":0,"end_layer":4,"replicas":[]},{"first_layer":5,"end_layer":8,"replicas":[]}]})";
   STRCMP_CONTAINS("expected first_layer 4, found 5", RefusalOf("pipeline/p", gap).c_str());
