--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -79,7 +79,7 @@
 }
 
 // Guards against one organisation reading the streams of another.
-TEST(ConfigurationTest, RefusesAKeyThatTwoOrganisationsHave) {
+TEST(ConfigurationTest, RejectsKeySharedByTwoOrganisations) {
   const auto parsed =
       Configuration::Parse(1, MakeEntries({{"organisation/a", R"({"key_digests":["k"]})"},
                                            {"organisation/b", R"({"key_digests":["k"]})"}}));
