--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -89,7 +89,7 @@
 
 TEST_GROUP(NetworkAddressTest){};
 
-TEST(NetworkAddressTest, TakesIpNumbersOnly) {
+TEST(NetworkAddressTest, AcceptsIpAddressesOnly) {
   LONGS_EQUAL(8080, NetworkAddress::Parse("127.0.0.1:8080").value().port);
   for (const char* wrong :
        {"localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:80x", ":80"}) {
