--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -9,10 +9,10 @@
 namespace zinnia {
 namespace {
 
-/** Buffer size above which Log writes immediately, which limits the number of system calls. */
+/** Buffer size from which Log writes immediately, which limits the number of system calls. */
 constexpr std::size_t kFlushBytes = 4'096;
 
-/** Number of event names with a rate counter of their own; further names share one counter. */
+/** Maximum number of event names with a rate counter of their own; further names share one. */
 constexpr std::size_t kMostCountedEvents = 256;
 constexpr std::string_view kOtherEvents = "other";
 
