--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t kFlushBytes = 4'096;
 
 /** Maximum number of event names with a rate counter of their own; further names share one. */
-constexpr std::size_t kMostCountedEvents = 256;
+constexpr std::size_t kMaxCountedEvents = 256;
 constexpr std::string_view kOtherEvents = "other";
 
 std::int64_t SecondOf(TimePoint time) {
@@ -65,7 +65,7 @@
 }
 
 bool StandardOutputLogger::IsWithinRate(std::string_view event) {
-  if (!m_counts.contains(event) && m_counts.size() >= kMostCountedEvents) {
+  if (!m_counts.contains(event) && m_counts.size() >= kMaxCountedEvents) {
     event = kOtherEvents;
   }
   const std::int64_t second = SecondOf(m_clock.Now());
