--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -73,7 +73,7 @@
   if (count.second != second) {
     count = {second, 0};
   }
-  return ++count.lines <= m_limits.most_lines_per_event_and_second;
+  return ++count.lines <= m_limits.max_lines_per_event_per_second;
 }
 
 void StandardOutputLogger::Append(std::string_view text) {
--- a/packages/zinnia_base/logging/standard_output_logger.h
+++ b/packages/zinnia_base/logging/standard_output_logger.h
@@ -13,7 +13,7 @@
 
 struct OutputLoggerLimits {
   /** Further lines of the same event within the second are counted and dropped. */
-  std::uint32_t most_lines_per_event_and_second = 300;
+  std::uint32_t max_lines_per_event_per_second = 300;
 
   /** Size of the buffer for lines that the descriptor has not accepted yet. */
   std::size_t most_waiting_bytes = 262'144;
