--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -77,7 +77,7 @@
 }
 
 void StandardOutputLogger::Append(std::string_view text) {
-  if (m_waiting.size() + text.size() > m_limits.most_waiting_bytes) {
+  if (m_waiting.size() + text.size() > m_limits.max_buffered_bytes) {
     ++m_dropped;
     return;
   }
--- a/packages/zinnia_base/logging/standard_output_logger.h
+++ b/packages/zinnia_base/logging/standard_output_logger.h
@@ -16,7 +16,7 @@
   std::uint32_t max_lines_per_event_per_second = 300;
 
   /** Size of the buffer for lines that the descriptor has not accepted yet. */
-  std::size_t most_waiting_bytes = 262'144;
+  std::size_t max_buffered_bytes = 262'144;
 };
 
 /** Logs to standard output without blocking. Thread-safe.
