--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -59,7 +59,7 @@
     return;
   }
   Append(line);
-  if (m_waiting.size() >= kFlushBytes) {
+  if (m_buffer.size() >= kFlushBytes) {
     WriteOut();
   }
 }
@@ -77,11 +77,11 @@
 }
 
 void StandardOutputLogger::Append(std::string_view text) {
-  if (m_waiting.size() + text.size() > m_limits.max_buffered_bytes) {
+  if (m_buffer.size() + text.size() > m_limits.max_buffered_bytes) {
     ++m_dropped;
     return;
   }
-  m_waiting.append(text);
+  m_buffer.append(text);
 }
 
 void StandardOutputLogger::ReportDropped() {
@@ -105,17 +105,17 @@
 /** Discards the buffer on errors other than EAGAIN, EWOULDBLOCK and EINTR, since the descriptor is
     then unusable. */
 void StandardOutputLogger::WriteOut() {
-  while (!m_waiting.empty()) {
-    const auto written = write(m_descriptor, m_waiting.data(), m_waiting.size());
+  while (!m_buffer.empty()) {
+    const auto written = write(m_descriptor, m_buffer.data(), m_buffer.size());
     if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
       return;
     }
     if (written < 0) {
       ++m_dropped;
-      m_waiting.clear();
+      m_buffer.clear();
       return;
     }
-    m_waiting.erase(0, static_cast<std::size_t>(written));
+    m_buffer.erase(0, static_cast<std::size_t>(written));
   }
 }
 
--- a/packages/zinnia_base/logging/standard_output_logger.h
+++ b/packages/zinnia_base/logging/standard_output_logger.h
@@ -58,7 +58,7 @@
   const int m_descriptor;
   const OutputLoggerLimits m_limits;
   mutable std::mutex m_mutex;
-  std::string m_waiting;
+  std::string m_buffer;
   std::map<std::string, EventCount, std::less<>> m_counts;
   std::uint64_t m_dropped = 0;
   std::uint64_t m_dropped_reported = 0;
