--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -29,7 +29,7 @@
                                            OutputLoggerLimits limits)
     : m_clock(clock),
       m_instance(std::move(instance)),
-      m_least_level(least_level),
+      m_min_level(least_level),
       m_descriptor(descriptor),
       m_limits(limits) {
   const int flags = fcntl(m_descriptor, F_GETFL);
@@ -45,7 +45,7 @@
 void StandardOutputLogger::Log(LogLevel level,
                                std::string_view event,
                                std::initializer_list<LogField> fields) {
-  if (level < m_least_level) {
+  if (level < m_min_level) {
     return;
   }
   const auto since_epoch =
--- a/packages/zinnia_base/logging/standard_output_logger.h
+++ b/packages/zinnia_base/logging/standard_output_logger.h
@@ -54,7 +54,7 @@
 
   const Clock& m_clock;
   const std::string m_instance;
-  const LogLevel m_least_level;
+  const LogLevel m_min_level;
   const int m_descriptor;
   const OutputLoggerLimits m_limits;
   mutable std::mutex m_mutex;
