--- a/packages/zinnia_base/logging/standard_error_logger.cc
+++ b/packages/zinnia_base/logging/standard_error_logger.cc
@@ -13,12 +13,12 @@
 StandardErrorLogger::StandardErrorLogger(const Clock& clock,
                                          std::string instance,
                                          LogLevel least_level)
-    : m_clock(clock), m_instance(std::move(instance)), m_least_level(least_level) {}
+    : m_clock(clock), m_instance(std::move(instance)), m_min_level(least_level) {}
 
 void StandardErrorLogger::Log(LogLevel level,
                               std::string_view event,
                               std::initializer_list<LogField> fields) {
-  if (level < m_least_level) {
+  if (level < m_min_level) {
     return;
   }
   const auto since_epoch =
--- a/packages/zinnia_base/logging/standard_error_logger.h
+++ b/packages/zinnia_base/logging/standard_error_logger.h
@@ -17,7 +17,7 @@
  private:
   const Clock& m_clock;
   const std::string m_instance;
-  const LogLevel m_least_level;
+  const LogLevel m_min_level;
 };
 
 }  // namespace zinnia
