--- a/packages/zinnia_world/configuration/configuration.cc
+++ b/packages/zinnia_world/configuration/configuration.cc
@@ -98,7 +98,7 @@
 
   void Finish() const {
     for (const auto& member : m_object) {
-      if (!m_asked.contains(std::string(member.key()))) {
+      if (!m_known_fields.contains(std::string(member.key()))) {
         Fail(std::string(member.key()), "is not a known field");
       }
     }
@@ -111,7 +111,7 @@
 
  private:
   const json::value* Find(const char* field) {
-    m_asked.insert(field);
+    m_known_fields.insert(field);
     return m_object.if_contains(field);
   }
 
@@ -156,7 +156,7 @@
 
   std::string m_path;
   json::object m_object;
-  std::set<std::string> m_asked;
+  std::set<std::string> m_known_fields;
 };
 
 constexpr double kMostWeight = 1'000'000.0;
