--- a/tests/world/configuration_test.cc
+++ b/tests/world/configuration_test.cc
@@ -20,7 +20,7 @@
   return entries;
 }
 
-std::string RefusalOf(const std::string& path, const std::string& json) {
+std::string ValidationErrorFor(const std::string& path, const std::string& json) {
   const auto checked = CheckConfigurationEntry(path, json);
   return checked ? "accepted" : checked.error().message;
 }
@@ -59,23 +59,25 @@
 
 TEST(ConfigurationTest, ErrorsNamePathAndField) {
   STRCMP_CONTAINS("organisation/x.weigth is not a known field",
-                  RefusalOf("organisation/x", R"({"weigth":2})").c_str());
+                  ValidationErrorFor("organisation/x", R"({"weigth":2})").c_str());
   STRCMP_CONTAINS("organisation/x.weight must be a number",
-                  RefusalOf("organisation/x", R"({"weight":"2"})").c_str());
-  STRCMP_CONTAINS("model/m.layers is missing", RefusalOf("model/m", R"({"version":"1"})").c_str());
-  STRCMP_CONTAINS("model/m is not a JSON object", RefusalOf("model/m", "[1]").c_str());
-  STRCMP_CONTAINS("is of no known kind", RefusalOf("colour/red", "{}").c_str());
-  STRCMP_CONTAINS("is not a path", RefusalOf("model", "{}").c_str());
+                  ValidationErrorFor("organisation/x", R"({"weight":"2"})").c_str());
+  STRCMP_CONTAINS("model/m.layers is missing",
+                  ValidationErrorFor("model/m", R"({"version":"1"})").c_str());
+  STRCMP_CONTAINS("model/m is not a JSON object", ValidationErrorFor("model/m", "[1]").c_str());
+  STRCMP_CONTAINS("is of no known kind", ValidationErrorFor("colour/red", "{}").c_str());
+  STRCMP_CONTAINS("is not a path", ValidationErrorFor("model", "{}").c_str());
 }
 
 // Guards against responses computed without some of the layers.
 TEST(ConfigurationTest, RejectsPipelinesWithGapsOrOverlaps) {
   const std::string gap = R"({"model":"m","version":"1","stages":[
       {"first_layer":0,"end_layer":4,"replicas":[]},{"first_layer":5,"end_layer":8,"replicas":[]}]})";
-  STRCMP_CONTAINS("expected first_layer 4, found 5", RefusalOf("pipeline/p", gap).c_str());
+  STRCMP_CONTAINS("expected first_layer 4, found 5", ValidationErrorFor("pipeline/p", gap).c_str());
   const std::string late_start =
       R"({"model":"m","version":"1","stages":[{"first_layer":1,"end_layer":4,"replicas":[]}]})";
-  STRCMP_CONTAINS("expected first_layer 0, found 1", RefusalOf("pipeline/p", late_start).c_str());
+  STRCMP_CONTAINS("expected first_layer 0, found 1",
+                  ValidationErrorFor("pipeline/p", late_start).c_str());
 }
 
 // Guards against one organisation reading the streams of another.
