--- a/packages/zinnia_world/fleet/server_load.h
+++ b/packages/zinnia_world/fleet/server_load.h
@@ -7,7 +7,7 @@
 namespace zinnia {
 
 /** The load of a backend server: its last report, which may be stale, and the requests that this
-    instance has sent since then. */
+    instance has sent since then or has in flight. */
 struct ServerLoad {
   std::uint32_t reported_running = 0;
   std::uint32_t reported_queued = 0;
