--- a/packages/zinnia_base/logging/standard_output_logger.cc
+++ b/packages/zinnia_base/logging/standard_output_logger.cc
@@ -9,11 +9,11 @@
 namespace zinnia {
 namespace {
 
-/** Written out at once when so much waits: one system call for some twenty lines. */
+/** Buffer size from which Log writes immediately, which limits the number of system calls. */
 constexpr std::size_t kFlushBytes = 4'096;
 
-/** Events whose rate is counted; names beyond share one count. Names come from the code only. */
-constexpr std::size_t kMostCountedEvents = 256;
+/** Maximum number of event names with a rate counter of their own; further names share one. */
+constexpr std::size_t kMaxCountedEvents = 256;
 constexpr std::string_view kOtherEvents = "other";
 
 std::int64_t SecondOf(TimePoint time) {
@@ -29,7 +29,7 @@
                                            OutputLoggerLimits limits)
     : m_clock(clock),
       m_instance(std::move(instance)),
-      m_least_level(least_level),
+      m_min_level(least_level),
       m_descriptor(descriptor),
       m_limits(limits) {
   const int flags = fcntl(m_descriptor, F_GETFL);
@@ -45,7 +45,7 @@
 void StandardOutputLogger::Log(LogLevel level,
                                std::string_view event,
                                std::initializer_list<LogField> fields) {
-  if (level < m_least_level) {
+  if (level < m_min_level) {
     return;
   }
   const auto since_epoch =
@@ -59,13 +59,13 @@
     return;
   }
   Append(line);
-  if (m_waiting.size() >= kFlushBytes) {
+  if (m_buffer.size() >= kFlushBytes) {
     WriteOut();
   }
 }
 
 bool StandardOutputLogger::IsWithinRate(std::string_view event) {
-  if (!m_counts.contains(event) && m_counts.size() >= kMostCountedEvents) {
+  if (!m_counts.contains(event) && m_counts.size() >= kMaxCountedEvents) {
     event = kOtherEvents;
   }
   const std::int64_t second = SecondOf(m_clock.Now());
@@ -73,15 +73,15 @@
   if (count.second != second) {
     count = {second, 0};
   }
-  return ++count.lines <= m_limits.most_lines_per_event_and_second;
+  return ++count.lines <= m_limits.max_lines_per_event_per_second;
 }
 
 void StandardOutputLogger::Append(std::string_view text) {
-  if (m_waiting.size() + text.size() > m_limits.most_waiting_bytes) {
+  if (m_buffer.size() + text.size() > m_limits.max_buffered_bytes) {
     ++m_dropped;
     return;
   }
-  m_waiting.append(text);
+  m_buffer.append(text);
 }
 
 void StandardOutputLogger::ReportDropped() {
@@ -97,25 +97,25 @@
 
 void StandardOutputLogger::Flush() {
   const std::lock_guard lock(m_mutex);
-  WriteOut();  // First, or a full buffer would drop the report of what was dropped.
+  WriteOut();  // Makes space in the buffer for the line that reports dropped lines.
   ReportDropped();
   WriteOut();
 }
 
-/** An error other than a full pipe means that nobody can read; what waits is dropped, since there
-    is nowhere left to say so. */
+/** Discards the buffer on errors other than EAGAIN, EWOULDBLOCK and EINTR, since the descriptor is
+    then unusable. */
 void StandardOutputLogger::WriteOut() {
-  while (!m_waiting.empty()) {
-    const auto written = write(m_descriptor, m_waiting.data(), m_waiting.size());
+  while (!m_buffer.empty()) {
+    const auto written = write(m_descriptor, m_buffer.data(), m_buffer.size());
     if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
       return;
     }
     if (written < 0) {
       ++m_dropped;
-      m_waiting.clear();
+      m_buffer.clear();
       return;
     }
-    m_waiting.erase(0, static_cast<std::size_t>(written));
+    m_buffer.erase(0, static_cast<std::size_t>(written));
   }
 }
 
--- a/packages/zinnia_world/configuration/configuration.cc
+++ b/packages/zinnia_world/configuration/configuration.cc
@@ -12,8 +12,8 @@
 
 namespace json = boost::json;
 
-/** Reads the fields of one entry's JSON object. Throws ErrorException naming path and field;
-    Finish() refuses names that nobody asked for, so that a misspelt field is not silently lost. */
+/** Reads the fields of an entry's JSON object. Throws an ErrorException that names path and field.
+    Finish() rejects unknown fields, so that misspelt ones are not ignored. */
 class EntryReader {
  public:
   EntryReader(std::string path, std::string_view text) : m_path(std::move(path)) {
@@ -98,7 +98,7 @@
 
   void Finish() const {
     for (const auto& member : m_object) {
-      if (!m_asked.contains(std::string(member.key()))) {
+      if (!m_known_fields.contains(std::string(member.key()))) {
         Fail(std::string(member.key()), "is not a known field");
       }
     }
@@ -111,7 +111,7 @@
 
  private:
   const json::value* Find(const char* field) {
-    m_asked.insert(field);
+    m_known_fields.insert(field);
     return m_object.if_contains(field);
   }
 
@@ -156,7 +156,7 @@
 
   std::string m_path;
   json::object m_object;
-  std::set<std::string> m_asked;
+  std::set<std::string> m_known_fields;
 };
 
 constexpr double kMostWeight = 1'000'000.0;
--- a/tests/base/errors_and_logs_test.cc
+++ b/tests/base/errors_and_logs_test.cc
@@ -18,7 +18,7 @@
 
 TEST_GROUP(ErrorTest){};
 
-TEST(ErrorTest, EveryKindHasItsOwnNameAndARemedy) {
+TEST(ErrorTest, KindsHaveUniqueNamesAndRemedies) {
   std::string names;
   for (int kind = 0; kind <= static_cast<int>(ErrorKind::kInternal); ++kind) {
     const std::string name = " " + std::string(NameOf(static_cast<ErrorKind>(kind))) + " ";
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(ErrorTest, ValueOfAFailedResultThrowsTheTypedError) {
+TEST(ErrorTest, ValueOfFailedResultThrowsErrorException) {
   LONGS_EQUAL(4, Half(8).value());
   try {
     Half(7).value();
@@ -42,8 +42,7 @@
 
 TEST_GROUP(LogLineTest){};
 
-// Symptom: one event shows as two lines, the second of an attacker's choice. Cause: a value with a
-// line end was written as it was.
+// Guards against log injection by values that contain line breaks or quotes.
 TEST(LogLineTest, ValuesCannotForgeLinesOrFields) {
   const std::string line = FormatLogLine(LogLevel::kInfo, "request_done",
                                          {{"path", "a\nlevel=error \"b\""}, {"n", "1"}});
@@ -52,7 +51,7 @@
 
 TEST_GROUP(FingerprintTest){};
 
-TEST(FingerprintTest, DependsOnTheBytesOnly) {
+TEST(FingerprintTest, DependsOnContentOnly) {
   CHECK_TRUE(Fingerprint::Of("kitanda") == Fingerprint::Of(std::string("kitanda")));
   CHECK_FALSE(Fingerprint::Of("kitanda") == Fingerprint::Of("kitandb"));
   LONGS_EQUAL(32, Fingerprint::Of("").ToHex().size());
--- a/tests/base/virtual_time_test.cc
+++ b/tests/base/virtual_time_test.cc
@@ -13,7 +13,7 @@
   std::string m_order;
 };
 
-TEST(VirtualTimeTest, RunsCallsByTimeThenByOrderOfScheduling) {
+TEST(VirtualTimeTest, RunsCallsInOrderOfTimeThenOfScheduling) {
   auto late = m_time.ScheduleAfter(20ms, [this] { m_order += "c"; });
   auto first = m_time.ScheduleAfter(10ms, [this] { m_order += "a"; });
   auto second = m_time.ScheduleAfter(10ms, [this] { m_order += "b"; });
@@ -28,7 +28,7 @@
   STRCMP_EQUAL("", m_order.c_str());
 }
 
-TEST(VirtualTimeTest, CallsScheduledWhileAdvancingRunIfDueInTime) {
+TEST(VirtualTimeTest, RunsDueCallsScheduledWhileAdvancing) {
   std::unique_ptr<ScheduledCall> inner;
   auto outer = m_time.ScheduleAfter(
       1ms, [&] { inner = m_time.ScheduleAfter(1ms, [this] { m_order += "inner"; }); });
@@ -36,7 +36,7 @@
   STRCMP_EQUAL("inner", m_order.c_str());
 }
 
-TEST(VirtualTimeTest, ACallMayDestroyItsOwnHandle) {
+TEST(VirtualTimeTest, CallMayDestroyItsOwnHandle) {
   std::unique_ptr<ScheduledCall> call;
   call = m_time.ScheduleAfter(1ms, [&] {
     call.reset();
@@ -46,7 +46,7 @@
   STRCMP_EQUAL("ran", m_order.c_str());
 }
 
-TEST(VirtualTimeTest, HandleMayOutliveTheTime) {
+TEST(VirtualTimeTest, HandleMayOutliveVirtualTime) {
   std::unique_ptr<ScheduledCall> call;
   {
     VirtualTime short_lived;
