--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -82,7 +82,7 @@
 }
 
 void CrashAnnouncer::Finish(Announcements::iterator announcement) {
-  // Kept alive until the end: this may run from its own timer.
+  // Keeps the announcement alive until return: its own timer may be the caller.
   const std::unique_ptr<Announcement> finished = std::move(*announcement);
   m_announcements.erase(announcement);
   finished->done();
--- a/packages/zinnia_decisions/quarantine/crash_announcer.h
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.h
@@ -15,17 +15,15 @@
 
 class GossipMembership;
 
-/** Tells the live peers of a crash and says when they know.
+/** Sends crash reports to the live peers and reports when they have acknowledged them.
 
-    What fails without it: a request that crashes servers is helped to a second one within a
-    millisecond, and copies that its caller sends through other instances meanwhile start on a third
-    and a fourth, because the rumour of the first crash was still on its way. One notices more than
-    two dead servers for one fingerprint. So the second try waits until the peers have acknowledged
-    the first crash: from then on they hold copies back.
+    A request is retried on a second server only once the peers have acknowledged the first crash;
+    from then on they refuse duplicates of it. Otherwise duplicates that the client sends through
+    other instances could crash further servers before the report reaches those instances.
 
-    A peer that does not answer within kLongestWait is not waited for, or one frozen instance would
-    hold up every recovery; in a large fleet only kMostPeers are asked and the others hear by
-   rumour.
+    Peers that do not acknowledge within kLongestWait are skipped, so that an unresponsive instance
+    cannot block recovery. At most kMostPeers peers are contacted directly; the others receive the
+    report by gossip.
 
     Lives on the control thread.
 
@@ -40,10 +38,10 @@
   CrashAnnouncer(GossipMembership& membership, Scheduler& scheduler);
   ~CrashAnnouncer();
 
-  /** `done` is called once, never from inside. */
+  /** Calls `done` once, after this function has returned. */
   void Announce(std::vector<CrashRumour> rumours, std::function<void()> done);
 
-  /** Tell it the sequence of each acknowledgement that came. */
+  /** Call for each acknowledgement received, with its sequence number. */
   void OnAcknowledged(std::uint64_t sequence);
 
  private:
