--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kFingerprintsInRumour = 40;
 
-/** Reports of crashes of one server that are closer than any restart takes are of one crash. */
+/** Crash reports for one server closer than this are of one crash: no server restarts as fast. */
 constexpr Duration kOneCrash = std::chrono::seconds(1);
 
 }  // namespace
@@ -44,8 +44,8 @@
   return news;
 }
 
-// An instance that reads of the restart before it reports the crash names the new incarnation. Held
-// for a second crash, it would quarantine whoever was in flight at the first through two instances.
+// An instance that sees the restart before it reports the crash names the new incarnation. Counting
+// that as a second crash would quarantine requests in flight through two instances at the first.
 CrashQuarantine::CrashKey CrashQuarantine::KeyOf(const CrashRumour& rumour, TimePoint at) const {
   for (auto row = m_crashes.lower_bound({rumour.server, 0});
        row != m_crashes.end() && row->first.first == rumour.server; ++row) {
@@ -97,8 +97,8 @@
   return explained || expired;
 }
 
-// Not at once: another instance may still tell that a second fingerprint was in flight at both
-// crashes, and then nobody can say which of the two it was.
+// Delayed by `hold`: another instance may still report a second fingerprint in flight at both
+// crashes, which leaves the cause ambiguous.
 bool CrashQuarantine::DropExplained(TimePoint now) {
   bool changed = false;
   for (auto& [key, crash] : m_crashes) {
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.h
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.h
@@ -14,25 +14,25 @@
 
 namespace zinnia {
 
-/** Times and bounds of the quarantine. At a bound the oldest crash, and with it the suspicions that
-    rest on it alone, or the oldest quarantined fingerprint goes; newcomers are always taken in. */
+/** Time and size limits of the quarantine. When a size limit is reached, the oldest crash (with the
+    suspects that it alone supports) or the oldest quarantined fingerprint is evicted. */
 struct QuarantineSettings {
   Duration suspect_for = std::chrono::minutes(2);
   Duration quarantine_for = std::chrono::minutes(15);
 
-  /** A suspect is not started anew within this time of its crash: every instance has heard of the
-      crash by then, and agrees on the suspect's owner. */
+  /** A suspect is not restarted within this time after its crash, so that every instance has
+      received the report and agrees on the suspect's owner. */
   Duration hold = std::chrono::seconds(5);
 
-  /** News of a crash reaches every instance in this time, also on busy machines. Crashes closer
-     than that are one event for a request that was in flight at each, unless it ran alone. */
+  /** Upper bound on the time for a crash report to reach every instance. Crashes less than this
+      apart count as one event for a request in flight at each, unless it ran alone. */
   Duration news_time = std::chrono::seconds(1);
   std::size_t most_crashes = 64;
   std::size_t most_fingerprints_per_crash = 128;
   std::size_t most_quarantined = 1024;
 };
 
-/** One row for operators. */
+/** One row of the operators' quarantine table. */
 struct QuarantineRow {
   Fingerprint fingerprint;
   bool quarantined = false;
@@ -40,15 +40,14 @@
   Duration remaining{};
 };
 
-/** Finds the requests that crash backend servers, from what was in flight at each crash.
+/** Identifies requests that crash backend servers, from those in flight at each crash.
 
-    A fingerprint in flight at one crash is a suspect; at crashes of two distinct servers, or of two
-    incarnations of one, it is quarantined, if the second attempt began when the first crash was
-    known: it ran alone, or the crashes are further apart than news takes. Servers that die in the
-    same moment prove nothing against those that ran at both. Everything is worked out from the
-   crash rumours alone, so that all instances that heard the same come to the same rows. Once a
-   fingerprint is quarantined, its crashes are explained: whoever was only in flight beside it is a
-   suspect no longer.
+    A fingerprint in flight at one crash is a suspect. After crashes of two servers, or of two
+    incarnations of one server, it is quarantined if it ran alone at one of them or the crashes are
+    at least `news_time` apart; simultaneous crashes may have a common cause. Once a fingerprint is
+    quarantined, its crashes are explained, and the other fingerprints in flight at them are
+    cleared. The state depends only on crash reports, so that instances that received the same
+    reports reach the same result.
 
     Lives on the control thread.
 
@@ -58,29 +57,29 @@
  public:
   explicit CrashQuarantine(QuarantineSettings settings) : m_settings(settings) {}
 
-  /** Takes in a crash. Returns the fingerprints that were news, to be passed on. */
+  /** Records a crash. Returns the fingerprints with new evidence, to be forwarded to peers. */
   std::vector<Fingerprint> OnCrash(const CrashRumour& rumour, TimePoint now);
 
   bool IsEmpty() const { return m_crashes.empty() && m_quarantined_since.empty(); }
 
-  /** Lets entries expire and explained suspicions go. Returns whether anything changed. */
+  /** Drops expired entries and cleared suspects. Returns whether anything changed. */
   bool Tick(TimePoint now);
 
   bool IsQuarantined(const Fingerprint& fingerprint) const;
   bool IsSuspect(const Fingerprint& fingerprint) const;
 
-  /** The one right to start a suspect anew, given to its owner once at a time. Everything that is
-      no suspect is granted without a claim. Give it back with Release. */
+  /** Claims the exclusive right to restart a suspect; only its owner can get it. Returns true
+      without a claim for a fingerprint that is neither suspect nor quarantined. @see Release */
   bool Claim(const Fingerprint& fingerprint, TimePoint now);
   void Release(const Fingerprint& fingerprint);
 
-  /** Tells which instances live, for the choice of owners. */
+  /** Sets the live instances from which the owners of suspects are chosen. */
   void SetInstances(const InstanceName& self, std::vector<Instance> live);
 
   std::shared_ptr<const QuarantineSnapshot> BuildSnapshot(TimePoint now) const;
   std::vector<QuarantineRow> Rows(TimePoint now) const;
 
-  /** All crashes that still matter, for instances that were not there. */
+  /** Reports of all recorded crashes, for instances that joined later. */
   std::vector<CrashRumour> Rumours(TimePoint now) const;
 
  private:
@@ -89,7 +88,7 @@
     TimePoint at{};
     std::unordered_set<Fingerprint> fingerprints;
 
-    /** Of these, those that ran alone. */
+    /** The subset of `fingerprints` that ran alone. */
     std::unordered_set<Fingerprint> alone;
     std::optional<TimePoint> explained_at;
   };
