--- a/packages/zinnia_decisions/quarantine/quarantine_snapshot.h
+++ b/packages/zinnia_decisions/quarantine/quarantine_snapshot.h
@@ -8,9 +8,9 @@
 
 namespace zinnia {
 
-/** An immutable picture of the quarantine for the traffic threads.
+/** An immutable snapshot of the quarantine for the traffic threads.
 
-    Entries do not run out by themselves: CrashQuarantine publishes a new picture when they do.
+    Entries do not expire here: a new snapshot is built when they expire in CrashQuarantine.
 
     @see CrashQuarantine
 */
@@ -23,9 +23,9 @@
   bool IsQuarantined(const Fingerprint& fingerprint) const override;
   bool IsSuspect(const Fingerprint& fingerprint) const override;
 
-  /** Whether a request that is not running yet may be started through this instance. A suspect may
-      be started by one instance only, its owner, so that copies which a caller sends through two
-      instances cannot take down two servers at once. Refuse with kQuarantined and Retry-After.
+  /** Whether this instance may start a request that is not running yet. Only its owner may start
+      a suspect, so that duplicates sent through two instances cannot crash two servers at once.
+      If false, refuse the request with kQuarantined and Retry-After.
       @see CrashQuarantine::Claim */
   bool MayStart(const Fingerprint& fingerprint) const;
 
--- a/packages/zinnia_decisions/quarantine/quarantine_view.h
+++ b/packages/zinnia_decisions/quarantine/quarantine_view.h
@@ -4,7 +4,7 @@
 
 namespace zinnia {
 
-/** Which requests are refused or treated with care because backend servers crashed under them. */
+/** Read access to the requests that are quarantined or suspected of crashing backend servers. */
 class QuarantineView {
  public:
   virtual ~QuarantineView() = default;
