--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t kFingerprintsInRumour = 40;
 
 /** Crash reports for one server closer than this are of one crash: no server restarts as fast. */
-constexpr Duration kOneCrash = std::chrono::seconds(1);
+constexpr Duration kSameCrashWindow = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -49,7 +49,7 @@
 CrashQuarantine::CrashKey CrashQuarantine::KeyOf(const CrashRumour& rumour, TimePoint at) const {
   for (auto row = m_crashes.lower_bound({rumour.server, 0});
        row != m_crashes.end() && row->first.first == rumour.server; ++row) {
-    if (std::chrono::abs(row->second.at - at) < kOneCrash) {
+    if (std::chrono::abs(row->second.at - at) < kSameCrashWindow) {
       return row->first;
     }
   }
