--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -11,7 +11,7 @@
 struct CrashAnnouncer::Announcement {
   std::vector<CrashRumour> rumours;
   std::function<void()> done;
-  std::map<InstanceName, Instance> unaware;
+  std::map<InstanceName, Instance> unacknowledged;
   std::map<std::uint64_t, InstanceName> sent;
   Duration waited{};
   std::unique_ptr<ScheduledCall> timer;
@@ -27,20 +27,20 @@
   announcement->rumours = std::move(rumours);
   announcement->done = std::move(done);
   for (const Instance& peer : m_membership.LiveInstances()) {
-    if (peer.name != m_membership.Self().name && announcement->unaware.size() < kMostPeers) {
-      announcement->unaware.emplace(peer.name, peer);
+    if (peer.name != m_membership.Self().name && announcement->unacknowledged.size() < kMostPeers) {
+      announcement->unacknowledged.emplace(peer.name, peer);
     }
   }
   m_announcements.push_back(std::move(announcement));
   const auto added = std::prev(m_announcements.end());
   Send(**added);
-  const bool nobody = (*added)->unaware.empty();
+  const bool nobody = (*added)->unacknowledged.empty();
   (*added)->timer = m_scheduler.ScheduleAfter(nobody ? Duration::zero() : kRepeatAfter,
                                               [this, added] { OnTimer(added); });
 }
 
 void CrashAnnouncer::Send(Announcement& announcement) {
-  for (const auto& [name, peer] : announcement.unaware) {
+  for (const auto& [name, peer] : announcement.unacknowledged) {
     for (const CrashRumour& rumour : announcement.rumours) {
       announcement.sent.emplace(m_membership.PingWith(peer, rumour), name);
     }
@@ -50,7 +50,7 @@
 void CrashAnnouncer::OnTimer(Announcements::iterator announcement) {
   Announcement& current = **announcement;
   current.waited += kRepeatAfter;
-  if (current.unaware.empty() || current.waited >= kLongestWait) {
+  if (current.unacknowledged.empty() || current.waited >= kLongestWait) {
     Finish(announcement);
     return;
   }
@@ -72,9 +72,9 @@
     const bool has_more =
         std::ranges::any_of(current.sent, [&](const auto& entry) { return entry.second == name; });
     if (!has_more) {
-      current.unaware.erase(name);
+      current.unacknowledged.erase(name);
     }
-    if (current.unaware.empty()) {
+    if (current.unacknowledged.empty()) {
       Finish(announcement);
     }
     return;
