--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -126,8 +126,8 @@
   /** A server crashed while these requests of this instance were in flight at it. */
   void ReportServerCrash(const BackendServerName& server, const InFlightAtCrash& in_flight);
 
-  /** The same, and says when the live peers know, or after CrashAnnouncer::kLongestWait. Only then
-      may one of those requests be tried again. */
+  /** The same, and says when the live peers know, or after CrashAnnouncer::kAcknowledgementTimeout.
+     Only then may one of those requests be tried again. */
   void ReportServerCrash(const BackendServerName& server,
                          const InFlightAtCrash& in_flight,
                          std::function<void()> peers_know);
--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -50,7 +50,7 @@
 void CrashAnnouncer::OnTimer(Announcements::iterator announcement) {
   Announcement& current = **announcement;
   current.waited += kRepeatAfter;
-  if (current.unacknowledged.empty() || current.waited >= kLongestWait) {
+  if (current.unacknowledged.empty() || current.waited >= kAcknowledgementTimeout) {
     Finish(announcement);
     return;
   }
--- a/packages/zinnia_decisions/quarantine/crash_announcer.h
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.h
@@ -21,9 +21,9 @@
     from then on they refuse duplicates of it. Otherwise duplicates that the client sends through
     other instances could crash further servers before the report reaches those instances.
 
-    Peers that do not acknowledge within kLongestWait are skipped, so that an unresponsive instance
-    cannot block recovery. At most kMostPeers peers are contacted directly; the others receive the
-    report by gossip.
+    Peers that do not acknowledge within kAcknowledgementTimeout are skipped, so that an
+   unresponsive instance cannot block recovery. At most kMostPeers peers are contacted directly; the
+   others receive the report by gossip.
 
     Lives on the control thread.
 
@@ -33,7 +33,7 @@
  public:
   static constexpr std::size_t kMostPeers = 32;
   static constexpr Duration kRepeatAfter = std::chrono::milliseconds(20);
-  static constexpr Duration kLongestWait = std::chrono::milliseconds(100);
+  static constexpr Duration kAcknowledgementTimeout = std::chrono::milliseconds(100);
 
   CrashAnnouncer(GossipMembership& membership, Scheduler& scheduler);
   ~CrashAnnouncer();
--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -202,7 +202,7 @@
     }
   });
   CHECK_EQUAL(-1, known_at);
-  fleet.time.AdvanceBy(CrashAnnouncer::kLongestWait - milliseconds(1));
+  fleet.time.AdvanceBy(CrashAnnouncer::kAcknowledgementTimeout - milliseconds(1));
   CHECK_EQUAL(5, known_at);
 }
 
@@ -211,7 +211,7 @@
   fleet.processes[3]->scheduler.Pause();
   bool known = false;
   fleet.At(0).ReportServerCrash("b-0", {{kPoison}, {}}, [&] { known = true; });
-  fleet.time.AdvanceBy(CrashAnnouncer::kLongestWait - milliseconds(1));
+  fleet.time.AdvanceBy(CrashAnnouncer::kAcknowledgementTimeout - milliseconds(1));
   CHECK_FALSE(known);
   fleet.time.AdvanceBy(milliseconds(2));
   CHECK_TRUE(known);
@@ -258,7 +258,7 @@
   fleet.At(0).ReportServerCrash("b-11", {{innocent}, {}}, [&] { ++waits_ended; });
   RunAt(1, false);
   RunAt(2, false);
-  fleet.time.AdvanceBy(CrashAnnouncer::kLongestWait);
+  fleet.time.AdvanceBy(CrashAnnouncer::kAcknowledgementTimeout);
   CHECK_EQUAL(2, waits_ended);
   for (int attempt = 0; attempt < 100; ++attempt) {
     fleet.time.AdvanceBy(milliseconds(500));
