--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -35,7 +35,7 @@
   const auto added = std::prev(m_announcements.end());
   Send(**added);
   const bool nobody = (*added)->unacknowledged.empty();
-  (*added)->timer = m_scheduler.ScheduleAfter(nobody ? Duration::zero() : kRepeatAfter,
+  (*added)->timer = m_scheduler.ScheduleAfter(nobody ? Duration::zero() : kRetryInterval,
                                               [this, added] { OnTimer(added); });
 }
 
@@ -49,14 +49,14 @@
 
 void CrashAnnouncer::OnTimer(Announcements::iterator announcement) {
   Announcement& current = **announcement;
-  current.waited += kRepeatAfter;
+  current.waited += kRetryInterval;
   if (current.unacknowledged.empty() || current.waited >= kAcknowledgementTimeout) {
     Finish(announcement);
     return;
   }
   Send(current);
   current.timer =
-      m_scheduler.ScheduleAfter(kRepeatAfter, [this, announcement] { OnTimer(announcement); });
+      m_scheduler.ScheduleAfter(kRetryInterval, [this, announcement] { OnTimer(announcement); });
 }
 
 void CrashAnnouncer::OnAcknowledged(std::uint64_t sequence) {
--- a/packages/zinnia_decisions/quarantine/crash_announcer.h
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.h
@@ -32,7 +32,7 @@
 class CrashAnnouncer {
  public:
   static constexpr std::size_t kMostPeers = 32;
-  static constexpr Duration kRepeatAfter = std::chrono::milliseconds(20);
+  static constexpr Duration kRetryInterval = std::chrono::milliseconds(20);
   static constexpr Duration kAcknowledgementTimeout = std::chrono::milliseconds(100);
 
   CrashAnnouncer(GossipMembership& membership, Scheduler& scheduler);
