--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -27,7 +27,7 @@
   announcement->rumours = std::move(rumours);
   announcement->done = std::move(done);
   for (const Instance& peer : m_membership.LiveInstances()) {
-    if (peer.name != m_membership.Self().name && announcement->unacknowledged.size() < kMostPeers) {
+    if (peer.name != m_membership.Self().name && announcement->unacknowledged.size() < kMaxPeers) {
       announcement->unacknowledged.emplace(peer.name, peer);
     }
   }
--- a/packages/zinnia_decisions/quarantine/crash_announcer.h
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.h
@@ -22,7 +22,7 @@
     other instances could crash further servers before the report reaches those instances.
 
     Peers that do not acknowledge within kAcknowledgementTimeout are skipped, so that an
-   unresponsive instance cannot block recovery. At most kMostPeers peers are contacted directly; the
+   unresponsive instance cannot block recovery. At most kMaxPeers peers are contacted directly; the
    others receive the report by gossip.
 
     Lives on the control thread.
@@ -31,7 +31,7 @@
 */
 class CrashAnnouncer {
  public:
-  static constexpr std::size_t kMostPeers = 32;
+  static constexpr std::size_t kMaxPeers = 32;
   static constexpr Duration kRetryInterval = std::chrono::milliseconds(20);
   static constexpr Duration kAcknowledgementTimeout = std::chrono::milliseconds(100);
 
