--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -70,7 +70,7 @@
     last = std::max(last, crash.at);
     ran_alone = ran_alone || crash.alone.contains(fingerprint);
   }
-  return ran_alone || last - first >= m_settings.news_time;
+  return ran_alone || last - first >= m_settings.report_propagation_time;
 }
 
 void CrashQuarantine::QuarantineIfProven(const Fingerprint& fingerprint) {
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.h
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.h
@@ -26,7 +26,7 @@
 
   /** Upper bound on the time for a crash report to reach every instance. Crashes less than this
       apart count as one event for a request in flight at each, unless it ran alone. */
-  Duration news_time = std::chrono::seconds(1);
+  Duration report_propagation_time = std::chrono::seconds(1);
   std::size_t most_crashes = 64;
   std::size_t most_fingerprints_per_crash = 128;
   std::size_t most_quarantined = 1024;
@@ -44,10 +44,10 @@
 
     A fingerprint in flight at one crash is a suspect. After crashes of two servers, or of two
     incarnations of one server, it is quarantined if it ran alone at one of them or the crashes are
-    at least `news_time` apart; simultaneous crashes may have a common cause. Once a fingerprint is
-    quarantined, its crashes are explained, and the other fingerprints in flight at them are
-    cleared. The state depends only on crash reports, so that instances that received the same
-    reports reach the same result.
+    at least `report_propagation_time` apart; simultaneous crashes may have a common cause. Once a
+   fingerprint is quarantined, its crashes are explained, and the other fingerprints in flight at
+   them are cleared. The state depends only on crash reports, so that instances that received the
+   same reports reach the same result.
 
     Lives on the control thread.
 
