--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -40,7 +40,7 @@
   for (const Fingerprint& fingerprint : news) {
     QuarantineIfProven(fingerprint);
   }
-  KeepWithinBounds();
+  EvictOverLimits();
   return news;
 }
 
@@ -149,7 +149,7 @@
   }
 }
 
-void CrashQuarantine::KeepWithinBounds() {
+void CrashQuarantine::EvictOverLimits() {
   while (m_crashes.size() > m_settings.most_crashes) {
     const auto oldest = std::min_element(
         m_crashes.begin(), m_crashes.end(),
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.h
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.h
@@ -100,7 +100,7 @@
   bool IsHeld(const Fingerprint& fingerprint, TimePoint now) const;
   bool DropExplained(TimePoint now);
   bool DropExpired(TimePoint now);
-  void KeepWithinBounds();
+  void EvictOverLimits();
   void Forget(const Fingerprint& fingerprint, const CrashKey& crash);
 
   const QuarantineSettings m_settings;
