--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -182,7 +182,7 @@
   });
 }
 
-bool CrashQuarantine::IsHeld(const Fingerprint& fingerprint, TimePoint now) const {
+bool CrashQuarantine::IsInHoldPeriod(const Fingerprint& fingerprint, TimePoint now) const {
   const std::vector<CrashKey>& crashes = m_suspects.at(fingerprint);
   return std::any_of(crashes.begin(), crashes.end(), [&](const CrashKey& key) {
     return now - m_crashes.at(key).at < m_settings.hold;
@@ -196,7 +196,8 @@
   if (!IsSuspect(fingerprint)) {
     return true;
   }
-  return IsOwner(fingerprint) && !IsHeld(fingerprint, now) && m_claimed.insert(fingerprint).second;
+  return IsOwner(fingerprint) && !IsInHoldPeriod(fingerprint, now) &&
+         m_claimed.insert(fingerprint).second;
 }
 
 void CrashQuarantine::Release(const Fingerprint& fingerprint) {
@@ -215,7 +216,7 @@
   }
   std::unordered_map<Fingerprint, bool> suspects;
   for (const auto& [fingerprint, crashes] : m_suspects) {
-    suspects[fingerprint] = IsOwner(fingerprint) && !IsHeld(fingerprint, now);
+    suspects[fingerprint] = IsOwner(fingerprint) && !IsInHoldPeriod(fingerprint, now);
   }
   return std::make_shared<const QuarantineSnapshot>(std::move(quarantined), std::move(suspects));
 }
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.h
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.h
@@ -97,7 +97,7 @@
   bool IsProven(const Fingerprint& fingerprint, const std::vector<CrashKey>& crashes) const;
   void QuarantineIfProven(const Fingerprint& fingerprint);
   bool IsOwner(const Fingerprint& fingerprint) const;
-  bool IsHeld(const Fingerprint& fingerprint, TimePoint now) const;
+  bool IsInHoldPeriod(const Fingerprint& fingerprint, TimePoint now) const;
   bool DropExplained(TimePoint now);
   bool DropExpired(TimePoint now);
   void EvictOverLimits();
