--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -8,7 +8,7 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kFingerprintsInRumour = 40;
+constexpr std::size_t kMaxFingerprintsPerRumour = 40;
 
 /** Crash reports for one server closer than this are of one crash: no server restarts as fast. */
 constexpr Duration kSameCrashWindow = std::chrono::seconds(1);
@@ -251,7 +251,7 @@
         if (m_suspects.contains(fingerprint) && crash.alone.contains(fingerprint) == alone) {
           rumour.fingerprints.push_back(fingerprint);
         }
-        if (rumour.fingerprints.size() == kFingerprintsInRumour) {
+        if (rumour.fingerprints.size() == kMaxFingerprintsPerRumour) {
           rumours.push_back(rumour);
           rumour.fingerprints.clear();
         }
