--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -150,7 +150,7 @@
 }
 
 void CrashQuarantine::EvictOverLimits() {
-  while (m_crashes.size() > m_settings.most_crashes) {
+  while (m_crashes.size() > m_settings.max_crashes) {
     const auto oldest = std::min_element(
         m_crashes.begin(), m_crashes.end(),
         [](const auto& left, const auto& right) { return left.second.at < right.second.at; });
--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -128,7 +128,7 @@
 
 TEST(Quarantine, SettlesAtItsBounds) {
   QuarantineSettings small;
-  small.most_crashes = 8;
+  small.max_crashes = 8;
   small.most_fingerprints_per_crash = 16;
   CrashQuarantine bounded(small);
   for (int server = 0; server < 40; ++server) {
@@ -140,7 +140,7 @@
     }
     bounded.OnCrash(CrashOf(fmt::format("b-{}", server), in_flight), At(seconds(server)));
   }
-  CHECK_EQUAL(small.most_crashes * 16, bounded.Rows(At(seconds(40))).size());
+  CHECK_EQUAL(small.max_crashes * 16, bounded.Rows(At(seconds(40))).size());
   CHECK_TRUE(bounded.IsSuspect(Fingerprint::Of("39 0")));
   CHECK_FALSE(bounded.IsSuspect(Fingerprint::Of("0 0")));
 }
