--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -25,7 +25,7 @@
   std::vector<Fingerprint> news;
   for (const Fingerprint& fingerprint : rumour.fingerprints) {
     const bool is_known = crash.fingerprints.contains(fingerprint);
-    if (!is_known && crash.fingerprints.size() >= m_settings.most_fingerprints_per_crash) {
+    if (!is_known && crash.fingerprints.size() >= m_settings.max_fingerprints_per_crash) {
       continue;
     }
     const bool is_new_evidence = rumour.alone && crash.alone.insert(fingerprint).second;
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.h
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.h
@@ -28,7 +28,7 @@
       apart count as one event for a request in flight at each, unless it ran alone. */
   Duration report_propagation_time = std::chrono::seconds(1);
   std::size_t max_crashes = 64;
-  std::size_t most_fingerprints_per_crash = 128;
+  std::size_t max_fingerprints_per_crash = 128;
   std::size_t most_quarantined = 1024;
 };
 
--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -129,7 +129,7 @@
 TEST(Quarantine, SettlesAtItsBounds) {
   QuarantineSettings small;
   small.max_crashes = 8;
-  small.most_fingerprints_per_crash = 16;
+  small.max_fingerprints_per_crash = 16;
   CrashQuarantine bounded(small);
   for (int server = 0; server < 40; ++server) {
     constexpr int kRequests = 30;
