--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -159,7 +159,7 @@
     }
     m_crashes.erase(oldest);
   }
-  while (m_quarantined_since.size() > m_settings.most_quarantined) {
+  while (m_quarantined_since.size() > m_settings.max_quarantined) {
     m_quarantined_since.erase(std::min_element(
         m_quarantined_since.begin(), m_quarantined_since.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; }));
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.h
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.h
@@ -29,7 +29,7 @@
   Duration report_propagation_time = std::chrono::seconds(1);
   std::size_t max_crashes = 64;
   std::size_t max_fingerprints_per_crash = 128;
-  std::size_t most_quarantined = 1024;
+  std::size_t max_quarantined = 1024;
 };
 
 /** One row of the operators' quarantine table. */
