--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -22,7 +22,7 @@
   }
   const CrashKey key = KeyOf(rumour, now - age);
   Crash& crash = m_crashes.try_emplace(key, Crash{now - age, {}, {}, std::nullopt}).first->second;
-  std::vector<Fingerprint> news;
+  std::vector<Fingerprint> new_evidence;
   for (const Fingerprint& fingerprint : rumour.fingerprints) {
     const bool is_known = crash.fingerprints.contains(fingerprint);
     if (!is_known && crash.fingerprints.size() >= m_settings.max_fingerprints_per_crash) {
@@ -34,14 +34,14 @@
       m_suspects[fingerprint].push_back(key);
     }
     if (!is_known || is_new_evidence) {
-      news.push_back(fingerprint);
+      new_evidence.push_back(fingerprint);
     }
   }
-  for (const Fingerprint& fingerprint : news) {
+  for (const Fingerprint& fingerprint : new_evidence) {
     QuarantineIfProven(fingerprint);
   }
   EvictOverLimits();
-  return news;
+  return new_evidence;
 }
 
 // An instance that sees the restart before it reports the crash names the new incarnation. Counting
