--- a/packages/zinnia_decisions/quarantine/crash_announcer.cc
+++ b/packages/zinnia_decisions/quarantine/crash_announcer.cc
@@ -34,8 +34,8 @@
   m_announcements.push_back(std::move(announcement));
   const auto added = std::prev(m_announcements.end());
   Send(**added);
-  const bool nobody = (*added)->unacknowledged.empty();
-  (*added)->timer = m_scheduler.ScheduleAfter(nobody ? Duration::zero() : kRetryInterval,
+  const bool no_peers = (*added)->unacknowledged.empty();
+  (*added)->timer = m_scheduler.ScheduleAfter(no_peers ? Duration::zero() : kRetryInterval,
                                               [this, added] { OnTimer(added); });
 }
 
