--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -230,8 +230,8 @@
       row.crashed_servers.push_back(key.first);
       last = std::max(last, m_crashes.at(key).at);
     }
-    const Duration whole = row.quarantined ? m_settings.quarantine_for : m_settings.suspect_for;
-    row.remaining = std::max(Duration::zero(), last + whole - now);
+    const Duration lifetime = row.quarantined ? m_settings.quarantine_for : m_settings.suspect_for;
+    row.remaining = std::max(Duration::zero(), last + lifetime - now);
     rows.push_back(std::move(row));
   }
   std::sort(rows.begin(), rows.end(), [](const QuarantineRow& left, const QuarantineRow& right) {
