--- a/packages/zinnia_decisions/orders/order_role.cc
+++ b/packages/zinnia_decisions/orders/order_role.cc
@@ -16,7 +16,7 @@
 
 /** An instance that is not preferred looks at the lease only every so many ticks: enough to take
     over when views of the membership differ, and cheap for the store. */
-constexpr std::uint64_t kTicksBetweenLooks = 5;
+constexpr std::uint64_t kTicksBetweenLeaseChecks = 5;
 
 std::uint64_t EpochOf(const std::optional<StoreRecord>& record) {
   if (!record || !record->value) {
@@ -57,7 +57,7 @@
     return may_go_on ? KeepAlive() : StepDown("the lease ran out by this instance's clock");
   }
   m_idle_ticks += 1;
-  if (m_state == State::kIdle && (IsPreferred() || m_idle_ticks % kTicksBetweenLooks == 0)) {
+  if (m_state == State::kIdle && (IsPreferred() || m_idle_ticks % kTicksBetweenLeaseChecks == 0)) {
     Acquire();
   }
 }
