--- a/packages/zinnia_decisions/orders/load_planner.cc
+++ b/packages/zinnia_decisions/orders/load_planner.cc
@@ -41,7 +41,7 @@
 }
 
 /** Whether another ready engine holds exactly what this one holds. */
-bool HasReadyTwin(const Engines& engines, const EnginePlanView& engine) {
+bool HasReadyReplica(const Engines& engines, const EnginePlanView& engine) {
   return std::any_of(engines.begin(), engines.end(), [&](const EnginePlanView& other) {
     return other.server != engine.server && other.ready && !other.busy &&
            other.loaded == engine.loaded;
@@ -61,7 +61,7 @@
   if (model == models.end() || !engine.ready) {
     return false;
   }
-  if (HasReadyTwin(engines, engine)) {
+  if (HasReadyReplica(engines, engine)) {
     return false;
   }
   const bool breaks_last = HasCompletePipeline(engines, model->second) &&
