--- a/packages/zinnia_decisions/orders/engine_reconciler.cc
+++ b/packages/zinnia_decisions/orders/engine_reconciler.cc
@@ -150,8 +150,8 @@
     return false;
   }
   const bool checks = server.checks_fencing && engine.state->checks_fencing;
-  const TimePoint quiet_from = m_role.UncheckedFrom();
-  return checks || (m_parts.clock.Now() >= quiet_from && engine.read_at >= quiet_from);
+  const TimePoint unfenced_from = m_role.UncheckedFrom();
+  return checks || (m_parts.clock.Now() >= unfenced_from && engine.read_at >= unfenced_from);
 }
 
 bool EngineReconciler::IsOrderInFlight(const Engine& engine) const {
