--- a/packages/zinnia_decisions/orders/order_role.cc
+++ b/packages/zinnia_decisions/orders/order_role.cc
@@ -53,8 +53,8 @@
 void OrderRole::Tick(std::uint64_t least_epoch) {
   m_least_epoch = std::max(m_least_epoch, least_epoch);
   if (m_state == State::kHeld) {
-    const bool may_go_on = IsWithinLease() || IsWithinOutageGrace();
-    return may_go_on ? KeepAlive() : StepDown("the lease ran out by this instance's clock");
+    const bool may_continue = IsWithinLease() || IsWithinOutageGrace();
+    return may_continue ? KeepAlive() : StepDown("the lease ran out by this instance's clock");
   }
   m_idle_ticks += 1;
   if (m_state == State::kIdle && (IsPreferred() || m_idle_ticks % kTicksBetweenLeaseChecks == 0)) {
