--- a/packages/zinnia_decisions/orders/order_role.cc
+++ b/packages/zinnia_decisions/orders/order_role.cc
@@ -75,8 +75,8 @@
   if (m_state != State::kHeld) {
     return false;
   }
-  const bool nobody_else_can = m_settings.engines_check_fencing || !m_store_serves_others;
-  return IsWithinLease() || (nobody_else_can && IsWithinOutageGrace());
+  const bool no_takeover_possible = m_settings.engines_check_fencing || !m_store_serves_others;
+  return IsWithinLease() || (no_takeover_possible && IsWithinOutageGrace());
 }
 
 bool OrderRole::IsPreferred() const {
