--- a/packages/zinnia_decisions/orders/order_role.cc
+++ b/packages/zinnia_decisions/orders/order_role.cc
@@ -150,7 +150,7 @@
   // The earlier holder's lease has ended, or its key would still be there; what it sent before may
   // still be on its way, and may still be started until its validity ends.
   const auto in_flight = m_settings.valid_for + m_settings.transport_timeout;
-  m_unchecked_from = m_parts.clock.Now() + (had_holder ? in_flight : Duration::zero());
+  m_unfenced_orders_from = m_parts.clock.Now() + (had_holder ? in_flight : Duration::zero());
   Record("take_orders", "the pool's lease was free");
 }
 
--- a/packages/zinnia_decisions/orders/order_role.h
+++ b/packages/zinnia_decisions/orders/order_role.h
@@ -90,7 +90,7 @@
   std::uint64_t Epoch() const { return m_epoch; }
 
   /** From when on engines that do not check the epoch may get orders. */
-  TimePoint UncheckedFrom() const { return m_unchecked_from; }
+  TimePoint UncheckedFrom() const { return m_unfenced_orders_from; }
 
   /** Gives the role up, for a planned stop or because an engine has seen a higher epoch. */
   void StepDown(const char* reason);
@@ -130,7 +130,7 @@
   TimePoint m_valid_until{};
   bool m_renewal_unanswered = false;
   bool m_store_serves_others = false;
-  TimePoint m_unchecked_from{};
+  TimePoint m_unfenced_orders_from{};
   TimePoint m_acquiring_since{};
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
