--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.cc
@@ -94,7 +94,7 @@
 
 bool LayerPlacer::MayOrder() const {
   return m_role.MaySend() &&
-         (m_settings.engines_check_fencing || m_parts.clock.Now() >= m_role.UncheckedFrom());
+         (m_settings.engines_check_fencing || m_parts.clock.Now() >= m_role.UnfencedOrdersFrom());
 }
 
 void LayerPlacer::DetectDepartures(const ForwardingView& view) {
--- a/packages/zinnia_decisions/orders/engine_reconciler.cc
+++ b/packages/zinnia_decisions/orders/engine_reconciler.cc
@@ -150,7 +150,7 @@
     return false;
   }
   const bool checks = server.checks_fencing && engine.state->checks_fencing;
-  const TimePoint unfenced_from = m_role.UncheckedFrom();
+  const TimePoint unfenced_from = m_role.UnfencedOrdersFrom();
   return checks || (m_parts.clock.Now() >= unfenced_from && engine.read_at >= unfenced_from);
 }
 
--- a/packages/zinnia_decisions/orders/order_role.h
+++ b/packages/zinnia_decisions/orders/order_role.h
@@ -59,7 +59,7 @@
     A lease alone proves nothing to an engine: its holder may be paused while it lapses and wake
     afterwards. Engines that check the epoch refuse such a holder. For the others, MaySend compares
     this instance's clock with the lease as counted from before the call that renewed it, less a
-    margin, and UncheckedFrom says when orders of an earlier holder can no longer arrive.
+    margin, and UnfencedOrdersFrom says when orders of an earlier holder can no longer arrive.
 
     What remains: a holder that is paused between MaySend and the moment the bytes leave its machine
     for longer than margin + valid_for + transport_timeout can still reach an engine that does not
@@ -90,7 +90,7 @@
   std::uint64_t Epoch() const { return m_epoch; }
 
   /** From when on engines that do not check the epoch may get orders. */
-  TimePoint UncheckedFrom() const { return m_unfenced_orders_from; }
+  TimePoint UnfencedOrdersFrom() const { return m_unfenced_orders_from; }
 
   /** Gives the role up, for a planned stop or because an engine has seen a higher epoch. */
   void StepDown(const char* reason);
