--- a/packages/zinnia_decisions/forwarding/forwarding_control.cc
+++ b/packages/zinnia_decisions/forwarding/forwarding_control.cc
@@ -255,7 +255,7 @@
   bool is_placer = false;
   const bool renew = m_ticks++ % kTicksBetweenRenewals == 0;
   for (auto& [service, placer] : m_placers) {
-    placer->NoteStoreServesOthers(m_reports.AnyPeerSeesStableStore());
+    placer->SetStoreServesOthers(m_reports.AnyPeerSeesStableStore());
     if (renew) {
       placer->TickRole(MayAcquireOrderRole(service));
     }
--- a/packages/zinnia_decisions/forwarding/placement/layer_placer.h
+++ b/packages/zinnia_decisions/forwarding/placement/layer_placer.h
@@ -48,8 +48,8 @@
   /** Reports that an engine has stopped responding. Its range counts as uncovered from now on. */
   void OnEngineStalled(const BackendServerName& server);
 
-  /** Tells whether a peer says the store serves it; see OrderRole::NoteStoreServesOthers. */
-  void NoteStoreServesOthers(bool serves) { m_role.NoteStoreServesOthers(serves); }
+  /** Tells whether a peer says the store serves it; see OrderRole::SetStoreServesOthers. */
+  void SetStoreServesOthers(bool serves) { m_role.SetStoreServesOthers(serves); }
 
   bool HoldsRole() const { return m_role.IsHeld(); }
 
--- a/packages/zinnia_decisions/orders/order_role.h
+++ b/packages/zinnia_decisions/orders/order_role.h
@@ -37,7 +37,7 @@
 
   /** How long a holder goes on after its lease by its own clock while the store leaves its renewals
       unanswered. Then nobody else can take over either. Engines that check fencing numbers refuse
-      the old holder if somebody does; for others see OrderRole::NoteStoreServesOthers. */
+      the old holder if somebody does; for others see OrderRole::SetStoreServesOthers. */
   std::chrono::milliseconds outage_grace{0};
 };
 
@@ -79,7 +79,7 @@
   /** Whether some other instance says that the store serves it. Where engines do not check fencing
       numbers, a holder outlives its lease only while none does: who cannot reach the store cannot
       take over, and who can has the lease's end to wait for and transport_timeout more. */
-  void NoteStoreServesOthers(bool serves) { m_store_serves_others = serves; }
+  void SetStoreServesOthers(bool serves) { m_store_serves_others = serves; }
 
   /** Whether this instance holds the right, also when it is too near its end to be used. */
   bool IsHeld() const { return m_state != State::kIdle; }
--- a/tests/forwarding/placement_test.cc
+++ b/tests/forwarding/placement_test.cc
@@ -247,13 +247,13 @@
   Run(seconds(2));
   ApplyOrders();
   store.failure = ErrorKind::kStoreUnavailable;
-  placer->NoteStoreServesOthers(true);
+  placer->SetStoreServesOthers(true);
   Run(settings.lease + seconds(2));
   Lose("middle0");
   orders.placed.clear();
   Run(seconds(2));
   CHECK_TRUE(orders.placed.empty());  // Another instance may hold the right by now.
-  placer->NoteStoreServesOthers(false);
+  placer->SetStoreServesOthers(false);
   Run(seconds(2));
   CHECK_FALSE(orders.placed.empty());
 }
