--- a/packages/zinnia_decisions/orders/engine_reconciler.cc
+++ b/packages/zinnia_decisions/orders/engine_reconciler.cc
@@ -67,7 +67,7 @@
   m_timer = m_parts.scheduler.ScheduleAfter(m_settings.tick, [this] { Tick(); });
   m_role.Tick(HighestEpochSeen());
   if (!m_role.MaySend()) {
-    // States read in an earlier term may have been changed by whoever held the role since.
+    // Another holder may have changed the engines since these states were read.
     m_engines.clear();
     return;
   }
@@ -143,8 +143,8 @@
   return view;
 }
 
-/** What is known of an engine must be newer than any order that may have changed it, and an engine
-    that does not check the epoch gets none while an earlier holder's order may still reach it. */
+/** An engine that does not check the epoch gets no order while one from an earlier holder may still
+    reach it, and its state must have been read after that time. */
 bool EngineReconciler::MayOrder(const BackendServer& server, const Engine& engine) const {
   if (!engine.state || engine.state->leaving) {
     return false;
@@ -160,7 +160,7 @@
                                engine.read_at - *engine.ordered_at < longest);
 }
 
-/** The lease is checked here once more, as the last thing before the order goes out. */
+/** Checks the lease again immediately before sending the order. */
 void EngineReconciler::SendOrder(const BackendServerName& server, const LoadedRange& target) {
   if (!m_role.MaySend()) {
     return;
--- a/packages/zinnia_decisions/orders/engine_reconciler.h
+++ b/packages/zinnia_decisions/orders/engine_reconciler.h
@@ -14,13 +14,13 @@
 
 namespace zinnia {
 
-/** Brings the engines of one pool to what the configuration wants them to hold.
+/** Reconciles the engines of one pool with the layer ranges that the configuration assigns them.
 
-    Every instance runs one for each pool; the one that holds the pool's role reads the engines'
-    states and orders loads, the others wait. An order is not believed to have worked because it was
-    accepted: the engine's own state decides, and it is ordered again until it matches.
+    Every instance runs one for each pool; only the holder of the pool's role polls the engines and
+    orders loads. An accepted order does not count as done: loads are ordered again until the state
+    that the engine reports matches.
 
-    Create, then Start. On a planned stop call Stop.
+    Call Start after Create, and Stop for a planned shutdown.
 
     @see OrderRole, PlanLoads
 */
