--- a/packages/zinnia_decisions/orders/load_planner.h
+++ b/packages/zinnia_decisions/orders/load_planner.h
@@ -10,8 +10,8 @@
 
 namespace zinnia {
 
-/** What the planner knows of one engine: what it holds, what it should hold, and whether it may get
-    an order now. `busy`: it is loading, or an order to it may still be on its way. */
+/** The planner's input for one engine. `busy`: it is loading, or an order to it may still be in
+    flight. */
 struct EnginePlanView {
   BackendServerName server;
   std::optional<LoadedRange> loaded;
@@ -21,8 +21,8 @@
   bool may_order = false;
 };
 
-/** What to order now, most urgent first, and which servers wait because they carry the last ready
-    replica of a stage. */
+/** The loads to order now, most urgent first, and the servers that are blocked because they hold
+   the last ready replica of a stage. */
 struct LoadPlan {
   std::vector<BackendServerName> loads;
   std::vector<BackendServerName> blocked;
@@ -31,13 +31,14 @@
 /** Chooses which engines load next, so that at most `most_loads` use the rate-limited weight store
     at once.
 
-    Order: what completes a pipeline of a model that has none first; among those, the model with the
-    fewest layers missing; then other replicas, small ranges first. Ending one load early unblocks
-    a model; sharing the weight store among all would finish them all late.
+    Priority: first the loads for models without a complete pipeline that add missing layers, those
+   of the model with the fewest missing layers first; then additional replicas, small ranges first.
+    Limiting the concurrent loads makes the first model available sooner than sharing the weight
+    store among all.
 
-    A server is left alone as long as loading would take the last complete pipeline of its model
-    away, or the last ready replica of a stage in the version that the model is configured for.
-    An upgrade in place therefore needs a spare replica of each stage.
+    A server gets no order while loading would remove the last complete pipeline of its model, or
+   the last ready replica of a stage in the model's configured version. An in-place upgrade
+   therefore needs a spare replica of each stage.
 */
 LoadPlan PlanLoads(std::vector<EnginePlanView> engines,
                    const std::map<ModelName, Model>& models,
