--- a/packages/zinnia_decisions/orders/order_role.cc
+++ b/packages/zinnia_decisions/orders/order_role.cc
@@ -14,8 +14,8 @@
 namespace zinnia {
 namespace {
 
-/** An instance that is not preferred looks at the lease only every so many ticks: enough to take
-    over when views of the membership differ, and cheap for the store. */
+/** Instances that are not preferred check the lease less often to limit load on the store. They
+    must check it, since membership views may differ. */
 constexpr std::uint64_t kTicksBetweenLeaseChecks = 5;
 
 std::uint64_t EpochOf(const std::optional<StoreRecord>& record) {
@@ -101,7 +101,7 @@
                     }));
 }
 
-/** The lease is counted from before it is asked for, so that it ends here before it ends there. */
+/** Counts the lease from before the request, so that it expires here before it does there. */
 void OrderRole::GrantLease() {
   m_lease_asked_at = m_parts.clock.Now();
   m_parts.store.GrantLease(m_settings.lease,
@@ -147,8 +147,8 @@
   m_epoch = epoch;
   m_valid_until = m_lease_asked_at + m_settings.lease;
   m_renewal_unanswered = false;
-  // The earlier holder's lease has ended, or its key would still be there; what it sent before may
-  // still be on its way, and may still be started until its validity ends.
+  // The previous holder's lease has ended, since its key is gone, but its orders may still be in
+  // flight and may be started until their validity ends.
   const auto in_flight = m_settings.valid_for + m_settings.transport_timeout;
   m_unfenced_orders_from = m_parts.clock.Now() + (had_holder ? in_flight : Duration::zero());
   Record("take_orders", "the pool's lease was free");
@@ -178,7 +178,7 @@
   }
 }
 
-/** Revoking ends the lease-bound key too, also if its write took effect without our knowing. */
+/** Revoking the lease also deletes its key, even if the outcome of writing the key is unknown. */
 void OrderRole::Abandon() {
   m_state = State::kIdle;
   m_parts.store.RevokeLease(m_lease, [](const Result<void>&) {});
--- a/packages/zinnia_decisions/orders/order_role.h
+++ b/packages/zinnia_decisions/orders/order_role.h
@@ -18,7 +18,7 @@
 struct OrderSettings {
   std::chrono::milliseconds lease{10'000};
 
-  /** How much earlier than the lease the holder stops sending: clock rates may differ. */
+  /** How long before the lease ends the holder stops sending, to allow for clock drift. */
   std::chrono::milliseconds lease_margin{2'000};
   std::chrono::milliseconds tick{1'000};
   std::chrono::milliseconds state_interval{2'000};
@@ -26,25 +26,25 @@
   /** How long an engine may still start an order after it was sent. */
   std::chrono::milliseconds valid_for{5'000};
 
-  /** The longest that an order may be on its way before the transport gives it up. */
+  /** Upper bound on an order's time in flight, after which the transport drops it. */
   std::chrono::milliseconds transport_timeout{5'000};
   std::chrono::milliseconds retry_pause{25};
   std::size_t most_loads = 4;
 
-  /** Whether the engines of a LayerPlacer's pool refuse fencing numbers that they have seen
-     exceeded. A reconciler's engines each say it for themselves. */
+  /** Whether the engines of a LayerPlacer's pool refuse stale fencing numbers. The engines of an
+      EngineReconciler report this individually. */
   bool engines_check_fencing = true;
 
-  /** How long a holder goes on after its lease by its own clock while the store leaves its renewals
-      unanswered. Then nobody else can take over either. Engines that check fencing numbers refuse
-      the old holder if somebody does; for others see OrderRole::SetStoreServesOthers. */
+  /** How long a holder continues after its lease while the store does not answer its renewals. In a
+      full store outage no other instance can take over. If one does, engines that check fencing
+      numbers refuse the old holder; for others see OrderRole::SetStoreServesOthers. */
   std::chrono::milliseconds outage_grace{0};
 };
 
 /** Fails with kInvalidSettings naming the field. */
 Result<void> CheckOrderSettings(const OrderSettings& settings);
 
-/** The objects that a reconciler's role works with. All must outlive it. */
+/** Dependencies of an OrderRole. All must outlive it. */
 struct OrderRoleParts {
   Clock& clock;
   Scheduler& scheduler;
@@ -53,17 +53,17 @@
   DecisionRecorder& recorder;
 };
 
-/** The right to give orders to one pool: a lease-bound key that says who, and a lasting record
-    whose epoch is the fencing number.
+/** The exclusive right to send orders to one pool: a lease-bound key that names the holder, and a
+    persistent record whose epoch is the fencing number.
 
-    A lease alone proves nothing to an engine: its holder may be paused while it lapses and wake
-    afterwards. Engines that check the epoch refuse such a holder. For the others, MaySend compares
-    this instance's clock with the lease as counted from before the call that renewed it, less a
-    margin, and UnfencedOrdersFrom says when orders of an earlier holder can no longer arrive.
+    A holder may be paused while its lease expires and resume afterwards. Engines that check the
+    epoch refuse such a holder. For the others, MaySend compares this instance's clock with the end
+    of the lease, counted from before the last renewal request, less a margin; UnfencedOrdersFrom is
+    when orders of an earlier holder can no longer arrive.
 
-    What remains: a holder that is paused between MaySend and the moment the bytes leave its machine
-    for longer than margin + valid_for + transport_timeout can still reach an engine that does not
-    check. Nothing outside that engine can rule it out; the reader of its state repairs it.
+    Limitation: a holder that is paused between MaySend and the actual send for longer than margin +
+    valid_for + transport_timeout can still reach an engine that does not check. Only the engine
+    could prevent this; reconciling its state corrects the effect.
 */
 class OrderRole {
  public:
@@ -73,26 +73,27 @@
   /** Renews a held lease, or tries to acquire a free one with an epoch above `least_epoch`. */
   void Tick(std::uint64_t least_epoch);
 
-  /** Whether orders may be sent at this moment. Ask before each one. */
+  /** Whether orders may be sent now. Call immediately before each order. */
   bool MaySend() const;
 
-  /** Whether some other instance says that the store serves it. Where engines do not check fencing
-      numbers, a holder outlives its lease only while none does: who cannot reach the store cannot
-      take over, and who can has the lease's end to wait for and transport_timeout more. */
+  /** Sets whether some other instance reports that the store serves it. Where engines do not check
+      fencing numbers, a holder continues past its lease only while none does, since an instance
+     that cannot reach the store cannot take over. One that can waits for the lease to end and for
+      transport_timeout after that. */
   void SetStoreServesOthers(bool serves) { m_store_serves_others = serves; }
 
-  /** Whether this instance holds the right, also when it is too near its end to be used. */
+  /** Whether this instance holds or is acquiring the role, even if it may not send orders now. */
   bool IsHeld() const { return m_state != State::kIdle; }
 
-  /** The lease-bound record that is there while some instance holds the right. */
+  /** Key of the lease-bound record that exists while some instance holds the role. */
   static std::string LeaseKeyOf(const std::string& pool) { return "orders/lease/" + pool; }
 
   std::uint64_t Epoch() const { return m_epoch; }
 
-  /** From when on engines that do not check the epoch may get orders. */
+  /** When engines that do not check the epoch may first get orders. */
   TimePoint UnfencedOrdersFrom() const { return m_unfenced_orders_from; }
 
-  /** Gives the role up, for a planned stop or because an engine has seen a higher epoch. */
+  /** Releases the role, for a planned stop or after an engine reported a higher epoch. */
   void StepDown(const char* reason);
 
  private:
@@ -100,8 +101,7 @@
 
   bool IsWithinLease() const;
 
-  /** Past the lease, and the store has left the last renewal unanswered for no longer than
-      `outage_grace`. */
+  /** Whether the last renewal is unanswered and `outage_grace` after the lease has not passed. */
   bool IsWithinOutageGrace() const;
 
   std::string LeaseKey() const { return LeaseKeyOf(m_pool); }
