--- a/packages/zinnia_decisions/orders/pool_reconcilers.h
+++ b/packages/zinnia_decisions/orders/pool_reconcilers.h
@@ -14,10 +14,10 @@
 class SnapshotSource;
 struct FleetSnapshot;
 
-/** One EngineReconciler for each pool in which the configuration orders something of an engine.
+/** Runs an EngineReconciler for each pool with a desired model for at least one server.
 
-    Pools come and go with the configuration, so tell it each new snapshot. A pool without orders
-   has no reconciler, and costs no lease in the store.
+    Call OnSnapshot for each new snapshot. A pool without orders has no reconciler and therefore
+   uses no lease in the store.
 
     @see EngineReconciler
 */
@@ -32,10 +32,10 @@
 
   void OnSnapshot(const FleetSnapshot& snapshot);
 
-  /** Gives up all roles, for a planned stop. */
+  /** Releases all roles, for a planned stop. */
   void Stop();
 
-  /** Whether this instance gives the orders of that pool now. */
+  /** Whether this instance may send orders to that pool now. */
   bool HoldsRole(const std::string& pool) const;
 
  private:
