--- a/packages/zinnia_decisions/operators/configuration_change_request.h
+++ b/packages/zinnia_decisions/operators/configuration_change_request.h
@@ -16,11 +16,11 @@
   bool operator==(const ConfigurationEdit&) const = default;
 };
 
-/** A change that an operator orders: all edits take effect together, or none.
+/** A configuration change requested by an operator; its edits are applied atomically.
 
-    It holds only against `against_revision`; if the configuration has moved on, it is refused with
-    kRevisionConflict, whose message names the newer revision. `change_id` is unique to the change,
-    so that a lost answer of the store can be settled by looking for it. `who` is for the record.
+    It is refused with kRevisionConflict, whose message names the newer revision, unless the
+    configuration is at `against_revision`. `change_id` is unique to the change, so that a lost
+    response of the store can be resolved by searching for it. `who` names the author in logs.
 */
 struct ConfigurationChangeRequest {
   ConfigurationRevision against_revision = 0;
@@ -29,9 +29,9 @@
   std::string who;
 };
 
-/** What stands at a path now. `value` is empty for a path that has no entry; `entry_revision` is
-   the revision that wrote or removed the entry (0 if none did), `revision` that of the whole
-    configuration, to order a change against. */
+/** The current entry at a path. `value` is empty if the path has no entry; `entry_revision` is the
+    revision that wrote or removed the entry (0 if none did), `revision` that of the whole
+    configuration, for use as `against_revision`. */
 struct CurrentConfigurationEntry {
   ConfigurationRevision revision = 0;
   ConfigurationRevision entry_revision = 0;
--- a/packages/zinnia_decisions/operators/operator_desk.h
+++ b/packages/zinnia_decisions/operators/operator_desk.h
@@ -15,7 +15,7 @@
 
 namespace zinnia {
 
-/** What operators can ask to have explained. */
+/** The subjects of an explain command. */
 enum class ExplainKind { kSession, kRequest };
 
 constexpr std::string_view NameOf(ExplainKind kind) {
@@ -28,7 +28,7 @@
   InstanceName to;
 };
 
-/** Where the operators' commands reach the running system. The daemon implements it.
+/** Interface for operators' commands to the running system, implemented by the daemon.
 
     Each callback runs exactly once, either from inside the call or later, on any thread. Calls come
     from the threads of the operators' server.
@@ -48,12 +48,12 @@
   /** The whole table as this instance sees it; the caller filters and sorts. */
   virtual void Table(TableKind kind, TableCallback callback) = 0;
 
-  /** Orders a change. A success is final: the change is written and in force within seconds. Fails
+  /** Requests a change. On success it is written durably and takes effect within seconds. Fails
       with kRevisionConflict, kStoreUnavailable or kStoreOutcomeUnknown, or kInvalidRequest for an
-      entry that Configuration::Parse refuses. */
+     entry that Configuration::Parse rejects. */
   virtual void Change(ConfigurationChangeRequest request, ChangeCallback callback) = 0;
 
-  /** Reads one entry to change some of its fields. An empty path asks only for the revision. */
+  /** Reads one entry, for edits of single fields. An empty path returns only the revision. */
   virtual void CurrentEntry(std::string path, EntryCallback callback) = 0;
 
   virtual void MoveRole(RoleMove move, DoneCallback callback) = 0;
--- a/packages/zinnia_decisions/operators/table_data.h
+++ b/packages/zinnia_decisions/operators/table_data.h
@@ -7,7 +7,7 @@
 
 namespace zinnia {
 
-/** One cell of a table that operators see. */
+/** One cell of an operators' table. */
 using TableCell = std::variant<std::string, double, std::int64_t, bool>;
 
 /** A table as data: every row has one cell for each column. Columns are named in snake_case, with
--- a/packages/zinnia_decisions/operators/table_kind.h
+++ b/packages/zinnia_decisions/operators/table_kind.h
@@ -6,7 +6,7 @@
 
 namespace zinnia {
 
-/** The tables that operators can ask for. */
+/** The tables that operators can query. */
 enum class TableKind {
   kInstances,
   kBackendServers,
