--- a/packages/zinnia_decisions/operators/configuration_change_request.h
+++ b/packages/zinnia_decisions/operators/configuration_change_request.h
@@ -20,7 +20,7 @@
 
     It is refused with kRevisionConflict, whose message names the newer revision, unless the
     configuration is at `against_revision`. `change_id` is unique to the change, so that a lost
-    response of the store can be resolved by searching for it. `who` names the author in logs.
+    response of the store can be resolved by searching for it. `who` names the author.
 */
 struct ConfigurationChangeRequest {
   ConfigurationRevision against_revision = 0;
