--- a/packages/zinnia_decisions/ports/engine_orders.h
+++ b/packages/zinnia_decisions/ports/engine_orders.h
@@ -11,9 +11,9 @@
 
 namespace zinnia {
 
-/** An order to an engine to hold a layer range of a model version. `epoch` is the fencing number;
-    engines that check it refuse a lower one than they have seen. `valid_for` is how long the order
-    may still be started after it was sent. */
+/** An order to an engine to load a layer range of a model version. `epoch` is the fencing number;
+    engines that check it refuse one lower than the highest seen. `valid_for` is how long after
+    sending the engine may start the order. */
 struct LoadOrder {
   std::string order_id;
   LoadedRange target;
@@ -21,7 +21,7 @@
   std::chrono::milliseconds valid_for{5'000};
 };
 
-/** What an engine says of itself. `running` and `queued` count its requests, late by nature. */
+/** The state that an engine reports. `running` and `queued` count its requests and may be stale. */
 struct EngineState {
   std::optional<LoadedRange> loaded;
   std::optional<LoadedRange> loading;
@@ -33,8 +33,8 @@
   std::uint32_t queued = 0;
 };
 
-/** Orders to engines and the reading back of their state. Callbacks run later, on the control
-    thread. kStaleEpoch: refused for its fencing number. kOutcomeUnknown: the answer was lost. */
+/** Sends orders to engines and reads their state. Callbacks run asynchronously on the control
+    thread. kStaleEpoch: refused for its fencing number. kOutcomeUnknown: the response was lost. */
 class EngineOrders {
  public:
   virtual ~EngineOrders() = default;
--- a/packages/zinnia_decisions/ports/layer_orders.h
+++ b/packages/zinnia_decisions/ports/layer_orders.h
@@ -9,9 +9,9 @@
 
 namespace zinnia {
 
-/** Orders to engines to hold layers. Callbacks run later, once, on the control thread.
-    kStaleEpoch: a holder with a higher fencing number has been there. kOutcomeUnknown: no answer;
-    the order may still be carried out, seconds later. kBackendRejected: it does not fit the
+/** Sends orders to engines to load layers. Each callback runs once, asynchronously, on the control
+    thread. kStaleEpoch: the engine has seen a higher fencing number. kOutcomeUnknown: no response;
+    the order may still be executed seconds later. kBackendRejected: the order is invalid in the
     engine's state. */
 class LayerOrders {
  public:
