--- a/packages/zinnia_decisions/ports/in_flight_at_crash.h
+++ b/packages/zinnia_decisions/ports/in_flight_at_crash.h
@@ -10,9 +10,8 @@
 struct InFlightAtCrash {
   std::vector<Fingerprint> beside_others;
 
-  /** Ran by themselves, in attempts that began when an earlier crash under the request was known,
-     and reached the server after that. Two servers that died in the same moment look the same to a
-      request that ran at both; these saw a server die that had lived on. */
+  /** Requests that ran alone, in attempts that began after an earlier crash under the request was
+      known. This excludes simultaneous crashes, which do not show that the request caused both. */
   std::vector<Fingerprint> alone;
 };
 
