--- a/packages/zinnia_decisions/ports/peer_messages.h
+++ b/packages/zinnia_decisions/ports/peer_messages.h
@@ -19,8 +19,8 @@
 
 std::string_view NameOf(MemberState state);
 
-/** Rumour: what is said of an instance. A higher incarnation wins; at the same one, the higher
-    state. Only the instance itself raises its incarnation. */
+/** Gossip about an instance's state. The higher incarnation wins; at equal incarnations, the higher
+    state. Only the instance itself increments its incarnation. */
 struct MemberRumour {
   Instance instance;
   std::uint64_t incarnation = 0;
@@ -28,14 +28,14 @@
   bool operator==(const MemberRumour&) const = default;
 };
 
-/** Rumour: a backend server (that incarnation of it) is leaving. Never taken back. */
+/** Gossip that this incarnation of a backend server is leaving. Never retracted. */
 struct LeavingRumour {
   BackendServerName server;
   std::uint64_t incarnation = 0;
   bool operator==(const LeavingRumour&) const = default;
 };
 
-/** Rumour: a backend server crashed while it ran requests with these fingerprints. */
+/** Gossip that a backend server crashed while running requests with these fingerprints. */
 struct CrashRumour {
   BackendServerName server;
   std::uint64_t incarnation = 0;
@@ -47,7 +47,7 @@
   bool operator==(const CrashRumour&) const = default;
 };
 
-/** Rumour: a change of the configuration, small enough for a datagram. */
+/** Gossip of a configuration change that fits into a datagram. */
 struct ConfigurationRumour {
   ConfigurationDelta delta;
   bool operator==(const ConfigurationRumour&) const = default;
@@ -57,8 +57,8 @@
 
 enum class ProbeKind { kPing, kPingRequest, kAck };
 
-/** A datagram between instances: failure detection, with rumours riding along. `target` is who is
-   to be pinged for the sender (kPingRequest) or whom an ack speaks for. */
+/** A failure detection datagram between instances, with piggybacked rumours. `target` is the
+    instance to ping on behalf of the sender (kPingRequest) or the one that an ack is for. */
 struct ProbeMessage {
   ProbeKind kind = ProbeKind::kPing;
   std::uint64_t sequence = 0;
@@ -85,7 +85,7 @@
 
 std::string_view NameOf(IntentVerdict verdict);
 
-/** A recorded answer of a non-idempotent request, kept for callers who repeat the key. */
+/** The recorded response to a non-idempotent request, returned to clients that repeat the key. */
 struct RecordedAnswer {
   std::uint32_t status = 0;
   std::string content_type;
@@ -94,9 +94,10 @@
   bool operator==(const RecordedAnswer&) const = default;
 };
 
-/** The holder's decision. kGranted: durable, dispatch now and only now, within `valid_for`.
-    kAnswered: it ran, here is the answer. kStarted: somebody was granted it before and no answer is
-    recorded: its outcome is unknown. kKeyReused: the key stands for another request. */
+/** The holder's decision. kGranted: the intent is durable; dispatch within `valid_for_ms` or not at
+    all. kAnswered: the request ran; `answer` holds the response. kStarted: the intent was granted
+    before and no response is recorded, so its outcome is unknown. kKeyReused: the key belongs to a
+    different request. */
 struct IntentReply {
   IntentVerdict verdict = IntentVerdict::kStarted;
   std::uint64_t epoch = 0;
@@ -105,8 +106,8 @@
   bool operator==(const IntentReply&) const = default;
 };
 
-/** Reports the outcome of a granted intent. Without an answer the grant was not used and certainly
-    nothing was dispatched, so that the key is free again. */
+/** Reports the outcome of a granted intent. No answer means that nothing was dispatched, so that
+   the key can be used again. */
 struct IntentOutcome {
   std::uint32_t partition = 0;
   OrganisationName organisation;
--- a/packages/zinnia_decisions/ports/peer_transport.h
+++ b/packages/zinnia_decisions/ports/peer_transport.h
@@ -8,9 +8,9 @@
 
 namespace zinnia {
 
-/** The way to the other instances. Probes are datagrams that may be lost, doubled or reordered;
-    calls are answered once (kPeerUnavailable: certainly not delivered; kOutcomeUnknown: the answer
-    was lost). Callbacks run later, on the control thread.
+/** Sends messages to other instances. Probes are datagrams that may be lost, duplicated or
+    reordered. Calls complete exactly once (kPeerUnavailable: not delivered; kOutcomeUnknown: the
+    response was lost). Callbacks run asynchronously on the control thread.
 
     @see PeerListener
 */
@@ -33,7 +33,7 @@
                              std::function<void(Result<void>)> callback) = 0;
 };
 
-/** What an instance answers to its peers. Called on the control thread. */
+/** Handles messages from peers. Called on the control thread. */
 class PeerListener {
  public:
   virtual ~PeerListener() = default;
