--- a/packages/zinnia_decisions/ports/platform_store.h
+++ b/packages/zinnia_decisions/ports/platform_store.h
@@ -12,8 +12,8 @@
 
 namespace zinnia {
 
-/** A record of the platform's store. `version` is the store-wide number of the write that made it;
-    it grows with every write to any key. No value: the key was deleted at that version. */
+/** A record of the platform's store. `version` is the store-wide number of its last write, which
+    increases with every write to any key. No value: the key was deleted at that version. */
 struct StoreRecord {
   std::string key;
   std::uint64_t version = 0;
@@ -22,7 +22,7 @@
   bool operator==(const StoreRecord&) const = default;
 };
 
-/** All records under a prefix that changed after some version, and the store's version now. */
+/** The records under a prefix that changed after some version, and the store's current version. */
 struct StoreBatch {
   std::vector<StoreRecord> records;
   std::uint64_t version = 0;
@@ -30,16 +30,16 @@
 
 using StoreLeaseId = std::uint64_t;
 
-/** The platform's key-value service: compare-and-swap, leases, watches, outages.
+/** The platform's key-value store, with compare-and-swap, leases and watches.
 
-    Every callback runs exactly once, later, on the control thread, never from inside the call.
+    Every callback runs exactly once, asynchronously, on the control thread.
     Failures:
-    - kStoreUnavailable: the call certainly had no effect;
-    - kStoreOutcomeUnknown: the answer was lost, so a write may or may not have taken effect. Read
-      the record back before concluding anything;
+    - kStoreUnavailable: the call had no effect;
+    - kStoreOutcomeUnknown: the response was lost, so a write may or may not have taken effect; read
+      the record back to find out;
     - kStoreConflict: the record was at another version; nothing was written.
 
-    Each call counts against the store's rates, a waiting watch as one.
+    Each call counts against the store's rate limits; a pending watch counts as one.
 */
 class PlatformStore {
  public:
@@ -55,14 +55,14 @@
 
   virtual void List(std::string prefix, BatchCallback callback) = 0;
 
-  /** May give records as they were some seconds ago, if that is cheaper. A watch from the batch's
-      version misses nothing. */
+  /** Like List, but may return a version of the records that is some seconds old if that is
+      cheaper. A watch from the batch's version misses no change. */
   virtual void ListMayLag(std::string prefix, BatchCallback callback) {
     List(std::move(prefix), std::move(callback));
   }
 
   /** Writes `value` if the record's version is `expected_version` (0: the key must not exist), and
-      gives the new version. With a lease, the record is deleted when the lease ends. */
+   * returns the new version. With a lease, the record is deleted when the lease ends. */
   virtual void CompareAndSwap(std::string key,
                               std::uint64_t expected_version,
                               std::string value,
@@ -76,7 +76,7 @@
   virtual void RevokeLease(StoreLeaseId lease, DoneCallback callback) = 0;
 
   /** Calls back once: as soon as something under `prefix` changed after `after_version`, or with an
-      empty batch after `longest_wait`. Ask again from the batch's version. */
+      empty batch after `longest_wait`. Call again with the batch's version. */
   virtual void Watch(std::string prefix,
                      std::uint64_t after_version,
                      std::chrono::milliseconds longest_wait,
--- a/packages/zinnia_decisions/ports/record_reader.h
+++ b/packages/zinnia_decisions/ports/record_reader.h
@@ -16,13 +16,12 @@
 
   virtual bool IsConfiguration(const std::string& key) const = 0;
 
-  /** What the server calls itself, if the key is that of a server's entry. */
+  /** The server's registration name if the key is that of a server entry. */
   virtual std::optional<std::string> RegistrationOf(const std::string& key) const = 0;
 
   virtual Result<ForwardingRules> ReadRules(const std::string& value) const = 0;
 
-  /** Entries come from many writers. One that breaks any rule of its fields is no entry, and the
-      error names the field. */
+  /** Validates and decodes a server entry. The error names the invalid field. */
   virtual Result<ServerEntry> ReadServer(const std::string& registration,
                                          const std::string& value) const = 0;
 };
