--- a/packages/zinnia_decisions/ports/instance_list.h
+++ b/packages/zinnia_decisions/ports/instance_list.h
@@ -15,7 +15,7 @@
   bool leaving = false;
 };
 
-/** What the platform's list says now. It lags behind reality: a hint, never a proof. */
+/** The current contents of the platform's list. It may be stale: use it only as a hint. */
 struct InstanceListing {
   std::vector<ListedServer> servers;
   std::vector<Instance> instances;
@@ -28,7 +28,7 @@
 
   virtual ~InstanceList() = default;
 
-  /** Reads the list once. The callback runs later, on the control thread. */
+  /** Reads the list once. The callback runs asynchronously on the control thread. */
   virtual void Read(Callback callback) = 0;
 };
 
--- a/packages/zinnia_decisions/ports/metrics.h
+++ b/packages/zinnia_decisions/ports/metrics.h
@@ -8,11 +8,11 @@
 
 namespace zinnia {
 
-/** The durations that are kept as histograms for each organisation and class. */
+/** The durations recorded as histograms for each organisation and class. */
 enum class Measure { kFirstToken, kBetweenTokens, kWholeAnswer, kQueueing, kRecovery };
 
-/** Takes measurements. Safe to call from any thread; bounded in memory however many organisations
-    there are (the rest share one row named "other"). */
+/** Records measurements. Thread-safe. Memory is bounded: organisations beyond a limit share one row
+    named "other". */
 class Metrics {
  public:
   virtual ~Metrics() = default;
