--- a/packages/zinnia_decisions/ports/report_transport.h
+++ b/packages/zinnia_decisions/ports/report_transport.h
@@ -9,7 +9,7 @@
 
 namespace zinnia {
 
-/** Sends reports to other instances. Each callback runs later, exactly once, on the control thread.
+/** Sends reports to other instances. Callbacks run once, asynchronously, on the control thread.
  */
 class ReportTransport {
  public:
--- a/packages/zinnia_decisions/ports/snapshot_source.h
+++ b/packages/zinnia_decisions/ports/snapshot_source.h
@@ -6,7 +6,7 @@
 
 namespace zinnia {
 
-/** Gives the newest published picture of the fleet. Safe to call from any thread; never null. */
+/** Provides the latest published fleet snapshot. Thread-safe; never null. */
 class SnapshotSource {
  public:
   virtual ~SnapshotSource() = default;
