--- a/packages/zinnia_decisions/ports/stage_links.h
+++ b/packages/zinnia_decisions/ports/stage_links.h
@@ -13,7 +13,7 @@
 
 namespace zinnia {
 
-/** Receives the answers of the steps that one session sent. */
+/** Receives the responses to the steps of one session. */
 class StepListener {
  public:
   virtual ~StepListener() = default;
@@ -22,8 +22,8 @@
   virtual void OnStepAnswer(std::uint32_t hop, StepAnswer answer) = 0;
 };
 
-/** What a stage can tell of a session that it holds in its cache. `tokens` are the ids of the
-    positions from the end of the prompt on; stages in the middle of a route know none. */
+/** The cached state of a session at a stage. `tokens` are those at the positions after the prompt;
+    intermediate stages of a route have none. */
 struct HeldSession {
   AttemptNumber attempt = 0;
   std::uint32_t length = 0;
@@ -31,12 +31,11 @@
   std::vector<SampledToken> tokens;
 };
 
-/** The way to the model engines. One implementation batches steps over HTTP connections and notices
-    missed deadlines; tests put fakes in its place.
+/** Connections to the model engines.
 
-    Exactly one answer comes for each step, kTimedOut or kConnectionLost if nothing better, unless
-    the listener is gone by then. Nothing is called back from inside a call. Steps to one server
-    may be answered in any order.
+    Each step gets exactly one response, if necessary kTimedOut or kConnectionLost, unless its
+    listener has been destroyed. Callbacks run asynchronously. The responses of one server may
+   arrive in any order.
 */
 class StageLinks {
  public:
@@ -47,19 +46,19 @@
                         StepRequest step,
                         std::weak_ptr<StepListener> listener) = 0;
 
-  /** Tells the server to drop the session's cache up to and including that attempt. Best effort:
-      engines also drop caches that are idle for long. */
+  /** Asks the server to drop the session's cache up to and including that attempt. Best effort:
+      engines also evict idle caches. */
   virtual void ReleaseSession(const BackendServerName& server,
                               const SessionName& session,
                               AttemptNumber attempt) = 0;
 
-  /** Asks what the server holds of a session; kNotFound if nothing. */
+  /** Queries the server's cached state of a session; kNotFound if there is none. */
   virtual void FindSession(const BackendServerName& server,
                            const SessionName& session,
                            std::function<void(Result<HeldSession>)> callback) = 0;
 
-  /** Moves the cache of one attempt from a living server to another that holds the same layers, as
-      `new_attempt`, by KV export and import. A transfer cut half way leaves nothing behind. */
+  /** Moves the cache of one attempt to another server with the same layers, as `new_attempt`, by KV
+      export and import. An interrupted transfer leaves no partial cache. */
   virtual void MoveCache(const BackendServerName& from,
                          const BackendServerName& to,
                          const SessionName& session,
--- a/packages/zinnia_decisions/ports/step.h
+++ b/packages/zinnia_decisions/ports/step.h
@@ -17,19 +17,19 @@
 using TokenId = std::uint32_t;
 
 /** Input of the first stage: the prompt (only at position 0; the engine tokenises it) followed by
-    tokens that are already known. */
+    already known tokens. */
 struct TokenInput {
   std::string prompt;
   std::vector<TokenId> tokens;
 };
 
-/** Input of every later stage: one opaque hidden state for each position. */
+/** Input of the later stages: one opaque hidden state per position. */
 struct HiddenInput {
   std::vector<std::string> states;
 };
 
-/** Lets a new attempt start from the cache that an older attempt left at the same stage, cut down
-   to `length` positions. */
+/** Starts a new attempt from the cache of an older attempt at the same stage, truncated to `length`
+    positions. */
 struct CacheAdoption {
   AttemptNumber attempt = 0;
   std::uint32_t length = 0;
@@ -37,9 +37,9 @@
 
 /** One step: run `layers` on the input, whose first position is `position`.
 
-    A stage takes it only if its cache for (session, attempt) holds exactly `position` positions,
-    after the adoption if there is one. That makes a repeated, late or reordered step harmless: it
-    is answered with kWrongLength. The last stage of a route sets `sample` to get a token back.
+    A stage accepts it only if its cache for (session, attempt) holds exactly `position` positions,
+    after any adoption. A duplicate, late or reordered step therefore has no effect and gets
+    kWrongLength. The last stage of a route sets `sample` to get a token back.
 */
 struct StepRequest {
   SessionName session;
@@ -53,18 +53,17 @@
   std::uint32_t priority = 1;
   std::uint64_t seed = 0;
 
-  /** Names the request to the quarantine if the server crashes while it runs this step. */
+  /** Identifies the request in the quarantine if the server crashes while running this step. */
   Fingerprint fingerprint;
 
-  /** The request was on a server that crashed. The channel keeps at most one isolated step in
-     flight at a server, so that a second crash tells the one request that causes it from the
-     others. */
+  /** The request was in flight on a server that crashed. The channel keeps at most one isolated
+      step in flight per server, so that a second crash identifies its cause. */
   bool isolated = false;
 };
 
 /** kTimedOut, kConnectionLost and kServerCrashed come from the channel, not from the stage: the
-   step may have been run. kServerCrashed is told from a cut connection by a refused reconnection or
-   a new incarnation. */
+   step may have run. kServerCrashed, unlike kConnectionLost, means that the reconnection was
+   refused or the server has a new incarnation. */
 enum class StepStatus {
   kDone,
   kWrongLength,
@@ -87,7 +86,7 @@
   bool end_of_answer = false;
 };
 
-/** A stage's answer to one step. `length` is what its cache holds for the attempt afterwards;
+/** A stage's response to one step. `length` is the attempt's cache length afterwards;
     `prompt_tokens` is set by the first stage for a step with a prompt. */
 struct StepAnswer {
   StepStatus status = StepStatus::kDone;
@@ -97,8 +96,8 @@
   std::vector<std::string> states;
   std::optional<SampledToken> token;
 
-  /** With kServerCrashed: the server was gone before the step was sent, so its request cannot be
-      what crashed it. */
+  /** With kServerCrashed: the server crashed before the step was sent, so that its request cannot
+      be the cause. */
   bool never_sent = false;
 };
 
