--- a/packages/zinnia_decisions/control/instance_control.h
+++ b/packages/zinnia_decisions/control/instance_control.h
@@ -125,7 +125,7 @@
   void ReportServerCrash(const BackendServerName& server, const InFlightAtCrash& in_flight);
 
   /** As above; calls `on_peers_informed` when all live peers have acknowledged the report, or after
-      CrashAnnouncer::kLongestWait. Those requests must not be retried earlier. */
+      CrashAnnouncer::kAcknowledgementTimeout. Those requests must not be retried earlier. */
   void ReportServerCrash(const BackendServerName& server,
                          const InFlightAtCrash& in_flight,
                          std::function<void()> on_peers_informed);
--- a/packages/zinnia_decisions/orders/order_role.cc
+++ b/packages/zinnia_decisions/orders/order_role.cc
@@ -14,9 +14,9 @@
 namespace zinnia {
 namespace {
 
-/** An instance that is not preferred looks at the lease only every so many ticks: enough to take
-    over when views of the membership differ, and cheap for the store. */
-constexpr std::uint64_t kTicksBetweenLooks = 5;
+/** Instances that are not preferred check the lease less often to limit load on the store. They
+    must check it, since membership views may differ. */
+constexpr std::uint64_t kTicksBetweenLeaseChecks = 5;
 
 std::uint64_t EpochOf(const std::optional<StoreRecord>& record) {
   if (!record || !record->value) {
@@ -53,11 +53,11 @@
 void OrderRole::Tick(std::uint64_t least_epoch) {
   m_least_epoch = std::max(m_least_epoch, least_epoch);
   if (m_state == State::kHeld) {
-    const bool may_go_on = IsWithinLease() || IsWithinOutageGrace();
-    return may_go_on ? KeepAlive() : StepDown("the lease ran out by this instance's clock");
+    const bool may_continue = IsWithinLease() || IsWithinOutageGrace();
+    return may_continue ? KeepAlive() : StepDown("the lease ran out by this instance's clock");
   }
   m_idle_ticks += 1;
-  if (m_state == State::kIdle && (IsPreferred() || m_idle_ticks % kTicksBetweenLooks == 0)) {
+  if (m_state == State::kIdle && (IsPreferred() || m_idle_ticks % kTicksBetweenLeaseChecks == 0)) {
     Acquire();
   }
 }
@@ -75,8 +75,8 @@
   if (m_state != State::kHeld) {
     return false;
   }
-  const bool nobody_else_can = m_settings.engines_check_fencing || !m_store_serves_others;
-  return IsWithinLease() || (nobody_else_can && IsWithinOutageGrace());
+  const bool no_takeover_possible = m_settings.engines_check_fencing || !m_store_serves_others;
+  return IsWithinLease() || (no_takeover_possible && IsWithinOutageGrace());
 }
 
 bool OrderRole::IsPreferred() const {
@@ -101,7 +101,7 @@
                     }));
 }
 
-/** The lease is counted from before it is asked for, so that it ends here before it ends there. */
+/** Counts the lease from before the request, so that it expires here before it does there. */
 void OrderRole::GrantLease() {
   m_lease_asked_at = m_parts.clock.Now();
   m_parts.store.GrantLease(m_settings.lease,
@@ -147,10 +147,10 @@
   m_epoch = epoch;
   m_valid_until = m_lease_asked_at + m_settings.lease;
   m_renewal_unanswered = false;
-  // The earlier holder's lease has ended, or its key would still be there; what it sent before may
-  // still be on its way, and may still be started until its validity ends.
+  // The previous holder's lease has ended, since its key is gone, but its orders may still be in
+  // flight and may be started until their validity ends.
   const auto in_flight = m_settings.valid_for + m_settings.transport_timeout;
-  m_unchecked_from = m_parts.clock.Now() + (had_holder ? in_flight : Duration::zero());
+  m_unfenced_orders_from = m_parts.clock.Now() + (had_holder ? in_flight : Duration::zero());
   Record("take_orders", "the pool's lease was free");
 }
 
@@ -178,7 +178,7 @@
   }
 }
 
-/** Revoking ends the lease-bound key too, also if its write took effect without our knowing. */
+/** Revoking the lease also deletes its key, even if the outcome of writing the key is unknown. */
 void OrderRole::Abandon() {
   m_state = State::kIdle;
   m_parts.store.RevokeLease(m_lease, [](const Result<void>&) {});
--- a/packages/zinnia_decisions/quarantine/crash_quarantine.cc
+++ b/packages/zinnia_decisions/quarantine/crash_quarantine.cc
@@ -8,10 +8,10 @@
 namespace zinnia {
 namespace {
 
-constexpr std::size_t kFingerprintsInRumour = 40;
+constexpr std::size_t kMaxFingerprintsPerRumour = 40;
 
-/** Reports of crashes of one server that are closer than any restart takes are of one crash. */
-constexpr Duration kOneCrash = std::chrono::seconds(1);
+/** Crash reports for one server closer than this are of one crash: no server restarts as fast. */
+constexpr Duration kSameCrashWindow = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -22,10 +22,10 @@
   }
   const CrashKey key = KeyOf(rumour, now - age);
   Crash& crash = m_crashes.try_emplace(key, Crash{now - age, {}, {}, std::nullopt}).first->second;
-  std::vector<Fingerprint> news;
+  std::vector<Fingerprint> new_evidence;
   for (const Fingerprint& fingerprint : rumour.fingerprints) {
     const bool is_known = crash.fingerprints.contains(fingerprint);
-    if (!is_known && crash.fingerprints.size() >= m_settings.most_fingerprints_per_crash) {
+    if (!is_known && crash.fingerprints.size() >= m_settings.max_fingerprints_per_crash) {
       continue;
     }
     const bool is_new_evidence = rumour.alone && crash.alone.insert(fingerprint).second;
@@ -34,22 +34,22 @@
       m_suspects[fingerprint].push_back(key);
     }
     if (!is_known || is_new_evidence) {
-      news.push_back(fingerprint);
+      new_evidence.push_back(fingerprint);
     }
   }
-  for (const Fingerprint& fingerprint : news) {
+  for (const Fingerprint& fingerprint : new_evidence) {
     QuarantineIfProven(fingerprint);
   }
-  KeepWithinBounds();
-  return news;
+  EvictOverLimits();
+  return new_evidence;
 }
 
-// An instance that reads of the restart before it reports the crash names the new incarnation. Held
-// for a second crash, it would quarantine whoever was in flight at the first through two instances.
+// An instance that sees the restart before it reports the crash names the new incarnation. Counting
+// that as a second crash would quarantine requests in flight through two instances at the first.
 CrashQuarantine::CrashKey CrashQuarantine::KeyOf(const CrashRumour& rumour, TimePoint at) const {
   for (auto row = m_crashes.lower_bound({rumour.server, 0});
        row != m_crashes.end() && row->first.first == rumour.server; ++row) {
-    if (std::chrono::abs(row->second.at - at) < kOneCrash) {
+    if (std::chrono::abs(row->second.at - at) < kSameCrashWindow) {
       return row->first;
     }
   }
@@ -70,7 +70,7 @@
     last = std::max(last, crash.at);
     ran_alone = ran_alone || crash.alone.contains(fingerprint);
   }
-  return ran_alone || last - first >= m_settings.news_time;
+  return ran_alone || last - first >= m_settings.report_propagation_time;
 }
 
 void CrashQuarantine::QuarantineIfProven(const Fingerprint& fingerprint) {
@@ -97,8 +97,8 @@
   return explained || expired;
 }
 
-// Not at once: another instance may still tell that a second fingerprint was in flight at both
-// crashes, and then nobody can say which of the two it was.
+// Delayed by `hold`: another instance may still report a second fingerprint in flight at both
+// crashes, which leaves the cause ambiguous.
 bool CrashQuarantine::DropExplained(TimePoint now) {
   bool changed = false;
   for (auto& [key, crash] : m_crashes) {
@@ -149,8 +149,8 @@
   }
 }
 
-void CrashQuarantine::KeepWithinBounds() {
-  while (m_crashes.size() > m_settings.most_crashes) {
+void CrashQuarantine::EvictOverLimits() {
+  while (m_crashes.size() > m_settings.max_crashes) {
     const auto oldest = std::min_element(
         m_crashes.begin(), m_crashes.end(),
         [](const auto& left, const auto& right) { return left.second.at < right.second.at; });
@@ -159,7 +159,7 @@
     }
     m_crashes.erase(oldest);
   }
-  while (m_quarantined_since.size() > m_settings.most_quarantined) {
+  while (m_quarantined_since.size() > m_settings.max_quarantined) {
     m_quarantined_since.erase(std::min_element(
         m_quarantined_since.begin(), m_quarantined_since.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; }));
@@ -182,7 +182,7 @@
   });
 }
 
-bool CrashQuarantine::IsHeld(const Fingerprint& fingerprint, TimePoint now) const {
+bool CrashQuarantine::IsInHoldPeriod(const Fingerprint& fingerprint, TimePoint now) const {
   const std::vector<CrashKey>& crashes = m_suspects.at(fingerprint);
   return std::any_of(crashes.begin(), crashes.end(), [&](const CrashKey& key) {
     return now - m_crashes.at(key).at < m_settings.hold;
@@ -196,7 +196,8 @@
   if (!IsSuspect(fingerprint)) {
     return true;
   }
-  return IsOwner(fingerprint) && !IsHeld(fingerprint, now) && m_claimed.insert(fingerprint).second;
+  return IsOwner(fingerprint) && !IsInHoldPeriod(fingerprint, now) &&
+         m_claimed.insert(fingerprint).second;
 }
 
 void CrashQuarantine::Release(const Fingerprint& fingerprint) {
@@ -215,7 +216,7 @@
   }
   std::unordered_map<Fingerprint, bool> suspects;
   for (const auto& [fingerprint, crashes] : m_suspects) {
-    suspects[fingerprint] = IsOwner(fingerprint) && !IsHeld(fingerprint, now);
+    suspects[fingerprint] = IsOwner(fingerprint) && !IsInHoldPeriod(fingerprint, now);
   }
   return std::make_shared<const QuarantineSnapshot>(std::move(quarantined), std::move(suspects));
 }
@@ -229,8 +230,8 @@
       row.crashed_servers.push_back(key.first);
       last = std::max(last, m_crashes.at(key).at);
     }
-    const Duration whole = row.quarantined ? m_settings.quarantine_for : m_settings.suspect_for;
-    row.remaining = std::max(Duration::zero(), last + whole - now);
+    const Duration lifetime = row.quarantined ? m_settings.quarantine_for : m_settings.suspect_for;
+    row.remaining = std::max(Duration::zero(), last + lifetime - now);
     rows.push_back(std::move(row));
   }
   std::sort(rows.begin(), rows.end(), [](const QuarantineRow& left, const QuarantineRow& right) {
@@ -250,7 +251,7 @@
         if (m_suspects.contains(fingerprint) && crash.alone.contains(fingerprint) == alone) {
           rumour.fingerprints.push_back(fingerprint);
         }
-        if (rumour.fingerprints.size() == kFingerprintsInRumour) {
+        if (rumour.fingerprints.size() == kMaxFingerprintsPerRumour) {
           rumours.push_back(rumour);
           rumour.fingerprints.clear();
         }
--- a/tests/control/quarantine_test.cc
+++ b/tests/control/quarantine_test.cc
@@ -121,8 +121,8 @@
 
 TEST(Quarantine, SettlesAtItsBounds) {
   QuarantineSettings small;
-  small.most_crashes = 8;
-  small.most_fingerprints_per_crash = 16;
+  small.max_crashes = 8;
+  small.max_fingerprints_per_crash = 16;
   CrashQuarantine bounded(small);
   for (int server = 0; server < 40; ++server) {
     constexpr int kRequests = 30;
@@ -133,7 +133,7 @@
     }
     bounded.OnCrash(CrashOf(fmt::format("b-{}", server), in_flight), At(seconds(server)));
   }
-  CHECK_EQUAL(small.most_crashes * 16, bounded.Rows(At(seconds(40))).size());
+  CHECK_EQUAL(small.max_crashes * 16, bounded.Rows(At(seconds(40))).size());
   CHECK_TRUE(bounded.IsSuspect(Fingerprint::Of("39 0")));
   CHECK_FALSE(bounded.IsSuspect(Fingerprint::Of("0 0")));
 }
@@ -191,7 +191,7 @@
     }
   });
   CHECK_EQUAL(-1, known_at);
-  fleet.time.AdvanceBy(CrashAnnouncer::kLongestWait - milliseconds(1));
+  fleet.time.AdvanceBy(CrashAnnouncer::kAcknowledgementTimeout - milliseconds(1));
   CHECK_EQUAL(5, known_at);
 }
 
@@ -200,7 +200,7 @@
   fleet.processes[3]->scheduler.Pause();
   bool known = false;
   fleet.At(0).ReportServerCrash("b-0", {{kPoison}, {}}, [&] { known = true; });
-  fleet.time.AdvanceBy(CrashAnnouncer::kLongestWait - milliseconds(1));
+  fleet.time.AdvanceBy(CrashAnnouncer::kAcknowledgementTimeout - milliseconds(1));
   CHECK_FALSE(known);
   fleet.time.AdvanceBy(milliseconds(2));
   CHECK_TRUE(known);
@@ -244,7 +244,7 @@
   fleet.At(0).ReportServerCrash("b-11", {{innocent}, {}}, [&] { ++waits_ended; });
   RunAt(1, false);
   RunAt(2, false);
-  fleet.time.AdvanceBy(CrashAnnouncer::kLongestWait);
+  fleet.time.AdvanceBy(CrashAnnouncer::kAcknowledgementTimeout);
   CHECK_EQUAL(2, waits_ended);
   for (int attempt = 0; attempt < 100; ++attempt) {
     fleet.time.AdvanceBy(milliseconds(500));
