--- a/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
+++ b/packages/zinnia_decisions/sessions/pipeline_session_moves.cc
@@ -8,7 +8,7 @@
 namespace zinnia {
 namespace {
 
-/** Limits the attempt numbers consumed by planned keep_alive. */
+/** Limits the planned moves off leaving servers, as each consumes attempt numbers. */
 constexpr std::uint32_t kMaxTransfers = 200;
 
 }  // namespace
